--- a/rehearsal/scale/hollow_proxy.cpp
+++ b/rehearsal/scale/hollow_proxy.cpp
@@ -117,9 +117,9 @@
     if (const auto* redirect = std::get_if<cluster::Redirect>(&message)) return got_redirect(*redirect);
     if (std::holds_alternative<cluster::Registered>(message)) return got_registered();
     if (const auto* sent = std::get_if<cluster::ConfigurationSent>(&message)) return got_configuration(*sent);
-    if (const auto* told = std::get_if<cluster::RunnerTold>(&message)) return got_runner(*told);
+    if (const auto* told = std::get_if<cluster::RunnerUpdate>(&message)) return got_runner(*told);
     if (const auto* grant = std::get_if<cluster::AcquireGranted>(&message)) return got_grant(*grant);
-    if (const auto* mode = std::get_if<cluster::Mode>(&message)) return got_mode(*mode);
+    if (const auto* mode = std::get_if<cluster::FunctionMode>(&message)) return got_mode(*mode);
     if (const auto* denial = std::get_if<cluster::AcquireDenied>(&message)) {
         asks_.erase(denial->id);
         ground_.denied.fetch_add(1, std::memory_order_relaxed);
@@ -150,13 +150,13 @@
     say(cluster::ConfigurationHeld{version_});
 }
 
-void HollowProxy::got_runner(const cluster::RunnerTold& message) {
+void HollowProxy::got_runner(const cluster::RunnerUpdate& message) {
     if (message.state == cluster::RunnerState::gone) {
         const auto at = by_number_.find(message.number);
         if (at != by_number_.end()) forget(std::string(at->second));
         return;
     }
-    const cluster::Holding& holding = message.runner;
+    const cluster::RunnerInfo& holding = message.runner;
     const auto [at, fresh] = known_.try_emplace(holding.runner);
     Known& instance = at->second;
     if (fresh) {
@@ -193,7 +193,7 @@
     asks_.erase(asked);
 }
 
-void HollowProxy::got_mode(const cluster::Mode& message) {
+void HollowProxy::got_mode(const cluster::FunctionMode& message) {
     functions_[function_of(message.service)].unrestricted = message.unrestricted;
 }
 
@@ -210,9 +210,9 @@
     const Micros now = net::Loop::now();
     for (const auto& [name, instance] : known_)
         if (registers(instance, now))
-            registration.holdings.push_back({name, function_name(instance.function),
-                                             ground_.addresses.instances(), instance.zone, instance.worker,
-                                             kSlotsEach, instance.out, instance.up});
+            registration.runners.push_back({name, function_name(instance.function),
+                                            ground_.addresses.instances(), instance.zone, instance.worker,
+                                            kSlotsEach, instance.out, instance.up});
     for (const auto& [function, office] : functions_)
         if (office.unrestricted)
             registration.unrestricted.push_back(
@@ -271,7 +271,7 @@
         const auto at = known_.find(work.instance);
         if (at != known_.end()) {
             if (at->second.out > 0) --at->second.out;
-            say(cluster::Release{work.ask, at->second.number, cluster::Ended::answered,
+            say(cluster::Release{work.ask, at->second.number, cluster::ReleaseReason::answered,
                                  static_cast<std::uint32_t>(ground_.options.work_ms)});
         }
         working_.pop_front();
--- a/rehearsal/scale/hollow_proxy.hpp
+++ b/rehearsal/scale/hollow_proxy.hpp
@@ -91,9 +91,9 @@
     void got_redirect(const cluster::Redirect& message);
     void got_registered();
     void got_configuration(const cluster::ConfigurationSent& message);
-    void got_runner(const cluster::RunnerTold& message);
+    void got_runner(const cluster::RunnerUpdate& message);
     void got_grant(const cluster::AcquireGranted& message);
-    void got_mode(const cluster::Mode& message);
+    void got_mode(const cluster::FunctionMode& message);
     void forget(const std::string& instance);
     cluster::Register registration() const;
     bool registers(const Known& instance, Micros now) const;
--- a/rehearsal/scale/tests/scale_tests.cpp
+++ b/rehearsal/scale/tests/scale_tests.cpp
@@ -123,7 +123,7 @@
     BOOST_TEST(name_of_message(cluster::EntryChunk()) == "EntryChunk");
     BOOST_TEST(name_of_message(cluster::Register()) == "Register");
     BOOST_TEST(name_of_message(cluster::ConfigurationSent()) == "ConfigurationSent");
-    BOOST_TEST(name_of_message(cluster::RunnerTold()) == "RunnerTold");
+    BOOST_TEST(name_of_message(cluster::RunnerUpdate()) == "RunnerTold");
     BOOST_TEST(name_of_message(cluster::Heartbeat()) == "Heartbeat");
     BOOST_TEST(name_of_message(cluster::OutstandingReport()) == "OutstandingReport");
 }
--- a/rehearsal/system/try_system.cpp
+++ b/rehearsal/system/try_system.cpp
@@ -43,7 +43,7 @@
 
 struct FunctionMade {
     std::string name;
-    int slots, boot_ms, memory_mb, aim_ms, work_ms;
+    int slots, boot_ms, memory_mb, latency_target_ms, work_ms;
     double share;
 };
 const std::vector<FunctionMade> kFunctions = {{"preview", 8, 1200, 512, 300, 60, 0.7},
@@ -258,7 +258,7 @@
             body += (i ? ",{" : "{") + std::string("\"name\":\"r-") + f.name +
                     "\",\"host\":\"try.example\",\"path_prefix\":\"/" + f.name +
                     "/\",\"route_kind\":\"idempotent\",\"timeout_ms\":4000,\"target_latency_ms\":" +
-                    std::to_string(f.aim_ms) + ",\"priority\":1,\"service\":\"" + f.name +
+                    std::to_string(f.latency_target_ms) + ",\"priority\":1,\"service\":\"" + f.name +
                     "\",\"max_attempts\":2}";
             services += (i ? ",{" : "{") + std::string("\"name\":\"") + f.name +
                         "\",\"connection_limit\":64,\"memory_mb\":" + std::to_string(f.memory_mb) +
@@ -304,7 +304,7 @@
             ++failed_;
         else if (m.status == 503)
             ++refused_;
-        else if (took <= at->second.made->aim_ms * 1000LL)
+        else if (took <= at->second.made->latency_target_ms * 1000LL)
             ++in_aim_;
         else
             ++late_;
--- a/src/cluster/base/record.hpp
+++ b/src/cluster/base/bounded_history.hpp
@@ -8,9 +8,9 @@
 namespace gannethold::cluster {
 
 template <class T>
-class Record {
+class BoundedHistory {
   public:
-    explicit Record(std::size_t most) : most_(most) {}
+    explicit BoundedHistory(std::size_t most) : most_(most) {}
     void add(T one) {
         if (kept_.size() >= most_) kept_.pop_front();
         kept_.push_back(std::move(one));
--- a/src/cluster/base/error.hpp
+++ b/src/cluster/base/error.hpp
@@ -12,7 +12,7 @@
 
 namespace leaf = boost::leaf;
 
-enum class Kind {
+enum class ErrorCode {
     settings_unreadable,    // the settings file is missing or not made of a.b=value lines
     settings_invalid,       // a key is missing or has a value that can not be used
     bytes_malformed,        // between processes: not a message
@@ -35,21 +35,21 @@
     platform_refused,
 };
 
-struct Detail {
+struct ErrorDetail {
     std::string text;
 };
 
-struct Answer {
-    const char* name;  // in log lines
-    int status;        // for whoever asked over HTTP; 0: nobody is asked
-    bool promise;      // the status says that it has not run and never will
+struct ErrorResponse {
+    const char* name;         // in log lines
+    int status;               // for whoever asked over HTTP; 0: nobody is asked
+    bool guarantees_not_run;  // the status says that it has not run and never will
 };
 
 // Total over Kind.
-Answer answer_to(Kind kind);
+ErrorResponse error_response(ErrorCode kind);
 
-inline leaf::error_id failure(Kind kind, std::string detail = {}) {
-    return leaf::new_error(kind, Detail{std::move(detail)});
+inline leaf::error_id failure(ErrorCode kind, std::string detail = {}) {
+    return leaf::new_error(kind, ErrorDetail{std::move(detail)});
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/configuration/configuration.cpp
+++ b/src/cluster/configuration/configuration.cpp
@@ -14,7 +14,7 @@
 using simdjson::dom::object;
 
 leaf::error_id wrong(const std::string& where, const std::string& what) {
-    return failure(Kind::configuration_invalid, where + ": " + what);
+    return failure(ErrorCode::configuration_invalid, where + ": " + what);
 }
 
 leaf::result<std::string> word(const object& from, const char* key, const std::string& where) {
@@ -104,16 +104,16 @@
         return wrong(where, "route_kind is not known: " + kind);
     r.idempotent = kind == "idempotent";
     double timeout = 30'000;
-    double aim = 1'000;
+    double latency_target = 1'000;
     double priority = 0;
     double attempts = 1;
     BOOST_LEAF_CHECK(number(from, "timeout_ms", where, 0, timeout));
-    BOOST_LEAF_CHECK(number(from, "target_latency_ms", where, 0, aim));
+    BOOST_LEAF_CHECK(number(from, "target_latency_ms", where, 0, latency_target));
     BOOST_LEAF_CHECK(number(from, "priority", where, 0, priority));
     BOOST_LEAF_CHECK(number(from, "max_attempts", where, 0, attempts));
     if (timeout <= 0) return wrong(where, "timeout_ms is 0");
     r.timeout = static_cast<Micros>(timeout * 1e3);
-    r.aim = static_cast<Micros>(aim * 1e3);
+    r.latency_target = static_cast<Micros>(latency_target * 1e3);
     r.priority = static_cast<std::uint8_t>(std::min(priority, 255.0));
     r.attempts = static_cast<std::uint32_t>(std::clamp(attempts, 1.0, 16.0));
     BOOST_LEAF_ASSIGN(r.shares, shares_from(from, where));
@@ -140,7 +140,7 @@
     simdjson::dom::parser parser;
     object top;
     if (parser.parse(json.data(), json.size()).get(top))
-        return failure(Kind::configuration_cut, "not whole, or no JSON object");
+        return failure(ErrorCode::configuration_cut, "not whole, or no JSON object");
     std::uint64_t version = 0;
     if (top["version"].get(version)) return wrong("configuration", "version is no whole number from 0 on");
     return version;
@@ -150,7 +150,7 @@
     simdjson::dom::parser parser;
     object top;
     if (parser.parse(json.data(), json.size()).get(top))
-        return failure(Kind::configuration_cut, "not whole, or no JSON object");
+        return failure(ErrorCode::configuration_cut, "not whole, or no JSON object");
     auto made = std::make_shared<Configuration>();
     if (top["version"].get(made->version_) || made->version_ == 0)
         return wrong("configuration", "version is no whole number from 1 on");
@@ -177,13 +177,14 @@
             if (at == made->service_at_.end())
                 return wrong("route " + route.name, "it names a service that is not there: " + share.service);
             Service& service = made->services_[at->second];
-            if (share.weight > 0 && (service.tightest_aim == 0 || route.aim < service.tightest_aim))
-                service.tightest_aim = route.aim;
+            if (share.weight > 0 &&
+                (service.tightest_aim == 0 || route.latency_target < service.tightest_aim))
+                service.tightest_aim = route.latency_target;
         }
         const Service& first = made->services_[made->service_at_[route.shares.front().service]];
         route.shape = shapes
-                          .try_emplace({route.aim, route.timeout, route.idempotent, first.memory_mb,
-                                        first.most, route.priority},
+                          .try_emplace({route.latency_target, route.timeout, route.idempotent,
+                                        first.memory_mb, first.most, route.priority},
                                        static_cast<std::uint16_t>(shapes.size() + 1))
                           .first->second;
         const auto [other, fresh] =
--- a/src/cluster/configuration/configuration.hpp
+++ b/src/cluster/configuration/configuration.hpp
@@ -28,7 +28,7 @@
 struct Route {
     std::string name, host, prefix;
     bool idempotent = false;  // may run more than once
-    Micros timeout = 0, aim = 0;
+    Micros timeout = 0, latency_target = 0;
     std::uint8_t priority = 0;  // 0 is the highest
     std::uint32_t attempts = 1;
     struct Share {
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -43,9 +43,9 @@
                              const std::string& zone) const {
     std::map<std::string, int> there;
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = slot_table.runner(number); !r.draining) ++there[r.what.worker];
+        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) ++there[r.what.worker];
     std::map<std::string, std::int64_t> promised;
-    for (const auto& [nonce, p] : begins_) {
+    for (const auto& [nonce, p] : starts_) {
         promised[p.begin.worker] += p.memory;
         if (p.begin.service == f.name) ++there[p.begin.worker];
     }
@@ -79,10 +79,10 @@
     // Where one more is best: the zone with most requests for each runner there.
     std::map<std::string, double> there;
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = slot_table.runner(number); !r.draining) there[r.what.zone] += 1;
-    if (const auto of = begins_of_.find(f.name); of != begins_of_.end())
+        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) there[r.what.zone] += 1;
+    if (const auto of = starts_of_.find(f.name); of != starts_of_.end())
         for (const std::string& nonce : of->second)
-            if (const auto p = begins_.find(nonce); p != begins_.end())
+            if (const auto p = starts_.find(nonce); p != starts_.end())
                 there[zone_of(p->second.begin.worker)] += 1;
     double most = 0;
     for (const auto& [zone, place] : f.places) {
@@ -132,7 +132,7 @@
         const double wait = slot_table.expected_wait(now, f);
         const WaitQueue::Waiting& last = *f.waiting.newest();
         const bool late = static_cast<double>(now) + wait + static_cast<double>(last.work) >
-                          static_cast<double>(last.aim_at);
+                          static_cast<double>(last.target_at);
         if (starting * s.most < f.waiting.size() && wait > kStartPays * static_cast<double>(s.boot) &&
             (have == 0 || late)) {
             if (have + 1 > wish.count) {
@@ -144,7 +144,7 @@
     return wish;
 }
 
-void Planner::plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<FrontMail>& mail) {
+void Planner::plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail) {
     // What one more in a long line changes is little, and to look at all of it for each costs more than there
     // is.
     if (f.waiting.size() > kShortLine && now < f.planned_at + kPlanEach) return;
@@ -153,7 +153,7 @@
 }
 
 // What starts on a worker that drains or is down never comes up: another start is planned for at once.
-void Planner::end_lost_starts(Micros now, SlotTable& slot_table, std::vector<FrontMail>& mail) const {
+void Planner::cancel_lost_starts(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) const {
     std::vector<std::string> lost;
     for (const auto& [number, runner] : slot_table.runners()) {
         const auto worker = workers_.find(runner.what.worker);
@@ -163,11 +163,11 @@
     for (const std::string& runner : lost) slot_table.gone(now, runner, "its worker drains or is down", mail);
 }
 
-void Planner::plan(Micros now, SlotTable& slot_table, Function& f, std::vector<FrontMail>& mail) {
+void Planner::plan(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail) {
     if (!committed(now)) return;
     // Nobody asks, nothing runs, none is to be warm.
     if (f.service && f.runners.empty() && f.waiting.empty() && f.rate < 0.01 && !f.service->warm() &&
-        !begins_of_.contains(f.name))
+        !starts_of_.contains(f.name))
         return;
     if (!f.service) {
         for (const std::uint32_t number : std::vector<std::uint32_t>(f.runners)) {
@@ -179,11 +179,11 @@
     std::size_t have = 0;
     std::size_t starting = 0;
     for (const std::uint32_t number : f.runners) {
-        const Slots& r = slot_table.runner(number);
+        const RunnerSlots& r = slot_table.runner(number);
         have += !r.draining;
         starting += !r.draining && r.state == RunnerState::starting;
     }
-    if (const auto of = begins_of_.find(f.name); of != begins_of_.end()) {
+    if (const auto of = starts_of_.find(f.name); of != starts_of_.end()) {
         have += of->second.size();
         starting += of->second.size();
     }
@@ -194,8 +194,8 @@
         f.no_room = !worker;
         if (!worker) return;
         const std::string nonce = options_.nonce_prefix + std::to_string(++count_);
-        begins_[nonce] = {{f.name, worker->name, nonce, want.why}, f.service->memory_mb, now, false, 0};
-        begins_of_[f.name].push_back(nonce);
+        starts_[nonce] = {{f.name, worker->name, nonce, want.why}, f.service->memory_mb, now, false, 0};
+        starts_of_[f.name].push_back(nonce);
         return;
     }
     if (have == want.count || starting > 0) {
@@ -206,16 +206,16 @@
     const Micros since = surplus_since_.try_emplace(f.name, now).first->second;
     const Micros keep = want.count == 0 ? f.service->boot : 2 * f.service->boot + 500'000;
     if (now < since + keep) return;
-    const Slots* chosen = nullptr;
+    const RunnerSlots* chosen = nullptr;
     std::map<std::string, int> there;
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = slot_table.runner(number); !r.draining) ++there[r.what.zone];
-    const auto spare = [&](const Slots& r) {
+        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) ++there[r.what.zone];
+    const auto spare = [&](const RunnerSlots& r) {
         const auto place = f.places.find(r.what.zone);
         return there[r.what.zone] / (0.01 + (place == f.places.end() ? 0 : place->second.rate));
     };
     for (const std::uint32_t number : f.runners) {
-        const Slots& r = slot_table.runner(number);
+        const RunnerSlots& r = slot_table.runner(number);
         if (r.draining || r.state != RunnerState::ready ||
             (!f.unrestricted && (r.out() > 0 || now < r.idle_since + keep / 2)))
             continue;
@@ -229,7 +229,7 @@
     slot_table.retire(now, number, mail);
 }
 
-void Planner::plan_all(Micros now, SlotTable& slot_table, std::vector<FrontMail>& mail) {
+void Planner::plan_all(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) {
     used_.clear();
     for (const auto& [number, r] : slot_table.runners())
         if (r.function->service) used_[r.what.worker] += r.function->service->memory_mb;
@@ -240,13 +240,13 @@
         if (l.next == 0 && slot_table.retire(now, l.number, mail)) l.next = now;
 }
 
-void Planner::due(Micros now, PlatformOrders& orders) {
-    for (auto& [nonce, p] : begins_) {
+void Planner::due(Micros now, PlatformRequests& orders) {
+    for (auto& [nonce, p] : starts_) {
         if (p.out || now < p.next) continue;
         if (!spend(now)) return;
         p.out = true;
         ++p.times;
-        orders.begins.push_back(p.begin);
+        orders.starts.push_back(p.begin);
     }
     for (auto& [runner, l] : leaving_) {
         if (l.next == 0 || now < l.next) continue;
@@ -256,30 +256,30 @@
     }
 }
 
-void Planner::begin_answered(Micros now, const std::string& nonce, BeginAnswer answer) {
-    const auto at = begins_.find(nonce);
-    if (at == begins_.end()) return;
+void Planner::on_start_result(Micros now, const std::string& nonce, StartResult answer) {
+    const auto at = starts_.find(nonce);
+    if (at == starts_.end()) return;
     Pending& p = at->second;
     const auto drop = [&] {
-        auto& all = begins_of_[p.begin.service];
+        auto& all = starts_of_[p.begin.service];
         std::erase(all, nonce);
-        if (all.empty()) begins_of_.erase(p.begin.service);
-        begins_.erase(at);
+        if (all.empty()) starts_of_.erase(p.begin.service);
+        starts_.erase(at);
     };
     switch (answer) {
-        case BeginAnswer::begun:
+        case StartResult::begun:
             used_[p.begin.worker] += p.memory;
             return drop();
-        case BeginAnswer::no_room:
+        case StartResult::no_room:
             full_until_[p.begin.worker] = now + 1'000'000;
             return drop();
-        case BeginAnswer::refused:
+        case StartResult::refused:
             return drop();
-        case BeginAnswer::busy:
+        case StartResult::busy:
             p.out = false;
             p.next = now + 100'000;
             return;
-        case BeginAnswer::silent:
+        case StartResult::silent:
             // It may have been done: the same nonce on the same worker finds it again.
             p.out = false;
             p.next = now + 50'000;
@@ -288,7 +288,7 @@
     }
 }
 
-void Planner::stop_answered(const std::string& runner, bool done) {
+void Planner::on_stop_result(const std::string& runner, bool done) {
     if (done) leaving_.erase(runner);
 }
 
--- a/src/cluster/placement/planner.hpp
+++ b/src/cluster/placement/planner.hpp
@@ -19,21 +19,21 @@
     bool ready = true;
 };
 
-struct Begin {
+struct StartRunner {
     std::string service, worker, nonce;
     const char* why = "";
 };
-struct Stop {
+struct StopRunner {
     std::string runner;
     const char* why = "";
 };
 
-struct PlatformOrders {
-    std::vector<Begin> begins;
-    std::vector<Stop> stops;
+struct PlatformRequests {
+    std::vector<StartRunner> starts;
+    std::vector<StopRunner> stops;
 };
 
-enum class BeginAnswer { begun, no_room, refused, busy, silent };
+enum class StartResult { begun, no_room, refused, busy, silent };
 
 class Planner {
   public:
@@ -48,7 +48,7 @@
 
     void workers(Micros now, std::vector<Worker> all);
     // Call after workers(): ends the starts on workers that drain or stand there no more.
-    void end_lost_starts(Micros now, SlotTable& slot_table, std::vector<FrontMail>& mail) const;
+    void cancel_lost_starts(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) const;
     void list_read(Micros now) { listed_ = now; }
     bool committed(Micros now) const {
         return listed_ > 0 && !workers_.empty() && now >= since_ + options_.settle;
@@ -58,17 +58,17 @@
         return at == workers_.end() ? std::string() : at->second.zone;
     }
     // For one function, where one more has come to wait.
-    void plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<FrontMail>& mail);
-    void plan(Micros now, SlotTable& slot_table, Function& f, std::vector<FrontMail>& mail);
+    void plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail);
+    void plan(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail);
     // For all that are active; then what is due is said. Call each SlotTable::kSample.
-    void plan_all(Micros now, SlotTable& slot_table, std::vector<FrontMail>& mail);
-    void due(Micros now, PlatformOrders& orders);
-    void begin_answered(Micros now, const std::string& nonce, BeginAnswer answer);
-    void stop_answered(const std::string& runner, bool done);
+    void plan_all(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail);
+    void due(Micros now, PlatformRequests& orders);
+    void on_start_result(Micros now, const std::string& nonce, StartResult answer);
+    void on_stop_result(const std::string& runner, bool done);
 
   private:
     struct Pending {
-        Begin begin;
+        StartRunner begin;
         std::int64_t memory = 0;
         Micros next = 0;  // when it is said (again)
         bool out = false;
@@ -98,8 +98,8 @@
     std::map<std::string, std::int64_t>
         used_;  // by worker, of runners that the slot table knows; counted anew each plan_all
     std::map<std::string, Micros> full_until_;
-    std::map<std::string, Pending> begins_;                                // by nonce
-    std::unordered_map<std::string, std::vector<std::string>> begins_of_;  // nonces, by function
+    std::map<std::string, Pending> starts_;                                // by nonce
+    std::unordered_map<std::string, std::vector<std::string>> starts_of_;  // nonces, by function
     std::map<std::string, Leaving> leaving_;                               // by runner
     std::unordered_map<std::string, Micros> surplus_since_;
     std::uint64_t count_ = 0;
--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/admin.cpp
@@ -24,7 +24,7 @@
 
 void ExplainResource::asked(HttpService::Exchange exchange, const HttpMessage& request) {
     if (request.method != "GET" || request.target.substr(0, request.target.find('?')) != "/explain")
-        return service_->answer(exchange, Kind::no_route, "GET /explain?what=WORD");
+        return service_->answer(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
     const auto at = request.target.find("what=");
     HttpMessage answer;
     answer.status = 200;
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -73,7 +73,7 @@
         std::unique_ptr<MessageConnection> line;
         Micros dialed = 0, heard = 0;
     };
-    struct Guest {  // who dialed us
+    struct InboundPeer {  // who dialed us
         std::unique_ptr<MessageConnection> line;
         std::string member;
         Session session = 0;
@@ -103,9 +103,9 @@
                 carry_out(out);
                 return {};
             },
-            [&](Kind kind, const Detail& detail) {
+            [&](ErrorCode kind, const ErrorDetail& detail) {
                 Event("disk_failed", Level::error)
-                    .with("kind", answer_to(kind).name)
+                    .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
             },
             [] {});
@@ -119,9 +119,9 @@
                     BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
                     return true;
                 },
-                [&](Kind kind, const Detail& detail) {
+                [&](ErrorCode kind, const ErrorDetail& detail) {
                     Event("write_failed", Level::error)
-                        .with("kind", answer_to(kind).name)
+                        .with("kind", error_response(kind).name)
                         .with("detail", detail.text);
                     return false;
                 },
@@ -148,10 +148,10 @@
             case ProposalOutcome::committed:
                 return acknowledge(exchange);
             case ProposalOutcome::conflict:
-                return control_.answer(exchange, Kind::version_conflict,
+                return control_.answer(exchange, ErrorCode::version_conflict,
                                        "another body was confirmed under it");
             case ProposalOutcome::unknown:
-                return control_.answer(exchange, Kind::no_majority, {}, kRetryMs);
+                return control_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
         }
     }
 
@@ -160,7 +160,7 @@
         consensus_.reset();
         reopen_at_ = net::Loop::now() + kReopen;
         for (const auto& [exchange, ticket] : std::exchange(puts_, {}))
-            control_.answer(exchange, Kind::disk_failed, {}, 300);
+            control_.answer(exchange, ErrorCode::disk_failed, {}, 300);
     }
 
     // Whether this machine leads, and what is committed, may have changed.
@@ -176,9 +176,9 @@
         if (leads && !coordinator_) {
             coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->term(),
                                                          [this](Session s, const Message& m) { tell(s, m); });
-            for (auto& [key, guest] : guests_)
-                if (guest->front && guest->line->open())
-                    coordinator_->came(guest->session, guest->registration);
+            for (auto& [key, inbound_peer] : inbound_peers_)
+                if (inbound_peer->front && inbound_peer->line->open())
+                    coordinator_->came(inbound_peer->session, inbound_peer->registration);
         }
         if (!coordinator_ || !leads) return;
         if (const LogEntry* const entry = consensus_->committed()) {
@@ -212,9 +212,9 @@
         closed_coordinators_.push_back(std::move(coordinator_));
         held_in_.clear();
         held_out_.clear();
-        for (auto& [key, guest] : guests_)
-            if (guest->front) {
-                guest->line->close();
+        for (auto& [key, inbound_peer] : inbound_peers_)
+            if (inbound_peer->front) {
+                inbound_peer->line->close();
                 gone_.push_back(key);
             }
     }
@@ -246,23 +246,23 @@
     }
 
     void accepted(evutil_socket_t socket) {
-        auto guest = std::make_unique<Guest>();
-        Guest* const key = guest.get();
+        auto inbound_peer = std::make_unique<InboundPeer>();
+        InboundPeer* const key = inbound_peer.get();
         MessageConnection::Events events;
         events.message_received = [this, key](const ReceivedMessage& message_received) {
             got(*key, message_received);
         };
         events.ended = [this, key] { gone_.push_back(key); };
-        guest->line = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
-        guest->session = ++last_session_;
-        by_session_[guest->session] = key;
-        guests_[key] = std::move(guest);
+        inbound_peer->line = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
+        inbound_peer->session = ++last_session_;
+        by_session_[inbound_peer->session] = key;
+        inbound_peers_[key] = std::move(inbound_peer);
     }
 
-    void got(Guest& guest, const ReceivedMessage& message_received) {
+    void got(InboundPeer& inbound_peer, const ReceivedMessage& message_received) {
         const Micros now = net::Loop::now();
         if (!message_received.from.empty()) {
-            guest.member = message_received.from;
+            inbound_peer.member = message_received.from;
             peers_[message_received.from].heard = now;
             if (!consensus_) return;
             Output out;
@@ -272,17 +272,17 @@
             return;
         }
         if (const auto* registration = std::get_if<Register>(&message_received.message)) {
-            guest.front = true;
-            guest.registration = *registration;
+            inbound_peer.front = true;
+            inbound_peer.registration = *registration;
             const bool fresh = !coordinator_;
             look();
             if (coordinator_ && fresh) return;  // it was told of all guests as it opened
-            if (coordinator_) return take(guest.session, message_received.message);
+            if (coordinator_) return take(inbound_peer.session, message_received.message);
             const std::string leader = consensus_ ? consensus_->leader() : std::string();
-            guest.line->send(Redirect{leader == settings_.control_plane ? std::string() : leader});
+            inbound_peer.line->send(Redirect{leader == settings_.control_plane ? std::string() : leader});
             return;
         }
-        if (coordinator_ && guest.front) take(guest.session, message_received.message);
+        if (coordinator_ && inbound_peer.front) take(inbound_peer.session, message_received.message);
     }
 
     void tell(Session session, const Message& message) {
@@ -298,23 +298,23 @@
 
     void asked(HttpService::Exchange exchange, HttpMessage&& m) {
         const std::string path = m.target.substr(0, m.target.find('?'));
-        if (path != "/v1/configuration") return control_.answer(exchange, Kind::no_route, path);
+        if (path != "/v1/configuration") return control_.answer(exchange, ErrorCode::no_route, path);
         if (m.method != "PUT" && m.method != "GET")
-            return control_.answer(exchange, Kind::request_malformed, "PUT or GET");
+            return control_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
         const Micros now = net::Loop::now();
         if (leaving_ || !consensus_ || !consensus_->leads(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
             if (leader.empty() || leader == settings_.control_plane)
-                return control_.answer(exchange, Kind::no_majority, {}, 200);
+                return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
             HttpMessage answer;
-            answer.status = answer_to(Kind::not_leading).status;
+            answer.status = error_response(ErrorCode::not_leading).status;
             answer.fields.emplace_back("Location", "http://" + leader + m.target);
             return control_.answer(exchange, answer);
         }
         if (m.method == "GET") {
             const LogEntry* const entry = consensus_->committed();
             if (!entry || entry->version == 0)
-                return control_.answer(exchange, Kind::no_majority, "no configuration yet", 200);
+                return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
             HttpMessage answer;
             answer.status = 200;
             answer.fields.emplace_back("Content-Type", "application/json");
@@ -334,13 +334,13 @@
                 set_timer();
                 return {};
             },
-            [&](Kind kind, const Detail& detail) {
+            [&](ErrorCode kind, const ErrorDetail& detail) {
                 Event("configuration_refused", Level::warning)
-                    .with("kind", answer_to(kind).name)
+                    .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
                 control_.answer(exchange, kind, detail.text);
             },
-            [&] { control_.answer(exchange, Kind::configuration_cut); });
+            [&] { control_.answer(exchange, ErrorCode::configuration_cut); });
     }
 
     void acknowledge(HttpService::Exchange exchange) {
@@ -402,17 +402,17 @@
         explain_.sweep(now);
         old_lines_.clear();
         closed_coordinators_.clear();
-        for (auto& [key, guest] : guests_)
-            if (now > guest->line->heard() + kDeaf) {
-                guest->line->close();
+        for (auto& [key, inbound_peer] : inbound_peers_)
+            if (now > inbound_peer->line->heard() + kDeaf) {
+                inbound_peer->line->close();
                 gone_.push_back(key);
             }
-        for (Guest* const key : std::exchange(gone_, {})) {
-            const auto at = guests_.find(key);
-            if (at == guests_.end()) continue;
+        for (InboundPeer* const key : std::exchange(gone_, {})) {
+            const auto at = inbound_peers_.find(key);
+            if (at == inbound_peers_.end()) continue;
             if (coordinator_ && key->front) coordinator_->left(key->session);
             by_session_.erase(key->session);
-            guests_.erase(at);
+            inbound_peers_.erase(at);
         }
         // Against a path that is cut: what was written there is not waited for.
         for (auto& [to, peer] : peers_)
@@ -480,9 +480,9 @@
     std::string read_body_;
     std::map<std::string, Peer> peers_;
     std::vector<std::unique_ptr<MessageConnection>> old_lines_;
-    std::map<Guest*, std::unique_ptr<Guest>> guests_;
-    std::map<Session, Guest*> by_session_;
-    std::vector<Guest*> gone_;
+    std::map<InboundPeer*, std::unique_ptr<InboundPeer>> inbound_peers_;
+    std::map<Session, InboundPeer*> by_session_;
+    std::vector<InboundPeer*> gone_;
     std::map<HttpService::Exchange, Number> puts_;
     Number last_ticket_ = 0;
     Session last_session_ = 0;
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -83,14 +83,14 @@
     bodies_[version_] = entry.body;
     while (bodies_.size() > kBodies) bodies_.erase(bodies_.begin());
     deltas_.clear();
-    for (auto& [session, front] : fronts_) push(session, front);
+    for (auto& [session, front] : proxies_) push(session, front);
     plan(net::Loop::now());
 }
 
 // What the front lacks, as the difference to what it holds. One version is under way to a front: the next,
 // which may skip some, follows its confirmation, so that however slow its link is no more than one is queued
 // there.
-void Coordinator::push(Session session, Front& front) {
+void Coordinator::push(Session session, ProxySession& front) {
     if (version_ == 0 || front.version >= version_ || front.sent != 0) return;
     const auto base = bodies_.find(front.version);
     const Number from = base == bodies_.end() ? 0 : front.version;
@@ -103,43 +103,43 @@
 
 void Coordinator::announce_registered() {
     std::vector<std::pair<std::string, Session>> order;
-    for (const auto& [session, front] : fronts_) order.emplace_back(front.name, session);
+    for (const auto& [session, front] : proxies_) order.emplace_back(front.name, session);
     std::sort(order.begin(), order.end());
     for (std::uint32_t rank = 0; rank < order.size(); ++rank)
         say_(order[rank].second, Registered{term_, rank, static_cast<std::uint32_t>(order.size()), members_});
 }
 
 void Coordinator::came(Session session, const Register& registration) {
-    Front& front = fronts_[session];
+    ProxySession& front = proxies_[session];
     front.name = registration.name;
     front.version = registration.version;
-    say_(session, Registered{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, fronts_.size())),
+    say_(session, Registered{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
                              members_});
     push(session, front);
-    std::vector<FrontMail> mail;
-    slot_table_.front_came(net::Loop::now(), session, registration, mail);
+    std::vector<ProxyMessage> mail;
+    slot_table_.on_proxy_registered(net::Loop::now(), session, registration, mail);
     post(mail);
     if (announce_at_ == 0) announce_at_ = net::Loop::now() + 300'000;
 }
 
 void Coordinator::left(Session session) {
-    if (fronts_.erase(session) == 0) return;
-    std::vector<FrontMail> mail;
-    slot_table_.front_left(net::Loop::now(), session, mail);
+    if (proxies_.erase(session) == 0) return;
+    std::vector<ProxyMessage> mail;
+    slot_table_.on_proxy_disconnected(net::Loop::now(), session, mail);
     post(mail);
     if (announce_at_ == 0) announce_at_ = net::Loop::now() + 2'000'000;
 }
 
-void Coordinator::post(std::vector<FrontMail>& mail) {
-    for (const FrontMail& one : mail) say_(one.to, one.message);
+void Coordinator::post(std::vector<ProxyMessage>& mail) {
+    for (const ProxyMessage& one : mail) say_(one.to, one.message);
     mail.clear();
 }
 
 void Coordinator::said(Session session, const Message& message) {
-    const auto at = fronts_.find(session);
-    if (at == fronts_.end()) return;
+    const auto at = proxies_.find(session);
+    if (at == proxies_.end()) return;
     const Micros now = net::Loop::now();
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     if (const auto* ask = std::get_if<AcquireRequest>(&message)) {
         Function* const f = slot_table_.ask(now, session, *ask, mail);
         post(mail);
@@ -177,27 +177,27 @@
     calls_.erase(at);
     const Micros now = net::Loop::now();
     const bool answered = how == CallEnd::answered;
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     switch (call.what) {
         case Call::What::list:
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(Kind::platform_silent, "list");
+                    if (!answered) return failure(ErrorCode::platform_silent, "list");
                     BOOST_LEAF_AUTO(page, runners_.read(answer));
                     bool whole = false;
                     std::vector<std::string> gone;
                     listing_.page(now, page, whole, gone);
-                    for (const Listed& one : page.runners)
+                    for (const ListedRunner& one : page.runners)
                         slot_table_.listed(now, one.what, one.draining, mail);
                     for (const std::string& runner : gone)
                         slot_table_.gone(now, runner, "not listed any more", mail);
                     if (whole) planner_.list_read(now);
                     return {};
                 },
-                [&](Kind kind, const Detail& detail) {
+                [&](ErrorCode kind, const ErrorDetail& detail) {
                     listing_.failed(now);
                     Event("list_failed", Level::warning)
-                        .with("kind", answer_to(kind).name)
+                        .with("kind", error_response(kind).name)
                         .with("detail", detail.text);
                 },
                 [&] { listing_.failed(now); });
@@ -206,30 +206,30 @@
             workers_out_ = false;
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(Kind::platform_silent, "workers");
+                    if (!answered) return failure(ErrorCode::platform_silent, "workers");
                     BOOST_LEAF_AUTO(all, workers_.read(answer));
                     planner_.workers(now, std::move(all));
-                    planner_.end_lost_starts(now, slot_table_, mail);
+                    planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
                 },
-                [&](Kind kind, const Detail& detail) {
+                [&](ErrorCode kind, const ErrorDetail& detail) {
                     next_workers_ = now + 300'000;
                     Event("workers_failed", Level::warning)
-                        .with("kind", answer_to(kind).name)
+                        .with("kind", error_response(kind).name)
                         .with("detail", detail.text);
                 },
                 [&] { next_workers_ = now + 300'000; });
             break;
         case Call::What::begin: {
-            Holding begun;
-            const BeginAnswer said = answered ? begin_.read(answer, begun) : BeginAnswer::silent;
-            if (said == BeginAnswer::begun) {
+            RunnerInfo begun;
+            const StartResult said = answered ? begin_.read(answer, begun) : StartResult::silent;
+            if (said == StartResult::begun) {
                 begun.service = call.begin.service;
                 begun.worker = call.begin.worker;
                 begun.zone = planner_.zone_of(call.begin.worker);
                 slot_table_.began(now, begun, mail);
             }
-            Event("start", said == BeginAnswer::begun ? Level::info : Level::warning)
+            Event("start", said == StartResult::begun ? Level::info : Level::warning)
                 .with("service", call.begin.service)
                 .with("worker", call.begin.worker)
                 .with("why", call.begin.why)
@@ -237,7 +237,7 @@
                 .with("runner", begun.runner);
             recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner,
                                  answered ? std::to_string(answer.status) : "none", call.begin.why, true});
-            planner_.begin_answered(now, call.begin.nonce, said);
+            planner_.on_start_result(now, call.begin.nonce, said);
             break;
         }
         case Call::What::stop: {
@@ -250,7 +250,7 @@
                                  answered ? std::to_string(answer.status) : "none",
                                  call.stop.why,
                                  false});
-            planner_.stop_answered(call.stop.runner, done);
+            planner_.on_stop_result(call.stop.runner, done);
             if (done) slot_table_.gone(now, call.stop.runner, "stopped", mail);
             break;
         }
@@ -261,22 +261,22 @@
 
 // For one function, or with the sample for all.
 void Coordinator::plan(Micros now, Function* one) {
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     if (one)
         planner_.plan_waiting(now, slot_table_, *one, mail);
     else
         planner_.plan_all(now, slot_table_, mail);
     post(mail);
-    PlatformOrders orders;
+    PlatformRequests orders;
     planner_.due(now, orders);
     const Fence fence{settings_.node_name, term_};
-    for (const Begin& begin : orders.begins) {
+    for (const StartRunner& begin : orders.starts) {
         Call c;
         c.what = Call::What::begin;
         c.begin = begin;
         call(std::move(c), begin_.post(fence, begin), kCallLimit);
     }
-    for (const Stop& stop : orders.stops) {
+    for (const StopRunner& stop : orders.stops) {
         Call c;
         c.what = Call::What::stop;
         c.stop = stop;
@@ -322,7 +322,7 @@
                      told(slot_table_.name_of(w.front) ? *slot_table_.name_of(w.front) : std::string())},
                     {"priority", told(w.ask.priority)},
                     {"waited_ms", told_ms(now - w.since)},
-                    {"aim_left_ms", told_ms(w.aim_at - now)},
+                    {"aim_left_ms", told_ms(w.target_at - now)},
                     {"deadline_left_ms", told_ms(w.deadline_at - now)}});
     }
     if (asked("overtakings")) {
@@ -330,20 +330,20 @@
         const auto name = [&](Session s) {
             return told(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
         };
-        for (const Overtaking& o : slot_table_.overtakings().kept())
+        for (const PriorityInversion& o : slot_table_.priority_inversions().kept())
             all.emplace_back(json::Object{{"ago_ms", told_ms(now - o.at)},
                                           {"function", told(o.service)},
                                           {"went", name(o.front)},
                                           {"priority", told(o.priority)},
-                                          {"aim_left_ms", told_ms(o.aim_left)},
+                                          {"aim_left_ms", told_ms(o.target_left)},
                                           {"before", name(o.before_front)},
                                           {"its_priority", told(o.before_priority)},
-                                          {"its_aim_left_ms", told_ms(o.before_aim_left)},
+                                          {"its_aim_left_ms", told_ms(o.before_target_left)},
                                           {"why", told(std::string(o.why))}});
         into["overtakings"] = json::Value(std::move(all));
     }
     if (asked("fronts"))
-        for (const auto& [session, front] : fronts_)
+        for (const auto& [session, front] : proxies_)
             fronts.emplace_back(json::Object{{"front", told(front.name)},
                                              {"version_held", told(static_cast<double>(front.version))},
                                              {"version_sent", told(static_cast<double>(front.sent))}});
@@ -378,10 +378,12 @@
         call(std::move(c), workers_.get(), kCallLimit);
     }
     // What was decided since the last look, as far as the record still holds it.
-    const auto& overtakings = slot_table_.overtakings();
-    const std::size_t fresh = std::min(overtakings.all() - overtakings_told_, overtakings.kept().size());
-    for (std::size_t i = overtakings.kept().size() - fresh; i < overtakings.kept().size(); ++i) {
-        const Overtaking& o = overtakings.kept()[i];
+    const auto& priority_inversions = slot_table_.priority_inversions();
+    const std::size_t fresh =
+        std::min(priority_inversions.all() - priority_inversions_logged_, priority_inversions.kept().size());
+    for (std::size_t i = priority_inversions.kept().size() - fresh; i < priority_inversions.kept().size();
+         ++i) {
+        const PriorityInversion& o = priority_inversions.kept()[i];
         const auto front = [&](Session s) {
             return slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string();
         };
@@ -389,19 +391,19 @@
             .with("function", o.service)
             .with("front", front(o.front))
             .with("ask", o.ask)
-            .with("aim_left_ms", o.aim_left / 1000)
+            .with("aim_left_ms", o.target_left / 1000)
             .with("priority", o.priority)
             .with("before_front", front(o.before_front))
             .with("before_ask", o.before_ask)
-            .with("before_aim_left_ms", o.before_aim_left / 1000)
+            .with("before_aim_left_ms", o.before_target_left / 1000)
             .with("why", o.why);
     }
-    overtakings_told_ = overtakings.all();
+    priority_inversions_logged_ = priority_inversions.all();
     if (announce_at_ > 0 && now >= announce_at_) {
         announce_at_ = 0;
         announce_registered();
     }
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     slot_table_.tick(now, mail);
     post(mail);
     plan(now);
--- a/src/cluster/programs/coordinator.hpp
+++ b/src/cluster/programs/coordinator.hpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "json/json.hpp"
-#include "cluster/base/record.hpp"
+#include "cluster/base/bounded_history.hpp"
 #include "cluster/base/settings.hpp"
 #include "cluster/placement/planner.hpp"
 #include "cluster/runners/listing.hpp"
@@ -40,18 +40,18 @@
   private:
     struct Call {
         enum class What { list, workers, begin, stop } what = What::list;
-        Begin begin;
-        Stop stop;
+        StartRunner begin;
+        StopRunner stop;
         Micros until = 0;
     };
-    struct Front {
+    struct ProxySession {
         std::string name;
         Number version = 0, sent = 0;
     };
 
-    void push(Session session, Front& front);
+    void push(Session session, ProxySession& front);
     void announce_registered();
-    void post(std::vector<FrontMail>& mail);
+    void post(std::vector<ProxyMessage>& mail);
     void plan(Micros now, Function* one = nullptr);
     void call(Call call, const HttpMessage& request, Micros limit);
     void ended(HttpCaller::Call id, CallEnd how, const HttpMessage& answer);
@@ -61,29 +61,29 @@
     std::function<void(Session, const Message&)> say_;
     SlotTable slot_table_;
     Planner planner_;
-    Listing listing_;
-    RunnersResource runners_;
-    WorkersResource workers_;
-    BeginResource begin_;
-    StopResource stop_;
+    RunnerListing listing_;
+    RunnerListResource runners_;
+    WorkerListResource workers_;
+    StartRunnerResource begin_;
+    StopRunnerResource stop_;
     HttpCaller platform_;
     std::map<HttpCaller::Call, Call> calls_;
     HttpCaller::Call last_call_ = 0;
-    std::map<Session, Front> fronts_;
+    std::map<Session, ProxySession> proxies_;
     std::map<Number, std::string> bodies_;  // lately committed ones, by version
     std::vector<std::string> members_;
     Number version_ = 0;
     std::map<Number, std::string> deltas_;  // to version_, by base
     Micros next_tick_ = 0, next_workers_ = 0, announce_at_ = 0;
     bool workers_out_ = false;
-    std::size_t overtakings_told_ = 0;
+    std::size_t priority_inversions_logged_ = 0;
     struct PlatformAction {
         Micros at = 0;
         std::string service, worker, runner, answer;
         const char* why = "";
         bool start = true;
     };
-    Record<PlatformAction> recent_actions_{512};
+    BoundedHistory<PlatformAction> recent_actions_{512};
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -80,9 +80,9 @@
     // ---- clients ----
 
     void ready(HttpService::Exchange exchange) {
-        if (shutdown_.begun()) return readiness_.answer(exchange, Kind::leaving, {}, 1000);
+        if (shutdown_.begun()) return readiness_.answer(exchange, ErrorCode::leaving, {}, 1000);
         if (!handler_.configuration())
-            return readiness_.answer(exchange, Kind::no_majority, "no configuration yet", 500);
+            return readiness_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 500);
         HttpMessage answer;
         answer.status = 200;
         readiness_.answer(exchange, answer);
@@ -105,7 +105,7 @@
     void left(HttpService::Exchange exchange) {
         requests_.erase(exchange);  // its client does not wait any more, so it is not sent again
         Actions actions;
-        handler_.client_left(net::Loop::now(), exchange, actions);
+        handler_.on_client_disconnected(net::Loop::now(), exchange, actions);
         carry_out(actions);
     }
 
@@ -131,7 +131,7 @@
     }
 
     void ended(HttpCaller::Call id, CallEnd how, HttpMessage&& answer, bool fresh) {
-        const RunEnd end = judge(how, answer, fresh);
+        const AttemptResult end = judge(how, answer, fresh);
         answers_[id] = std::move(answer);
         Actions actions;
         handler_.ended(net::Loop::now(), id, end, actions);
@@ -169,10 +169,10 @@
 
     void carry_out(Actions& actions) {
         for (const Message& mail : actions.mails) say(mail);
-        for (const Loss& l : handler_.new_losses())
+        for (const ValueLoss& l : handler_.new_losses())
             Event("lost")
-                .with("how", Loss::name(l.how))
-                .with("cause", Loss::name(l.cause))
+                .with("how", ValueLoss::name(l.how))
+                .with("cause", ValueLoss::name(l.cause))
                 .with("service", l.service)
                 .with("took_ms", l.took / 1000);
         for (const Actions::Reply& r : actions.replies) {
@@ -203,7 +203,7 @@
         old_.push_back(std::move(line_));
         registered_ = false;
         Actions actions;
-        handler_.coordinator_lost(net::Loop::now(), actions);
+        handler_.on_coordinator_disconnected(net::Loop::now(), actions);
         carry_out(actions);
     }
 
@@ -253,7 +253,7 @@
             members_ = m->members;
             if (!registered_) {
                 registered_ = true;
-                handler_.coordinator_connected(now, actions);
+                handler_.on_coordinator_registered(now, actions);
             }
         }
         carry_out(actions);
@@ -264,7 +264,7 @@
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
                 if (m.delta.base != 0 && m.delta.base != handler_.version())
-                    return failure(Kind::bytes_malformed, "a difference to a version that is not held");
+                    return failure(ErrorCode::bytes_malformed, "a difference to a version that is not held");
                 BOOST_LEAF_AUTO(body, apply_delta(m.delta.base == 0 ? std::string() : body_, m.delta.bytes));
                 BOOST_LEAF_AUTO(configuration, Configuration::read(body));
                 body_ = std::move(body);
@@ -273,9 +273,9 @@
                 Event("configuration").with("version", handler_.version());
                 return {};
             },
-            [&](Kind kind, const Detail& detail) {
+            [&](ErrorCode kind, const ErrorDetail& detail) {
                 Event("configuration_passed_over", Level::warning)
-                    .with("kind", answer_to(kind).name)
+                    .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
             },
             [] {});
@@ -293,7 +293,7 @@
         json::List requests;
         json::List splits;
         if (what.empty() || what == "requests")
-            for (const Decision& d : handler_.decisions().kept())
+            for (const RoutingDecision& d : handler_.decisions().kept())
                 requests.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
                                                    {"request", told(static_cast<double>(d.request))},
                                                    {"service", told(d.service)},
@@ -311,12 +311,13 @@
                     {"mode", told(std::string(s.unrestricted ? "unrestricted" : "coordinated"))}});
         if (what.empty() || what == "losses") {
             json::List losses;
-            for (std::size_t cause = 0; cause < Loss::kCauses; ++cause)
-                for (std::size_t how = 0; how < Loss::kHows; ++how)
+            for (std::size_t cause = 0; cause < ValueLoss::kCauses; ++cause)
+                for (std::size_t how = 0; how < ValueLoss::kHows; ++how)
                     if (const auto count = handler_.loss_counts()[cause][how]; count > 0)
                         losses.emplace_back(json::Object{
-                            {"cause", told(std::string(Loss::name(static_cast<Loss::Cause>(cause))))},
-                            {"how", told(std::string(Loss::name(static_cast<Loss::How>(how))))},
+                            {"cause",
+                             told(std::string(ValueLoss::name(static_cast<ValueLoss::Cause>(cause))))},
+                            {"how", told(std::string(ValueLoss::name(static_cast<ValueLoss::How>(how))))},
                             {"count", told(static_cast<double>(count))}});
             all["losses"] = json::Value(std::move(losses));
         }
--- a/src/cluster/programs/run_end.cpp
+++ b/src/cluster/programs/run_end.cpp
@@ -5,35 +5,36 @@
 
 constexpr char kNotRunField[] = "X-Request-Not-Run";
 
-RunEnd judge_answer(const HttpMessage& answer, bool fresh) {
+AttemptResult judge_answer(const HttpMessage& answer, bool fresh) {
     const bool named = !answer.field(kAttemptIdField).empty();
     const bool says_not = !answer.field(kNotRunField).empty() || answer.status == 421;
     if (says_not) {
         // Without our id on a connection that served others it may be an answer too many to one of those.
-        if (!named && !fresh) return RunEnd::may_have_run;
-        return answer.status == 421 ? RunEnd::misdirected : RunEnd::not_run;
+        if (!named && !fresh) return AttemptResult::may_have_run;
+        return answer.status == 421 ? AttemptResult::misdirected : AttemptResult::not_run;
     }
-    if (!named || !answer.field("Content-Encoding").empty()) return RunEnd::may_have_run;
+    if (!named || !answer.field("Content-Encoding").empty()) return AttemptResult::may_have_run;
     // Of these our client would think that it has not run, and the runner does not say so.
-    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return RunEnd::may_have_run;
-    return answer.status >= 500 ? RunEnd::failed : RunEnd::answered;
+    if (answer.status == 408 || answer.status == 429 || answer.status == 503)
+        return AttemptResult::may_have_run;
+    return answer.status >= 500 ? AttemptResult::failed : AttemptResult::answered;
 }
 
 }  // namespace
 
-RunEnd judge(CallEnd how, const HttpMessage& answer, bool fresh) {
+AttemptResult judge(CallEnd how, const HttpMessage& answer, bool fresh) {
     switch (how) {
         case CallEnd::unreachable:
-            return RunEnd::unreachable;
+            return AttemptResult::unreachable;
         case CallEnd::unsent:
-            return RunEnd::unsent;
+            return AttemptResult::unsent;
         case CallEnd::broken:
         case CallEnd::malformed:
-            return RunEnd::may_have_run;
+            return AttemptResult::may_have_run;
         case CallEnd::answered:
             return judge_answer(answer, fresh);
     }
-    return RunEnd::may_have_run;
+    return AttemptResult::may_have_run;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "cluster/base/error.hpp"
-#include "cluster/base/record.hpp"
+#include "cluster/base/bounded_history.hpp"
 #include "cluster/configuration/configuration.hpp"
 #include "cluster/proxy/work_time.hpp"
 #include "cluster/split/split.hpp"
@@ -38,7 +38,7 @@
     };
     struct Reply {  // our own
         RequestId request = 0;
-        Kind kind = Kind::no_slot;
+        ErrorCode kind = ErrorCode::no_slot;
         std::uint32_t retry_ms = 0;
     };
     std::vector<Message> mails;  // to the coordinator
@@ -49,7 +49,7 @@
     std::vector<std::string> watches, forgets;  // addresses: connect until it works; close what is open
 };
 
-enum class RunEnd {
+enum class AttemptResult {
     answered,     // whole and ours
     failed,       // likewise, a 5xx of the runner's own: it has run
     not_run,      // the runner says so
@@ -60,7 +60,7 @@
 };
 
 // Why a request went where it went, or what it was answered with.
-struct Decision {
+struct RoutingDecision {
     Micros at = 0, waited = 0;  // waited: since it came
     RequestId request = 0;
     std::string service, runner;
@@ -69,7 +69,7 @@
 
 // Why an answer earned less than its whole worth, and how much less: late, refused (it has not run) or
 // failed.
-struct Loss {
+struct ValueLoss {
     enum class Cause : std::uint8_t { start, slot, memory, coordinator, runner, work, budget, route };
     enum class How : std::uint8_t { late, refused, failed };
     static constexpr std::size_t kCauses = 8, kHows = 3;
@@ -83,7 +83,7 @@
 
 class RequestHandler {
   public:
-    using LossCounts = std::array<std::array<std::uint64_t, Loss::kHows>, Loss::kCauses>;
+    using ValueLossCounts = std::array<std::array<std::uint64_t, ValueLoss::kHows>, ValueLoss::kCauses>;
     static constexpr std::size_t kDecisions = 256;
     struct Options {
         std::string name, zone;
@@ -102,15 +102,15 @@
 
     void arrived(Micros now, RequestId id, std::string_view host, std::string_view path,
                  std::uint32_t deadline_ms, Actions& out);
-    void client_left(Micros now, RequestId id, Actions& out);
-    void ended(Micros now, RequestId id, RunEnd how, Actions& out);
+    void on_client_disconnected(Micros now, RequestId id, Actions& out);
+    void ended(Micros now, RequestId id, AttemptResult how, Actions& out);
 
     // The coordinator: a session with it begins and ends; what it says.
     // What the coordinator is told as a session begins; what changes until coordinator_connected() is told
     // after it.
     Register registration();
-    void coordinator_connected(Micros now, Actions& out);
-    void coordinator_lost(Micros now, Actions& out);
+    void on_coordinator_registered(Micros now, Actions& out);
+    void on_coordinator_disconnected(Micros now, Actions& out);
     bool coordinator() const { return coordinator_; }
     void said(Micros now, const Message& message, Actions& out);
 
@@ -126,11 +126,11 @@
     /// Answers all that is open: a refusal for what never ran, a failure for what may have run. What arrives
     /// later is refused.
     void answer_all(Micros now, Actions& out);
-    const Record<Decision>& decisions() const { return decisions_; }
-    const Record<Loss>& losses() const { return losses_; }
-    const LossCounts& loss_counts() const { return loss_counts_; }
+    const BoundedHistory<RoutingDecision>& decisions() const { return decisions_; }
+    const BoundedHistory<ValueLoss>& losses() const { return losses_; }
+    const ValueLossCounts& loss_counts() const { return loss_counts_; }
     // The newest ones, once each: for the log.
-    std::vector<Loss> new_losses() { return std::exchange(new_losses_, {}); }
+    std::vector<ValueLoss> new_losses() { return std::exchange(new_losses_, {}); }
     struct Share {
         std::string service, runner;
         double fraction = 0, latency = 0;
@@ -148,21 +148,23 @@
         std::shared_ptr<const Configuration> configuration;  // in which its route stands
         std::string service, runner;
         State state = State::asking;
-        Micros came = 0, aim_at = 0, deadline_at = 0, sent_at = 0, asked_at = 0;
+        Micros came = 0, target_at = 0, deadline_at = 0, sent_at = 0, asked_at = 0;
         std::uint32_t ask = 0, sends = 0;
         bool by_slot = false;  // the runner's slot was granted, and is to be released
         bool client = true;    // it still waits
         bool again = false, unrestricted = false;
-        bool may_have_run = false;               // at a runner that it was sent to before
-        std::uint32_t drawn_number = 0;          // the runner that the coordinator was told
-        Loss::Cause slowed = Loss::Cause::work;  // by what it was held up last
+        bool may_have_run = false;                         // at a runner that it was sent to before
+        std::uint32_t drawn_number = 0;                    // the runner that the coordinator was told
+        ValueLoss::Cause slowed = ValueLoss::Cause::work;  // by what it was held up last
     };
     // Routes that agree in these are taken to ask for work that takes alike long. A route's shape would not
     // do: its number means something else in the next configuration.
     using WorkKind = std::tuple<std::uint8_t, Micros, bool>;  // priority, aim, idempotent
-    static WorkKind kind_of(const Route& route) { return {route.priority, route.aim, route.idempotent}; }
+    static WorkKind kind_of(const Route& route) {
+        return {route.priority, route.latency_target, route.idempotent};
+    }
     struct Runner {
-        Holding what;
+        RunnerInfo what;
         std::uint32_t number = 0, out = 0;
         std::uint32_t registered = 0;  // of those out, as the coordinator was told with the registration
         RunnerState state = RunnerState::starting;
@@ -178,21 +180,21 @@
         int turns = 0;    // without a coordinator: slots taken since a late one had its turn
     };
 
-    void finish(Micros now, RequestId id, Request& r, RunEnd how, Actions& out);
+    void finish(Micros now, RequestId id, Request& r, AttemptResult how, Actions& out);
     void seek(Micros now, RequestId id, Request& r, Actions& out);
     bool send_alone(Micros now, RequestId id, Request& r, Actions& out);
     void serve_alone(Micros now, const std::string& service, Actions& out);
     void send(Micros now, RequestId id, Request& r, Runner& runner, Actions& out);
-    void release(Micros now, Request& r, Ended how, Actions& out);
-    void set_mode(const Mode& m, Actions& out);
+    void release(Micros now, Request& r, ReleaseReason how, Actions& out);
+    void set_mode(const FunctionMode& m, Actions& out);
     void report(Micros now, Actions& out);
-    void give_up(Micros now, RequestId id, Request& r, Kind kind, std::uint32_t retry_ms, Actions& out);
+    void give_up(Micros now, RequestId id, Request& r, ErrorCode kind, std::uint32_t retry_ms, Actions& out);
     void close(RequestId id);
-    void lost(Micros now, const Request& r, Loss::How how);
-    static void held_up(Request& r, WaitedFor by);
+    void lost(Micros now, const Request& r, ValueLoss::How how);
+    static void held_up(Request& r, WaitReason by);
     void note(Micros now, RequestId id, const Request& r, const std::string& runner, const char* why);
-    void told(const RunnerTold& m, Actions& out);
-    void told_gone(const RunnerTold& m, Actions& out);
+    void told(const RunnerUpdate& m, Actions& out);
+    void told_gone(const RunnerUpdate& m, Actions& out);
     void correct_registration(Runner& runner, Actions& out);
     void drop_runner(const std::string& runner, Actions& out);
     std::uint32_t part(const Runner& runner) const;
@@ -200,24 +202,24 @@
     bool fits_before_end(Micros now, const Request& r) const;
     void refuse_what_can_not_end(Micros now, Actions& out);
     void withdraw_ask(const Request& r, Actions& out);
-    void break_off(Micros now, RequestId id, Request& r, Kind kind, Actions& out);
+    void break_off(Micros now, RequestId id, Request& r, ErrorCode kind, Actions& out);
 
     Options options_;
     std::shared_ptr<const Configuration> configuration_;
     std::unordered_map<RequestId, Request> requests_;
     std::multimap<Micros, RequestId> deadlines_;
     std::unordered_map<std::uint32_t, RequestId> asks_;
-    std::unordered_map<std::string, Coordinator> offices_;
+    std::unordered_map<std::string, Coordinator> functions_;
     std::unordered_map<std::string, Runner> runners_;
     std::unordered_map<std::uint32_t, std::string> by_number_;
     std::map<std::string, std::vector<std::string>> watched_;  // address: runners
     bool coordinator_ = false;
-    std::uint32_t rank_ = 0, fronts_ = 1, last_ask_ = 0;
+    std::uint32_t rank_ = 0, proxies_ = 1, last_ask_ = 0;
     Micros reported_ = 0;
-    Record<Decision> decisions_{kDecisions};
-    Record<Loss> losses_{kDecisions};
-    LossCounts loss_counts_{};
-    std::vector<Loss> new_losses_;
+    BoundedHistory<RoutingDecision> decisions_{kDecisions};
+    BoundedHistory<ValueLoss> losses_{kDecisions};
+    ValueLossCounts loss_counts_{};
+    std::vector<ValueLoss> new_losses_;
     std::uint64_t chance_;
     Micros answer_by_ = 0;  // 0: this process does not end
     std::map<WorkKind, WorkTime> work_times_;
--- a/src/cluster/runners/listing.cpp
+++ b/src/cluster/runners/listing.cpp
@@ -4,14 +4,14 @@
 
 namespace gannethold::cluster {
 
-bool Listing::due(Micros now, std::string& token) {
+bool RunnerListing::due(Micros now, std::string& token) {
     if (out_ || now < next_) return false;
     out_ = true;
     token = token_;
     return true;
 }
 
-void Listing::failed(Micros now) {
+void RunnerListing::failed(Micros now) {
     // From the start: a token may have lost its meaning.
     out_ = false;
     token_.clear();
@@ -19,9 +19,10 @@
     next_ = now + std::max<Micros>(200'000, static_cast<Micros>(2e6 / std::max(0.1, options_.rate_per_s)));
 }
 
-void Listing::page(Micros now, const Page& page, bool& whole, std::vector<std::string>& gone) {
+void RunnerListing::page(Micros now, const RunnerListPage& page, bool& whole,
+                         std::vector<std::string>& gone) {
     out_ = false;
-    for (const Listed& one : page.runners) reading_.insert(one.what.runner);
+    for (const ListedRunner& one : page.runners) reading_.insert(one.what.runner);
     token_ = page.next;
     whole = token_.empty();
     const auto apart = static_cast<Micros>(1.5e6 / std::max(0.1, options_.rate_per_s));
--- a/src/cluster/runners/listing.hpp
+++ b/src/cluster/runners/listing.hpp
@@ -11,29 +11,29 @@
 
 namespace gannethold::cluster {
 
-struct Listed {
-    Holding what;
+struct ListedRunner {
+    RunnerInfo what;
     bool draining = false;
 };
-struct Page {
-    std::vector<Listed> runners;
+struct RunnerListPage {
+    std::vector<ListedRunner> runners;
     std::string next;  // empty: the last
 };
 
-class Listing {
+class RunnerListing {
   public:
     struct Options {
         double rate_per_s = 1;   // of pages, for all processes together
         Micros pause = 400'000;  // between two readings of the list
     };
-    Listing(const Options& terms, Micros now) : options_(terms), next_(now) {}
+    RunnerListing(const Options& terms, Micros now) : options_(terms), next_(now) {}
 
     // The token of the page to ask for now ("": the first); false: none yet.
     bool due(Micros now, std::string& token);
     void failed(Micros now);
     // What the page shows; whole: with it the list has been read from end to end, and gone are those who
     // stood in it before and no longer do.
-    void page(Micros now, const Page& page, bool& whole, std::vector<std::string>& gone);
+    void page(Micros now, const RunnerListPage& page, bool& whole, std::vector<std::string>& gone);
     Micros next() const { return out_ ? next_ + 2'000'000 : next_; }
 
   private:
--- a/src/cluster/runners/resources.cpp
+++ b/src/cluster/runners/resources.cpp
@@ -59,24 +59,24 @@
 
 }  // namespace
 
-HttpMessage RunnersResource::get(const std::string& token) const {
+HttpMessage RunnerListResource::get(const std::string& token) const {
     return request("GET", token.empty() ? "/runners" : "/runners?page_token=" + escaped(token));
 }
 
-leaf::result<Page> RunnersResource::read(const HttpMessage& answer) const {
+leaf::result<RunnerListPage> RunnerListResource::read(const HttpMessage& answer) const {
     if (answer.status != 200)
-        return failure(Kind::platform_refused, "list: " + std::to_string(answer.status));
+        return failure(ErrorCode::platform_refused, "list: " + std::to_string(answer.status));
     simdjson::dom::parser parser;
     object top;
     simdjson::dom::array all;
     if (parser.parse(answer.body).get(top) || top["instances"].get(all))
-        return failure(Kind::bytes_malformed, "list of runners");
-    Page page;
+        return failure(ErrorCode::bytes_malformed, "list of runners");
+    RunnerListPage page;
     page.next = text(top, "next_page_token");
     for (const element one : all) {
         object o;
         if (one.get(o)) continue;
-        Listed l;
+        ListedRunner l;
         l.what = {text(o, "runner_id"),
                   text(o, "service"),
                   text(o, "address"),
@@ -91,16 +91,16 @@
     return page;
 }
 
-HttpMessage WorkersResource::get() const { return request("GET", "/v1/workers"); }
+HttpMessage WorkerListResource::get() const { return request("GET", "/v1/workers"); }
 
-leaf::result<std::vector<Worker>> WorkersResource::read(const HttpMessage& answer) const {
+leaf::result<std::vector<Worker>> WorkerListResource::read(const HttpMessage& answer) const {
     if (answer.status != 200)
-        return failure(Kind::platform_refused, "workers: " + std::to_string(answer.status));
+        return failure(ErrorCode::platform_refused, "workers: " + std::to_string(answer.status));
     simdjson::dom::parser parser;
     object top;
     simdjson::dom::array all;
     if (parser.parse(answer.body).get(top) || top["workers"].get(all))
-        return failure(Kind::bytes_malformed, "list of workers");
+        return failure(ErrorCode::bytes_malformed, "list of workers");
     std::vector<Worker> workers;
     for (const element one : all) {
         object o;
@@ -112,29 +112,29 @@
     return workers;
 }
 
-HttpMessage BeginResource::post(const Fence& fence, const Begin& begin) const {
+HttpMessage StartRunnerResource::post(const Fence& fence, const StartRunner& begin) const {
     return duty(fence, "/v1/begin",
                 "{\"service\":" + json_text(begin.service) + ",\"worker_id\":" + json_text(begin.worker) +
                     ",\"request_nonce\":" + json_text(begin.nonce) + "}");
 }
 
-BeginAnswer BeginResource::read(const HttpMessage& answer, Holding& begun) const {
-    if (answer.status == 409) return BeginAnswer::no_room;
-    if (answer.status == 429 || answer.status >= 500) return BeginAnswer::busy;
-    if (answer.status != 200) return BeginAnswer::refused;
+StartResult StartRunnerResource::read(const HttpMessage& answer, RunnerInfo& begun) const {
+    if (answer.status == 409) return StartResult::no_room;
+    if (answer.status == 429 || answer.status >= 500) return StartResult::busy;
+    if (answer.status != 200) return StartResult::refused;
     simdjson::dom::parser parser;
     object top;
-    if (parser.parse(answer.body).get(top)) return BeginAnswer::silent;
+    if (parser.parse(answer.body).get(top)) return StartResult::silent;
     begun.runner = text(top, "runner_id");
     begun.address = text(top, "address");
-    return begun.runner.empty() || begun.address.empty() ? BeginAnswer::silent : BeginAnswer::begun;
+    return begun.runner.empty() || begun.address.empty() ? StartResult::silent : StartResult::begun;
 }
 
-HttpMessage StopResource::post(const Fence& fence, const Stop& stop) const {
+HttpMessage StopRunnerResource::post(const Fence& fence, const StopRunner& stop) const {
     return duty(fence, "/v1/stop", "{\"runner_id\":" + json_text(stop.runner) + "}");
 }
 
-bool StopResource::done(const HttpMessage& answer) const {
+bool StopRunnerResource::done(const HttpMessage& answer) const {
     return answer.status == 200 || answer.status == 404;
 }
 
--- a/src/cluster/runners/resources.hpp
+++ b/src/cluster/runners/resources.hpp
@@ -17,29 +17,29 @@
     Number number = 0;
 };
 
-class RunnersResource {
+class RunnerListResource {
   public:
     HttpMessage get(const std::string& token) const;
     // Errors: platform_refused (a status other than 200), bytes_malformed.
-    leaf::result<Page> read(const HttpMessage& answer) const;
+    leaf::result<RunnerListPage> read(const HttpMessage& answer) const;
 };
 
-class WorkersResource {
+class WorkerListResource {
   public:
     HttpMessage get() const;
     leaf::result<std::vector<Worker>> read(const HttpMessage& answer) const;
 };
 
-class BeginResource {
+class StartRunnerResource {
   public:
-    HttpMessage post(const Fence& fence, const Begin& begin) const;
+    HttpMessage post(const Fence& fence, const StartRunner& begin) const;
     // begun: with runner and address filled in.
-    BeginAnswer read(const HttpMessage& answer, Holding& begun) const;
+    StartResult read(const HttpMessage& answer, RunnerInfo& begun) const;
 };
 
-class StopResource {
+class StopRunnerResource {
   public:
-    HttpMessage post(const Fence& fence, const Stop& stop) const;
+    HttpMessage post(const Fence& fence, const StopRunner& stop) const;
     bool done(const HttpMessage& answer) const;  // 404: there never was such a one, which is as good
 };
 
--- a/src/cluster/slots/demand.cpp
+++ b/src/cluster/slots/demand.cpp
@@ -6,7 +6,7 @@
 
 namespace gannethold::cluster {
 
-void Usual::add(double took) {
+void SmoothedDuration::add(double took) {
     weight_ = std::min(weight_ + 1, 32.0);
     mean_ += (took - mean_) / weight_;
 }
--- a/src/cluster/slots/modes.cpp
+++ b/src/cluster/slots/modes.cpp
@@ -22,8 +22,8 @@
 }  // namespace
 
 void SlotTable::loads(Micros now, Session session, const LoadReport& m) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end() || m.span_ms == 0) return;
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end() || m.span_ms == 0) return;
     for (const Load& l : m.loads) {
         const auto known = functions_.find(l.service);
         if (known == functions_.end()) continue;
@@ -36,7 +36,7 @@
 }
 
 void SlotTable::outs(Micros now, Session session, const OutstandingReport& m) {
-    if (!fronts_.contains(session)) return;
+    if (!proxies_.contains(session)) return;
     for (const auto& [number, count] : m.by_runner) {
         const auto at = runners_.find(number);
         if (at == runners_.end()) continue;
@@ -46,21 +46,21 @@
     }
 }
 
-void SlotTable::set_mode(Function& f, bool unrestricted, std::vector<FrontMail>& out) {
+void SlotTable::set_mode(Function& f, bool unrestricted, std::vector<ProxyMessage>& out) {
     if (f.unrestricted == unrestricted) return;
     f.unrestricted = unrestricted;
     f.parts.clear();
-    for (const Session front : f.interested) out.push_back({front, Mode{f.name, unrestricted}});
+    for (const Session front : f.interested) out.push_back({front, FunctionMode{f.name, unrestricted}});
 }
 
 // By chance alone, how often would a runner be full if nobody asked?
-void SlotTable::settle_mode(Micros now, Function& f, std::vector<FrontMail>& out) {
-    while (!f.turned_away.empty() && f.turned_away.front() < now - 5'000'000) f.turned_away.pop_front();
+void SlotTable::settle_mode(Micros now, Function& f, std::vector<ProxyMessage>& out) {
+    while (!f.rejected.empty() && f.rejected.front() < now - 5'000'000) f.rejected.pop_front();
     if (!f.service || !options_.may_be_unrestricted || f.service->most < kFewSlots)
         return set_mode(f, false, out);
     std::map<std::string, double> ready;
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = runners_.at(number); r.state == RunnerState::ready && !r.draining)
+        if (const RunnerSlots& r = runners_.at(number); r.state == RunnerState::ready && !r.draining)
             ready[r.what.zone] += 1;
     if (ready.empty()) return set_mode(f, false, out);
     // Fronts send near ones first: each zone's part goes to its own runners, what has none to all.
@@ -85,11 +85,11 @@
     // The first one turned away is enough: of the allowed ones some more are on their way before all fronts
     // know.
     const bool known = now >= f.used_since + kKnown && now < f.last_used + kPause;
-    if (f.unrestricted && (turned > 0.3 * allowed || !f.turned_away.empty() || !known)) {
+    if (f.unrestricted && (turned > 0.3 * allowed || !f.rejected.empty() || !known)) {
         f.coordinated_until = now + kKept;
         set_mode(f, false, out);
     } else if (!f.unrestricted && known && now >= f.coordinated_until && f.waiting.empty() &&
-               turned < 0.08 * allowed && f.turned_away.empty()) {
+               turned < 0.08 * allowed && f.rejected.empty()) {
         set_mode(f, true, out);
     }
 }
--- a/src/cluster/slots/proxies.cpp
+++ b/src/cluster/slots/proxies.cpp
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-void SlotTable::front_came(Micros now, Session session, const Register& registration,
-                           std::vector<FrontMail>& out) {
-    Front& front = fronts_[session];
+void SlotTable::on_proxy_registered(Micros now, Session session, const Register& registration,
+                                    std::vector<ProxyMessage>& out) {
+    ProxySession& front = proxies_[session];
     front.name = registration.name;
     front.zone = registration.zone;
-    for (const Holding& held : registration.holdings) {
+    for (const RunnerInfo& held : registration.runners) {
         if (ended_.contains(held.runner)) continue;
         const auto known = by_name_.find(held.runner);
-        Slots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, held);
+        RunnerSlots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, held);
         if (held.up && r.state == RunnerState::starting) {
             r.state = RunnerState::ready;
             starting_.erase(r.number);
@@ -42,7 +42,7 @@
         Function& f = function(l.service);
         if (f.interested.insert(session).second) note_function(session, f);
         if (now < f.coordinated_until) {
-            out.push_back({session, Mode{f.name, false}});
+            out.push_back({session, FunctionMode{f.name, false}});
             continue;
         }
         f.used_since = std::min(f.used_since, now - kKnown);
@@ -52,21 +52,21 @@
         if (!f.unrestricted) {
             f.unrestricted = true;
             for (const Session other : f.interested)
-                if (other != session) out.push_back({other, Mode{f.name, true}});
+                if (other != session) out.push_back({other, FunctionMode{f.name, true}});
         }
     }
     // One that kept on asking for what is free by now.
     std::set<std::string> kept;
-    for (const Holding& held : registration.holdings) kept.insert(held.service);
+    for (const RunnerInfo& held : registration.runners) kept.insert(held.service);
     for (const Load& l : registration.unrestricted) kept.erase(l.service);
     for (const std::string& name : kept)
-        if (function(name).unrestricted) out.push_back({session, Mode{name, true}});
+        if (function(name).unrestricted) out.push_back({session, FunctionMode{name, true}});
     for (const std::uint32_t number : std::set<std::uint32_t>(starting_)) watch(runners_.at(number), out);
 }
 
 void SlotTable::note_function(Session session, Function& f) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end()) return;
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end()) return;
     std::vector<Function*>& all = front->second.functions;
     if (all.size() == all.capacity()) {
         std::sort(all.begin(), all.end());
@@ -77,8 +77,8 @@
 }
 
 void SlotTable::note_runner(Session session, std::uint32_t number) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end()) return;
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end()) return;
     std::vector<std::uint32_t>& all = front->second.runners;
     if (all.size() == all.capacity()) {
         std::sort(all.begin(), all.end());
@@ -89,25 +89,25 @@
     all.push_back(number);
 }
 
-void SlotTable::front_left(Micros now, Session session, std::vector<FrontMail>& out) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end()) return;
+void SlotTable::on_proxy_disconnected(Micros now, Session session, std::vector<ProxyMessage>& out) {
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end()) return;
     const std::vector<Function*> functions = std::move(front->second.functions);
     std::vector<std::uint32_t> numbers = std::move(front->second.runners);
-    fronts_.erase(front);
+    proxies_.erase(front);
     for (Function* const f : functions) {
         f->interested.erase(session);
         f->parts.erase(session);
-        f->waiting.front_left(session);
+        f->waiting.on_proxy_disconnected(session);
     }
     std::sort(numbers.begin(), numbers.end());
     for (const std::uint32_t number : numbers) {
         const auto at = runners_.find(number);
         if (at == runners_.end()) continue;
-        Slots& r = at->second;
+        RunnerSlots& r = at->second;
         r.told.erase(session);
         // What it had out may be at work still; a runner drops most of it as the connection ends.
-        if (std::erase_if(r.given, [&](const Slots::Given& g) { return g.front == session; }) > 0)
+        if (std::erase_if(r.given, [&](const RunnerSlots::Given& g) { return g.front == session; }) > 0)
             r.aside_until = std::max(r.aside_until, now + 250'000);
         if (r.watcher == session) {
             r.watcher = 0;
@@ -116,17 +116,18 @@
     }
 }
 
-void SlotTable::tell(Slots& r, Session front, std::vector<FrontMail>& out, bool watch) {
+void SlotTable::tell(RunnerSlots& r, Session front, std::vector<ProxyMessage>& out, bool watch) {
     // A front that was not told its number knows a runner by its name only.
     const bool first = r.told.insert(front).second;
     if (first) note_runner(front, r.number);
     const bool gone = r.draining || r.state == RunnerState::gone;
-    RunnerTold told{r.number, gone ? RunnerState::gone : r.state, gone && !first ? Holding{} : r.what, watch};
+    RunnerUpdate told{r.number, gone ? RunnerState::gone : r.state, gone && !first ? RunnerInfo{} : r.what,
+                      watch};
     told.runner.out = 0;
     out.push_back({front, std::move(told)});
 }
 
-void SlotTable::tell_all(Slots& r, std::vector<FrontMail>& out) {
+void SlotTable::tell_all(RunnerSlots& r, std::vector<ProxyMessage>& out) {
     // Whoever was told of it once, and whoever uses the function.
     const std::set<Session>& interested = r.function->interested;
     std::vector<Session> all;
@@ -134,23 +135,23 @@
     std::set_union(interested.begin(), interested.end(), r.told.begin(), r.told.end(),
                    std::back_inserter(all));
     for (const Session front : all)
-        if (fronts_.contains(front)) tell(r, front, out);
+        if (proxies_.contains(front)) tell(r, front, out);
 }
 
 // A runner refuses connections until it has started, and the platform's list shows that late: one front, of
 // those who will use it, tries until it can connect.
-void SlotTable::watch(Slots& r, std::vector<FrontMail>& out) {
-    if (r.state != RunnerState::starting || fronts_.contains(r.watcher) || fronts_.empty()) return;
+void SlotTable::watch(RunnerSlots& r, std::vector<ProxyMessage>& out) {
+    if (r.state != RunnerState::starting || proxies_.contains(r.watcher) || proxies_.empty()) return;
     const Function& f = *r.function;
-    const auto rank = [&](Session s, const Front& front) {
+    const auto rank = [&](Session s, const ProxySession& front) {
         // Those alike in use and zone take turns, by the runner's number.
         const std::uint32_t turn = r.number * 40503U;  // wraps at 32 bits
         return std::tuple(2 * (front.zone == r.what.zone) + static_cast<int>(f.interested.count(s)),
                           (s * 2654435761U ^ turn) % 997);
     };
     Session best = 0;
-    for (const auto& [session, front] : fronts_)
-        if (best == 0 || rank(session, front) > rank(best, fronts_.at(best))) best = session;
+    for (const auto& [session, front] : proxies_)
+        if (best == 0 || rank(session, front) > rank(best, proxies_.at(best))) best = session;
     r.watcher = best;
     tell(r, best, out, true);
 }
--- a/src/cluster/slots/requests.cpp
+++ b/src/cluster/slots/requests.cpp
@@ -13,9 +13,9 @@
 }  // namespace
 
 Function* SlotTable::ask(Micros now, Session session, const AcquireRequest& ask,
-                         std::vector<FrontMail>& out) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end()) return nullptr;
+                         std::vector<ProxyMessage>& out) {
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end()) return nullptr;
     const auto known = functions_.find(ask.service);
     if (known == functions_.end() || !known->second->service) {
         out.push_back({session, AcquireDenied{ask.id, 500}});
@@ -32,8 +32,8 @@
     if (f.interested.insert(session).second) {
         note_function(session, f);
         for (const std::uint32_t number : f.runners)
-            if (Slots& r = runners_.at(number); !r.draining) tell(r, session, out);
-        if (f.unrestricted) out.push_back({session, Mode{f.name, true}});
+            if (RunnerSlots& r = runners_.at(number); !r.draining) tell(r, session, out);
+        if (f.unrestricted) out.push_back({session, FunctionMode{f.name, true}});
     }
     if (ask.again) {
         while (!f.tried_again.empty() && f.tried_again.front() < now - options_.budget_window)
@@ -49,8 +49,8 @@
         ++f.places[front->second.zone].asked;
         f.came += usual(ask.shape) / 1e6;
     }
-    if (Slots* const r = f.waiting.empty() ? choose(now, f, ask, front->second.zone) : nullptr) {
-        grant(now, *r, session, ask, WaitedFor::nothing, out);
+    if (RunnerSlots* const r = f.waiting.empty() ? choose(now, f, ask, front->second.zone) : nullptr) {
+        grant(now, *r, session, ask, WaitReason::nothing, out);
         return &f;
     }
     if (const std::uint32_t later = too_long(f, ask); later > 0) {
@@ -60,7 +60,7 @@
     const WaitQueue::Waiting waiting{session,
                                      ask,
                                      now,
-                                     now + ask.aim_ms * 1000LL,
+                                     now + ask.latency_target_ms * 1000LL,
                                      now + ask.deadline_ms * 1000LL,
                                      static_cast<Micros>(usual(ask.shape)),
                                      lacks(f)};
@@ -69,16 +69,16 @@
     return &f;
 }
 
-Slots* SlotTable::choose(Micros now, Function& f, const AcquireRequest& ask, const std::string& zone) {
+RunnerSlots* SlotTable::choose(Micros now, Function& f, const AcquireRequest& ask, const std::string& zone) {
     if (const auto drawn = runners_.find(ask.drawn);
         drawn != runners_.end() && drawn->second.function == &f && open(now, drawn->second))
         return &drawn->second;
-    Slots* best = nullptr;
-    const auto rank = [&](const Slots& s) {
+    RunnerSlots* best = nullptr;
+    const auto rank = [&](const RunnerSlots& s) {
         return (s.what.zone == zone ? 2.0 : 0.0) - static_cast<double>(s.out()) / s.what.slots;
     };
     for (const std::uint32_t number : f.runners) {
-        Slots& r = runners_.at(number);
+        RunnerSlots& r = runners_.at(number);
         if (open(now, r) && (!best || rank(r) > rank(*best))) best = &r;
     }
     return best;
@@ -87,7 +87,7 @@
 double SlotTable::slots_of(const Function& f) const {
     double slots = 0;
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = runners_.at(number); !r.draining) slots += r.what.slots;
+        if (const RunnerSlots& r = runners_.at(number); !r.draining) slots += r.what.slots;
     return slots;
 }
 
@@ -98,34 +98,35 @@
     const double slots = slots_of(f);
     if (slots == 0) return 0;
     const double wait_ms = f.waiting.work() / slots / 1e3;
-    const double bearable = std::max<double>(ask.aim_ms, ask.deadline_ms * 0.6);
+    const double bearable = std::max<double>(ask.latency_target_ms, ask.deadline_ms * 0.6);
     if (wait_ms <= bearable) return 0;
     return static_cast<std::uint32_t>(std::clamp(wait_ms - bearable / 2, 100.0, 3000.0));
 }
 
 // What a request that finds no slot is waiting for.
-WaitedFor SlotTable::lacks(const Function& f) const {
+WaitReason SlotTable::lacks(const Function& f) const {
     for (const std::uint32_t number : f.runners)
-        if (const Slots& r = runners_.at(number); r.state == RunnerState::ready && !r.draining)
-            return WaitedFor::slot;
-    return f.no_room ? WaitedFor::memory : WaitedFor::start;
+        if (const RunnerSlots& r = runners_.at(number); r.state == RunnerState::ready && !r.draining)
+            return WaitReason::slot;
+    return f.no_room ? WaitReason::memory : WaitReason::start;
 }
 
-void SlotTable::grant(Micros now, Slots& r, Session session, const AcquireRequest& ask, WaitedFor waited,
-                      std::vector<FrontMail>& out) {
+void SlotTable::grant(Micros now, RunnerSlots& r, Session session, const AcquireRequest& ask,
+                      WaitReason waited, std::vector<ProxyMessage>& out) {
     r.given.push_back({session, ask.id, ask.shape, now});
     if (!r.told.contains(session)) tell(r, session, out);
     out.push_back({session, AcquireGranted{ask.id, r.number, waited}});
 }
 
-void SlotTable::serve(Micros now, Function& f, std::vector<FrontMail>& out) {
+void SlotTable::serve(Micros now, Function& f, std::vector<ProxyMessage>& out) {
     WaitQueue::Place place = 0;
     // A late one never pushes out one that can be in aim but in its turn.
     while (const WaitQueue::Waiting* const first =
                f.waiting.first(now, f.turns + 1 >= options_.late_turn, place)) {
-        const auto front = fronts_.find(first->front);
-        Slots* const r = front != fronts_.end() ? choose(now, f, first->ask, front->second.zone) : nullptr;
-        if (front != fronts_.end() && !r) return;
+        const auto front = proxies_.find(first->front);
+        RunnerSlots* const r =
+            front != proxies_.end() ? choose(now, f, first->ask, front->second.zone) : nullptr;
+        if (front != proxies_.end() && !r) return;
         const WaitQueue::Waiting next = *first;
         const bool late = f.waiting.is_late(place);
         const bool turn = f.turns + 1 >= options_.late_turn;
@@ -135,22 +136,22 @@
         if (const WaitQueue::Waiting* const oldest = f.waiting.oldest();
             oldest && oldest->since < next.since) {
             ++f.overtaken;
-            const bool passed = now > oldest->aim_at - oldest->work;
-            overtakings_.add({now, f.name, next.front, oldest->front, next.ask.id, oldest->ask.id,
-                              next.ask.priority, oldest->ask.priority, next.aim_at - now,
-                              oldest->aim_at - now,
-                              late && turn ? "turn_of_a_late_one"
-                              : passed     ? "it_can_be_in_aim"
-                                           : "less_time_left"});
+            const bool passed = now > oldest->target_at - oldest->work;
+            priority_inversions_.add({now, f.name, next.front, oldest->front, next.ask.id, oldest->ask.id,
+                                      next.ask.priority, oldest->ask.priority, next.target_at - now,
+                                      oldest->target_at - now,
+                                      late && turn ? "turn_of_a_late_one"
+                                      : passed     ? "it_can_be_in_aim"
+                                                   : "less_time_left"});
         }
         front->second.waiting.erase(next.ask.id);
         grant(now, *r, next.front, next.ask, next.waits_for, out);
     }
 }
 
-void SlotTable::release(Micros now, Session session, const Release& m, std::vector<FrontMail>& out) {
-    const auto front = fronts_.find(session);
-    if (front == fronts_.end()) return;
+void SlotTable::release(Micros now, Session session, const Release& m, std::vector<ProxyMessage>& out) {
+    const auto front = proxies_.find(session);
+    if (front == proxies_.end()) return;
     if (const auto waits = front->second.waiting.find(m.id);
         m.id > 0 && waits != front->second.waiting.end()) {
         waits->second.first->waiting.leave(waits->second.second);
@@ -159,28 +160,29 @@
     }
     const auto at = runners_.find(m.runner);
     if (at == runners_.end()) return;
-    Slots& r = at->second;
-    const auto given = std::find_if(r.given.begin(), r.given.end(), [&](const Slots::Given& g) {
+    RunnerSlots& r = at->second;
+    const auto given = std::find_if(r.given.begin(), r.given.end(), [&](const RunnerSlots::Given& g) {
         return g.front == session && g.ask == m.id;
     });
     if (given != r.given.end()) {
-        if (m.how == Ended::answered && given->ask > 0)
-            usual_[given->shape].add(static_cast<double>(m.took_ms) * 1e3);
+        if (m.how == ReleaseReason::answered && given->ask > 0)
+            durations_[given->shape].add(static_cast<double>(m.took_ms) * 1e3);
         r.given.erase(given);
         if (r.given.empty()) r.idle_since = now;
     }
     Function& f = *r.function;
-    if (m.how == Ended::gone) return gone(now, std::string(r.what.runner), "another has its address", out);
-    if (m.how == Ended::unreachable) {
+    if (m.how == ReleaseReason::gone)
+        return gone(now, std::string(r.what.runner), "another has its address", out);
+    if (m.how == ReleaseReason::unreachable) {
         // It had started and nobody listens there: tried once more after a while, since it may be the path.
         if (r.state == RunnerState::ready && r.given.empty() && r.aside_until > 0 && now >= r.aside_until &&
             now < r.aside_until + 2 * kAside)
             return gone(now, std::string(r.what.runner), "unreachable twice", out);
         if (now >= r.aside_until) r.aside_until = now + kAside;
     }
-    if (m.how == Ended::turned_away) {
+    if (m.how == ReleaseReason::rejected) {
         r.aside_until = std::max(r.aside_until, now + 50'000);
-        f.turned_away.push_back(now);
+        f.rejected.push_back(now);
         if (f.unrestricted) settle_mode(now, f, out);
     }
     if (!f.waiting.empty()) serve(now, f, out);
--- a/src/cluster/slots/runners.cpp
+++ b/src/cluster/slots/runners.cpp
@@ -10,9 +10,9 @@
 
 }  // namespace
 
-Slots& SlotTable::add(Micros now, const Holding& what) {
+RunnerSlots& SlotTable::add(Micros now, const RunnerInfo& what) {
     const std::uint32_t number = next_number_++;
-    Slots& r = runners_[number];
+    RunnerSlots& r = runners_[number];
     r.number = number;
     r.what = what;
     r.what.out = 0;
@@ -27,16 +27,16 @@
     return r;
 }
 
-void SlotTable::began(Micros now, const Holding& what, std::vector<FrontMail>& out) {
+void SlotTable::began(Micros now, const RunnerInfo& what, std::vector<ProxyMessage>& out) {
     if (by_name_.contains(what.runner) || ended_.contains(what.runner)) return;
-    Slots& r = add(now, what);
+    RunnerSlots& r = add(now, what);
     watch(r, out);
 }
 
-void SlotTable::listed(Micros now, const Holding& what, bool draining, std::vector<FrontMail>& out) {
+void SlotTable::listed(Micros now, const RunnerInfo& what, bool draining, std::vector<ProxyMessage>& out) {
     const auto known = by_name_.find(what.runner);
     if (known == by_name_.end() && (draining || ended_.contains(what.runner))) return;
-    Slots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, what);
+    RunnerSlots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, what);
     if (r.what.worker.empty()) r.what.worker = what.worker;
     const bool changed = r.state == RunnerState::starting || (draining && !r.draining);
     if (r.state == RunnerState::starting) {
@@ -53,10 +53,10 @@
     serve(now, *r.function, out);
 }
 
-void SlotTable::up(Micros now, Session session, const RunnerReachable& m, std::vector<FrontMail>& out) {
+void SlotTable::up(Micros now, Session session, const RunnerReachable& m, std::vector<ProxyMessage>& out) {
     const auto at = runners_.find(m.runner);
     if (at == runners_.end() || at->second.state != RunnerState::starting) return;
-    Slots& r = at->second;
+    RunnerSlots& r = at->second;
     if (!m.up) {
         if (r.watcher == session) gone(now, std::string(r.what.runner), "it did not start", out);
         return;
@@ -68,11 +68,11 @@
     serve(now, *r.function, out);
 }
 
-void SlotTable::gone(Micros now, const std::string& runner, const char*, std::vector<FrontMail>& out) {
+void SlotTable::gone(Micros now, const std::string& runner, const char*, std::vector<ProxyMessage>& out) {
     const auto known = by_name_.find(runner);
     ended_[runner] = now;
     if (known == by_name_.end()) return;
-    Slots& r = runners_.at(known->second);
+    RunnerSlots& r = runners_.at(known->second);
     r.state = RunnerState::gone;
     tell_all(r, out);
     starting_.erase(r.number);
@@ -82,10 +82,10 @@
     by_name_.erase(known);
 }
 
-bool SlotTable::retire(Micros now, std::uint32_t number, std::vector<FrontMail>& out) {
+bool SlotTable::retire(Micros now, std::uint32_t number, std::vector<ProxyMessage>& out) {
     const auto at = runners_.find(number);
     if (at == runners_.end()) return true;
-    Slots& r = at->second;
+    RunnerSlots& r = at->second;
     if (!r.draining) {
         r.draining = true;
         r.retired = now;
--- a/src/cluster/slots/sampling.cpp
+++ b/src/cluster/slots/sampling.cpp
@@ -23,7 +23,7 @@
     // When each slot comes free, by what is at work there; then one after the other for those who wait.
     std::vector<double> free_in;
     for (const std::uint32_t number : f.runners) {
-        const Slots& r = runners_.at(number);
+        const RunnerSlots& r = runners_.at(number);
         if (r.draining) continue;
         double first = 0;
         if (r.state == RunnerState::starting)
@@ -31,7 +31,7 @@
                              static_cast<double>(r.began + (f.service ? f.service->boot : 1'000'000) - now));
         else if (now < r.aside_until)
             first = static_cast<double>(r.aside_until - now);
-        for (const Slots::Given& g : r.given)
+        for (const RunnerSlots::Given& g : r.given)
             free_in.push_back(std::max(usual(g.shape) - static_cast<double>(now - g.since), 20'000.0));
         for (std::uint32_t i = r.out(); i < r.what.slots; ++i) free_in.push_back(first);
     }
@@ -48,7 +48,7 @@
     return last;
 }
 
-void SlotTable::tick(Micros now, std::vector<FrontMail>& out) {
+void SlotTable::tick(Micros now, std::vector<ProxyMessage>& out) {
     constexpr double kStep = static_cast<double>(kSample) / 1e6;
     for (const std::uint32_t number : std::set<std::uint32_t>(starting_)) watch(runners_.at(number), out);
     std::erase_if(ended_, [&](const auto& one) { return one.second + 60'000'000 < now; });
@@ -84,7 +84,7 @@
         WaitQueue::Place place = 0;
         while (const WaitQueue::Waiting* const w = f.waiting.hopeless(now, place)) {
             out.push_back({w->front, AcquireDenied{w->ask.id, 0, w->waits_for}});
-            if (const auto front = fronts_.find(w->front); front != fronts_.end())
+            if (const auto front = proxies_.find(w->front); front != proxies_.end())
                 front->second.waiting.erase(w->ask.id);
             f.waiting.leave(place);
         }
@@ -96,7 +96,7 @@
             const WaitQueue::Waiting* const w = f.waiting.out_of_reach(now, per_place, place);
             if (!w) break;
             out.push_back({w->front, AcquireDenied{w->ask.id, kComeBack, w->waits_for}});
-            if (const auto front = fronts_.find(w->front); front != fronts_.end())
+            if (const auto front = proxies_.find(w->front); front != proxies_.end())
                 front->second.waiting.erase(w->ask.id);
             f.waiting.leave(place);
         }
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -43,18 +43,18 @@
 }
 
 const std::string* SlotTable::zone_of(Session front) const {
-    const auto at = fronts_.find(front);
-    return at == fronts_.end() ? nullptr : &at->second.zone;
+    const auto at = proxies_.find(front);
+    return at == proxies_.end() ? nullptr : &at->second.zone;
 }
 
 const std::string* SlotTable::name_of(Session front) const {
-    const auto at = fronts_.find(front);
-    return at == fronts_.end() ? nullptr : &at->second.name;
+    const auto at = proxies_.find(front);
+    return at == proxies_.end() ? nullptr : &at->second.name;
 }
 
 double SlotTable::usual(std::uint16_t shape) const {
-    const auto at = usual_.find(shape);
-    return at == usual_.end() ? kGuess : at->second.get(kGuess);
+    const auto at = durations_.find(shape);
+    return at == durations_.end() ? kGuess : at->second.get(kGuess);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/slot_table.hpp
+++ b/src/cluster/slots/slot_table.hpp
@@ -22,7 +22,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "cluster/base/record.hpp"
+#include "cluster/base/bounded_history.hpp"
 #include "cluster/configuration/configuration.hpp"
 #include "cluster/slots/wait_queue.hpp"
 #include "cluster/wire/messages.hpp"
@@ -30,13 +30,13 @@
 
 namespace gannethold::cluster {
 
-struct FrontMail {
+struct ProxyMessage {
     Session to = 0;
     Message message;
 };
 
 // How long work of one shape takes, smoothed, in microseconds.
-class Usual {
+class SmoothedDuration {
   public:
     void add(double took);
     double get(double otherwise) const { return weight_ > 0 ? mean_ : otherwise; }
@@ -61,7 +61,7 @@
 
 struct Function;
 
-struct Slots {  // one runner
+struct RunnerSlots {  // one runner
     struct Given {
         Session front = 0;
         std::uint32_t ask = 0;  // 0: taken over from another coordinator, or sent while free
@@ -69,7 +69,7 @@
         Micros since = 0;
     };
     std::uint32_t number = 0;
-    Holding what;  // out: not used here
+    RunnerInfo what;  // out: not used here
     Function* function = nullptr;
     RunnerState state = RunnerState::starting;
     bool draining = false;  // takes no more; also once it is to be stopped
@@ -109,7 +109,7 @@
     double load_fast = 0, load_slow = 0;   // of demand and slots at work the larger
     double rate = 0;                       // requests a second
     Micros last_used = 0, used_since = 0;  // since: without a long pause
-    std::deque<Micros> tried_again, turned_away;
+    std::deque<Micros> tried_again, rejected;
     int turns = 0;                // slots given to waiting ones since a late one had its turn
     std::uint64_t overtaken = 0;  // times that a more urgent one went before one that came earlier
     bool active = false;
@@ -118,13 +118,13 @@
 };
 
 // One that came later went before one that came earlier.
-struct Overtaking {
+struct PriorityInversion {
     Micros at = 0;
     std::string service;
     Session front = 0, before_front = 0;
     std::uint32_t ask = 0, before_ask = 0;
     int priority = 0, before_priority = 0;
-    Micros aim_left = 0, before_aim_left = 0;
+    Micros target_left = 0, before_target_left = 0;
     const char* why = "";
 };
 
@@ -144,33 +144,34 @@
 
     void configure(std::shared_ptr<const Configuration> configuration);
 
-    void front_came(Micros now, Session session, const Register& registration, std::vector<FrontMail>& out);
-    void front_left(Micros now, Session session, std::vector<FrontMail>& out);
+    void on_proxy_registered(Micros now, Session session, const Register& registration,
+                             std::vector<ProxyMessage>& out);
+    void on_proxy_disconnected(Micros now, Session session, std::vector<ProxyMessage>& out);
     // The function asked for; nullptr: there is none.
-    Function* ask(Micros now, Session session, const AcquireRequest& ask, std::vector<FrontMail>& out);
-    void release(Micros now, Session session, const Release& m, std::vector<FrontMail>& out);
-    void up(Micros now, Session session, const RunnerReachable& m, std::vector<FrontMail>& out);
+    Function* ask(Micros now, Session session, const AcquireRequest& ask, std::vector<ProxyMessage>& out);
+    void release(Micros now, Session session, const Release& m, std::vector<ProxyMessage>& out);
+    void up(Micros now, Session session, const RunnerReachable& m, std::vector<ProxyMessage>& out);
     void loads(Micros now, Session session, const LoadReport& m);
     void outs(Micros now, Session session, const OutstandingReport& m);
 
     // A runner that the platform says it starts; one that stands in its list; one that ended.
-    void began(Micros now, const Holding& what, std::vector<FrontMail>& out);
-    void listed(Micros now, const Holding& what, bool draining, std::vector<FrontMail>& out);
-    void gone(Micros now, const std::string& runner, const char* why, std::vector<FrontMail>& out);
+    void began(Micros now, const RunnerInfo& what, std::vector<ProxyMessage>& out);
+    void listed(Micros now, const RunnerInfo& what, bool draining, std::vector<ProxyMessage>& out);
+    void gone(Micros now, const std::string& runner, const char* why, std::vector<ProxyMessage>& out);
     // No more is given there. True once nothing is out, and what was under way to it has come there.
-    bool retire(Micros now, std::uint32_t number, std::vector<FrontMail>& out);
+    bool retire(Micros now, std::uint32_t number, std::vector<ProxyMessage>& out);
 
     // Samples loads, settles modes, answers what can no longer be in time. Call each kSample.
     static constexpr Micros kSample = 100'000;
-    void tick(Micros now, std::vector<FrontMail>& out);
+    void tick(Micros now, std::vector<ProxyMessage>& out);
 
-    const Record<Overtaking>& overtakings() const { return overtakings_; }
+    const BoundedHistory<PriorityInversion>& priority_inversions() const { return priority_inversions_; }
     const std::unordered_set<Function*>& active() const { return active_; }
     const std::unordered_map<std::string, std::unique_ptr<Function>>& functions() const { return functions_; }
-    const std::unordered_map<std::uint32_t, Slots>& runners() const { return runners_; }
-    const Slots& runner(std::uint32_t number) const { return runners_.at(number); }
+    const std::unordered_map<std::uint32_t, RunnerSlots>& runners() const { return runners_; }
+    const RunnerSlots& runner(std::uint32_t number) const { return runners_.at(number); }
     std::int64_t used_mb(const std::string& worker) const;
-    std::size_t fronts() const { return fronts_.size(); }
+    std::size_t fronts() const { return proxies_.size(); }
     const std::string* zone_of(Session front) const;
     const std::string* name_of(Session front) const;
     double usual(std::uint16_t shape) const;
@@ -183,7 +184,7 @@
     // So long without a request, and what was seen of a function before says nothing any more.
     static constexpr Micros kPause = 5'000'000;
 
-    struct Front {
+    struct ProxySession {
         std::string name, zone;
         // Where it has left a trace, so that its going costs what it used and not all that there is. May hold
         // what is there no more; gone through when full.
@@ -196,23 +197,23 @@
     void touch(Function& f);
     void note_function(Session session, Function& f);
     void note_runner(Session session, std::uint32_t number);
-    Slots* choose(Micros now, Function& f, const AcquireRequest& ask, const std::string& zone);
-    void grant(Micros now, Slots& r, Session session, const AcquireRequest& ask, WaitedFor waited,
-               std::vector<FrontMail>& out);
-    WaitedFor lacks(const Function& f) const;
+    RunnerSlots* choose(Micros now, Function& f, const AcquireRequest& ask, const std::string& zone);
+    void grant(Micros now, RunnerSlots& r, Session session, const AcquireRequest& ask, WaitReason waited,
+               std::vector<ProxyMessage>& out);
+    WaitReason lacks(const Function& f) const;
     double slots_of(const Function& f) const;  // of all its runners, those that start too
     std::uint32_t too_long(const Function& f, const AcquireRequest& ask) const;
-    void serve(Micros now, Function& f, std::vector<FrontMail>& out);
-    void tell(Slots& runner, Session front, std::vector<FrontMail>& out, bool watch = false);
-    void tell_all(Slots& runner, std::vector<FrontMail>& out);
-    void watch(Slots& runner, std::vector<FrontMail>& out);
-    void set_mode(Function& f, bool unrestricted, std::vector<FrontMail>& out);
-    void settle_mode(Micros now, Function& f, std::vector<FrontMail>& out);
-    Slots& add(Micros now, const Holding& what);
-    std::int64_t memory_of(const Slots& s) const {
+    void serve(Micros now, Function& f, std::vector<ProxyMessage>& out);
+    void tell(RunnerSlots& runner, Session front, std::vector<ProxyMessage>& out, bool watch = false);
+    void tell_all(RunnerSlots& runner, std::vector<ProxyMessage>& out);
+    void watch(RunnerSlots& runner, std::vector<ProxyMessage>& out);
+    void set_mode(Function& f, bool unrestricted, std::vector<ProxyMessage>& out);
+    void settle_mode(Micros now, Function& f, std::vector<ProxyMessage>& out);
+    RunnerSlots& add(Micros now, const RunnerInfo& what);
+    std::int64_t memory_of(const RunnerSlots& s) const {
         return s.function->service ? s.function->service->memory_mb : 0;
     }
-    static bool open(Micros now, const Slots& s) {
+    static bool open(Micros now, const RunnerSlots& s) {
         return s.state == RunnerState::ready && !s.draining && now >= s.aside_until && s.out() < s.what.slots;
     }
 
@@ -220,15 +221,15 @@
     std::shared_ptr<const Configuration> configuration_;
     std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
     std::unordered_set<Function*> active_;
-    std::unordered_map<std::uint32_t, Slots> runners_;
+    std::unordered_map<std::uint32_t, RunnerSlots> runners_;
     std::unordered_map<std::string, std::uint32_t> by_name_;
     std::set<std::uint32_t> starting_;
-    std::map<Session, Front> fronts_;
-    std::unordered_map<std::uint16_t, Usual> usual_;
+    std::map<Session, ProxySession> proxies_;
+    std::unordered_map<std::uint16_t, SmoothedDuration> durations_;
     std::unordered_map<std::string, Micros>
         ended_;  // runners that are gone: the list shows them for some time still
     std::uint32_t next_number_;
-    Record<Overtaking> overtakings_{256};
+    BoundedHistory<PriorityInversion> priority_inversions_{256};
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/wait_queue.cpp
+++ b/src/cluster/slots/wait_queue.cpp
@@ -8,7 +8,7 @@
     const Place place = ++last_;
     all_.emplace(place, w);
     in_aim_.emplace(in_aim(w), place);
-    late_at_.emplace(w.aim_at - w.work, place);
+    late_at_.emplace(w.target_at - w.work, place);
     ends_.emplace(end_of(w), place);
     work_ += static_cast<double>(w.work);
     return place;
@@ -19,7 +19,7 @@
     if (at == all_.end()) return;
     const Waiting& w = at->second;
     in_aim_.erase({in_aim(w), place});
-    late_at_.erase({w.aim_at - w.work, place});
+    late_at_.erase({w.target_at - w.work, place});
     late_.erase({w.since, place});
     ends_.erase({end_of(w), place});
     work_ -= static_cast<double>(w.work);
@@ -27,7 +27,7 @@
     if (all_.empty()) work_ = 0;  // no error of sums grows over days
 }
 
-void WaitQueue::front_left(Session front) {
+void WaitQueue::on_proxy_disconnected(Session front) {
     std::vector<Place> left;
     for (const auto& [place, w] : all_)
         if (w.front == front) left.push_back(place);
--- a/src/cluster/slots/wait_queue.hpp
+++ b/src/cluster/slots/wait_queue.hpp
@@ -22,15 +22,15 @@
     struct Waiting {
         Session front = 0;
         AcquireRequest ask;
-        Micros since = 0, aim_at = 0, deadline_at = 0;
+        Micros since = 0, target_at = 0, deadline_at = 0;
         Micros work = 0;  // usual time of its shape: from aim_at less that on it counts as late
-        WaitedFor waits_for = WaitedFor::nothing;
+        WaitReason waits_for = WaitReason::nothing;
     };
     using Place = std::uint64_t;
 
     Place add(const Waiting& w);
     void leave(Place place);
-    void front_left(Session front);
+    void on_proxy_disconnected(Session front);
 
     // Who goes first; nullptr: nobody waits. turn: whether one that is late has its turn; it has none if
     // nobody is late.
@@ -57,7 +57,7 @@
     void grow_late(Micros now);
     static Micros end_of(const Waiting& w) { return w.deadline_at - w.work; }
     static std::tuple<bool, Micros, Micros> in_aim(const Waiting& w) {
-        return place_in_line({w.since, w.aim_at, w.ask.priority, false}, false);
+        return place_in_line({w.since, w.target_at, w.ask.priority, false}, false);
     }
 
     std::map<Place, Waiting> all_;
--- a/src/cluster/transport/http_service.cpp
+++ b/src/cluster/transport/http_service.cpp
@@ -7,9 +7,9 @@
 
 namespace gannethold::cluster {
 
-class HttpService::Guest final : net::Connection::Owner {
+class HttpService::InboundPeer final : net::Connection::Owner {
   public:
-    Guest(HttpService& service, evutil_socket_t socket)
+    InboundPeer(HttpService& service, evutil_socket_t socket)
         : service_(service),
           reader_(http::Kind::request, service.loop_.blocks()),
           since_(net::Loop::now()),
@@ -116,9 +116,9 @@
         const Exchange exchange = exchange_;
         exchange_ = 0;
         finishing_ = true;
-        if (const auto own = service.guests_.find(this); own != service.guests_.end()) {
+        if (const auto own = service.inbound_peers_.find(this); own != service.inbound_peers_.end()) {
             service.closed_.push_back(std::move(own->second));
-            service.guests_.erase(own);
+            service.inbound_peers_.erase(own);
         }
         if (exchange != 0 && service.exchanges_.erase(exchange) > 0) service.events_.left(exchange);
     }
@@ -139,13 +139,13 @@
     listener_ = std::make_unique<net::Listener>(
         loop, net::Door(at),
         [this](evutil_socket_t socket) {
-            if (guests_.size() >= most_) {
+            if (inbound_peers_.size() >= most_) {
                 ::close(socket);
                 return;
             }
-            auto guest = std::make_unique<Guest>(*this, socket);
-            Guest* const key = guest.get();
-            guests_[key] = std::move(guest);
+            auto inbound_peer = std::make_unique<InboundPeer>(*this, socket);
+            InboundPeer* const key = inbound_peer.get();
+            inbound_peers_[key] = std::move(inbound_peer);
         },
         [] {});
 }
@@ -155,13 +155,14 @@
 void HttpService::answer(Exchange exchange, const HttpMessage& message) {
     const auto at = exchanges_.find(exchange);
     if (at == exchanges_.end()) return;
-    Guest* const guest = at->second;
+    InboundPeer* const inbound_peer = at->second;
     exchanges_.erase(at);
-    guest->answer(message);
+    inbound_peer->answer(message);
 }
 
-void HttpService::answer(Exchange exchange, Kind kind, const std::string& detail, std::uint32_t retry_ms) {
-    const Answer answer_is = answer_to(kind);
+void HttpService::answer(Exchange exchange, ErrorCode kind, const std::string& detail,
+                         std::uint32_t retry_ms) {
+    const ErrorResponse answer_is = error_response(kind);
     HttpMessage message;
     message.status = answer_is.status;
     if (answer_is.status == 503) {
@@ -182,27 +183,29 @@
 
 void HttpService::close_idle() {
     if (listener_) listener_->stop();
-    std::vector<Guest*> idle;
-    for (auto& [key, guest] : guests_)
-        if (guest->idle() && !guest->finishing()) idle.push_back(key);
-    for (Guest* const guest : idle) guest->close_unread();
+    std::vector<InboundPeer*> idle;
+    for (auto& [key, inbound_peer] : inbound_peers_)
+        if (inbound_peer->idle() && !inbound_peer->finishing()) idle.push_back(key);
+    for (InboundPeer* const inbound_peer : idle) inbound_peer->close_unread();
 }
 
 std::size_t HttpService::unfinished() const {
-    return static_cast<std::size_t>(std::count_if(
-        guests_.begin(), guests_.end(), [](const auto& entry) { return entry.second->unfinished(); }));
+    return static_cast<std::size_t>(
+        std::count_if(inbound_peers_.begin(), inbound_peers_.end(),
+                      [](const auto& entry) { return entry.second->unfinished(); }));
 }
 
 void HttpService::sweep(Micros now) {
     closed_.clear();
-    std::vector<Guest*> late;
-    for (auto& [key, guest] : guests_) {
-        if (guest->waits() || guest->finishing()) continue;
-        if (now > guest->since() +
-                      (guest->idle() ? limits_.idle_timeout : limits_.header_timeout + limits_.idle_timeout))
+    std::vector<InboundPeer*> late;
+    for (auto& [key, inbound_peer] : inbound_peers_) {
+        if (inbound_peer->waits() || inbound_peer->finishing()) continue;
+        if (now >
+            inbound_peer->since() +
+                (inbound_peer->idle() ? limits_.idle_timeout : limits_.header_timeout + limits_.idle_timeout))
             late.push_back(key);
     }
-    for (Guest* const guest : late) guest->timed_out();
+    for (InboundPeer* const inbound_peer : late) inbound_peer->timed_out();
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/http_service.hpp
+++ b/src/cluster/transport/http_service.hpp
@@ -30,7 +30,8 @@
     ~HttpService();
 
     void answer(Exchange exchange, const HttpMessage& message);
-    void answer(Exchange exchange, Kind kind, const std::string& detail = {}, std::uint32_t retry_ms = 0);
+    void answer(Exchange exchange, ErrorCode kind, const std::string& detail = {},
+                std::uint32_t retry_ms = 0);
     void limit(const Limits& limits) { limits_ = limits; }
     // From now on each answer closes its connection.
     void say_goodbye() { leaving_ = true; }
@@ -46,11 +47,11 @@
     /// Connections on which a request is being read, waits for its answer, or has an answer that is not yet
     /// written.
     std::size_t unfinished() const;
-    std::size_t connections() const { return guests_.size(); }
+    std::size_t connections() const { return inbound_peers_.size(); }
 
   private:
-    class Guest;
-    friend class Guest;
+    class InboundPeer;
+    friend class InboundPeer;
 
     net::Loop& loop_;
     Events events_;
@@ -58,9 +59,9 @@
     std::size_t most_;
     bool leaving_ = false;
     Exchange last_ = 0;
-    std::unordered_map<Guest*, std::unique_ptr<Guest>> guests_;
-    std::vector<std::unique_ptr<Guest>> closed_;  // until the turn is over
-    std::unordered_map<Exchange, Guest*> exchanges_;
+    std::unordered_map<InboundPeer*, std::unique_ptr<InboundPeer>> inbound_peers_;
+    std::vector<std::unique_ptr<InboundPeer>> closed_;  // until the turn is over
+    std::unordered_map<Exchange, InboundPeer*> exchanges_;
     std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/cluster/transport/message_connection.cpp
+++ b/src/cluster/transport/message_connection.cpp
@@ -59,10 +59,10 @@
                 events_.message_received(message_received);
                 return {};
             },
-            [&](Kind kind, const Detail& detail) {
+            [&](ErrorCode kind, const ErrorDetail& detail) {
                 ++malformed_lines;
                 Event("line_closed", Level::warning)
-                    .with("kind", answer_to(kind).name)
+                    .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
                 close();
                 events_.ended();
--- a/src/cluster/wire/codec.cpp
+++ b/src/cluster/wire/codec.cpp
@@ -25,9 +25,9 @@
     return loads;
 }
 
-WaitedFor waited_for(std::uint8_t value) {
-    return value <= static_cast<std::uint8_t>(WaitedFor::memory) ? static_cast<WaitedFor>(value)
-                                                                 : WaitedFor::nothing;
+WaitReason waited_for(std::uint8_t value) {
+    return value <= static_cast<std::uint8_t>(WaitReason::memory) ? static_cast<WaitReason>(value)
+                                                                  : WaitReason::nothing;
 }
 
 namespace cp = capnproto;
@@ -58,7 +58,7 @@
     return all;
 }
 
-void put(cp::Runner::Builder to, const Holding& h) {
+void put(cp::Runner::Builder to, const RunnerInfo& h) {
     to.setRunner(h.runner);
     to.setService(h.service);
     to.setAddress(h.address);
@@ -68,7 +68,7 @@
     to.setOut(h.out);
     to.setUp(h.up);
 }
-Holding get(cp::Runner::Reader r) {
+RunnerInfo get(cp::Runner::Reader r) {
     return {text(r.getRunner()), text(r.getService()), text(r.getAddress()), text(r.getZone()),
             text(r.getWorker()), r.getSlots(),         r.getOut(),           r.getUp()};
 }
@@ -138,8 +138,8 @@
         to.setZone(m.zone);
         to.setIncarnation(m.incarnation);
         to.setVersion(m.version);
-        auto all = to.initHoldings(static_cast<unsigned>(m.holdings.size()));
-        for (unsigned i = 0; i < m.holdings.size(); ++i) put(all[i], m.holdings[i]);
+        auto all = to.initHoldings(static_cast<unsigned>(m.runners.size()));
+        for (unsigned i = 0; i < m.runners.size(); ++i) put(all[i], m.runners[i]);
         put_loads(to.initUnrestricted(static_cast<unsigned>(m.unrestricted.size())), m.unrestricted);
     }
     void operator()(const Redirect& m) { e.setRedirect(m.leader); }
@@ -156,7 +156,7 @@
         put(to.initDelta(), m.delta);
     }
     void operator()(const ConfigurationHeld& m) { e.setConfigurationHeld(m.version); }
-    void operator()(const RunnerTold& m) {
+    void operator()(const RunnerUpdate& m) {
         auto to = e.initRunnerTold();
         to.setNumber(m.number);
         to.setState(static_cast<std::uint8_t>(m.state));
@@ -168,7 +168,7 @@
         to.setId(m.id);
         to.setDrawn(m.drawn);
         to.setService(m.service);
-        to.setAimMs(m.aim_ms);
+        to.setAimMs(m.latency_target_ms);
         to.setDeadlineMs(m.deadline_ms);
         to.setPriority(m.priority);
         to.setShape(m.shape);
@@ -200,7 +200,7 @@
         to.setRunner(m.runner);
         to.setUp(m.up);
     }
-    void operator()(const Mode& m) {
+    void operator()(const FunctionMode& m) {
         auto to = e.initMode();
         to.setService(m.service);
         to.setUnrestricted(m.unrestricted);
@@ -269,7 +269,7 @@
         case E::REGISTER: {
             const auto m = e.getRegister();
             Register to{text(m.getName()), text(m.getZone()), m.getIncarnation(), m.getVersion(), {}, {}};
-            for (const auto h : m.getHoldings()) to.holdings.push_back(get(h));
+            for (const auto h : m.getHoldings()) to.runners.push_back(get(h));
             to.unrestricted = get_loads(m.getUnrestricted());
             return to;
         }
@@ -288,8 +288,8 @@
         case E::RUNNER_TOLD: {
             const auto m = e.getRunnerTold();
             if (m.getState() > static_cast<std::uint8_t>(RunnerState::gone)) break;
-            return RunnerTold{m.getNumber(), static_cast<RunnerState>(m.getState()), get(m.getRunner()),
-                              m.getWatch()};
+            return RunnerUpdate{m.getNumber(), static_cast<RunnerState>(m.getState()), get(m.getRunner()),
+                                m.getWatch()};
         }
         case E::ACQUIRE_REQUEST: {
             const auto m = e.getAcquireRequest();
@@ -304,11 +304,11 @@
                                  waited_for(e.getAcquireDenied().getWaited())};
         case E::RELEASE: {
             const auto m = e.getRelease();
-            if (m.getHow() > static_cast<std::uint8_t>(Ended::gone)) break;
-            return Release{m.getId(), m.getRunner(), static_cast<Ended>(m.getHow()), m.getTookMs()};
+            if (m.getHow() > static_cast<std::uint8_t>(ReleaseReason::gone)) break;
+            return Release{m.getId(), m.getRunner(), static_cast<ReleaseReason>(m.getHow()), m.getTookMs()};
         }
         case E::MODE:
-            return Mode{text(e.getMode().getService()), e.getMode().getUnrestricted()};
+            return FunctionMode{text(e.getMode().getService()), e.getMode().getUnrestricted()};
         case E::LOAD_REPORT: {
             const auto m = e.getLoadReport();
             return LoadReport{m.getSpanMs(), get_loads(m.getLoads())};
@@ -322,7 +322,7 @@
         case E::RUNNER_REACHABLE:
             return RunnerReachable{e.getRunnerReachable().getRunner(), e.getRunnerReachable().getUp()};
     }
-    return failure(Kind::bytes_malformed, "no message of ours");
+    return failure(ErrorCode::bytes_malformed, "no message of ours");
 }
 
 }  // namespace
@@ -362,7 +362,7 @@
         capnp::PackedMessageReader reader(in);
         return read(reader.getRoot<Record>());
     } catch (const kj::Exception& wrong) {
-        return failure(Kind::bytes_malformed, wrong.getDescription().cStr());
+        return failure(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
     }
 }
 
@@ -449,7 +449,7 @@
         BOOST_LEAF_AUTO(message, get(envelope));
         return ReceivedMessage{text(envelope.getFrom()), std::move(message)};
     } catch (const kj::Exception& wrong) {
-        return failure(Kind::bytes_malformed, wrong.getDescription().cStr());
+        return failure(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
     }
 }
 
@@ -461,7 +461,7 @@
         length |= static_cast<std::size_t>(static_cast<unsigned char>(held_[static_cast<std::size_t>(i)]))
                   << (8 * i);
     if (length > kMost)
-        return failure(Kind::bytes_malformed, "a message of " + std::to_string(length) + " bytes");
+        return failure(ErrorCode::bytes_malformed, "a message of " + std::to_string(length) + " bytes");
     if (held_.size() < 4 + length) return std::optional<std::string_view>();
     read_ = 4 + length;
     return std::optional(std::string_view{held_}.substr(4, length));
--- a/src/cluster/wire/messages.hpp
+++ b/src/cluster/wire/messages.hpp
@@ -127,7 +127,7 @@
 };
 
 // ---- between fronts and the core ----
-struct Holding {
+struct RunnerInfo {
     std::string runner, service, address, zone, worker;
     std::uint32_t slots = 1, out = 0;
     bool up = false;
@@ -139,7 +139,7 @@
 struct Register {
     std::string name, zone;
     Number incarnation = 0, version = 0;
-    std::vector<Holding> holdings;
+    std::vector<RunnerInfo> runners;
     std::vector<Load>
         unrestricted;  // functions whose slots it takes unasked, and its part of each in the last second
 };
@@ -159,21 +159,21 @@
     Number version = 0;
 };
 enum class RunnerState : std::uint8_t { starting, ready, gone };
-struct RunnerTold {
+struct RunnerUpdate {
     std::uint32_t number = 0;  // for short, in this term
     RunnerState state = RunnerState::gone;
-    Holding runner;
+    RunnerInfo runner;
     bool watch = false;  // say when it can be reached
 };
 struct AcquireRequest {
     std::uint32_t id = 0, drawn = 0;  // drawn: the runner's number, 0: none
     std::string service;
-    std::uint32_t aim_ms = 0, deadline_ms = 0;  // what is left of each
+    std::uint32_t latency_target_ms = 0, deadline_ms = 0;  // what is left of each
     std::uint8_t priority = 0;
     std::uint16_t shape = 0;  // of the work, by route: what has one shape takes alike long
     bool again = false;       // a second runner for the same request
 };
-enum class WaitedFor : std::uint8_t {
+enum class WaitReason : std::uint8_t {
     nothing,
     start,
     slot,
@@ -181,16 +181,16 @@
 };  // memory: a start that no worker has room for
 struct AcquireGranted {
     std::uint32_t id = 0, runner = 0;
-    WaitedFor waited = WaitedFor::nothing;
+    WaitReason waited = WaitReason::nothing;
 };
 struct AcquireDenied {
     std::uint32_t id = 0, retry_ms = 0;
-    WaitedFor waited = WaitedFor::nothing;
+    WaitReason waited = WaitReason::nothing;
 };
-enum class Ended : std::uint8_t { unused, answered, failed, turned_away, unreachable, gone };
+enum class ReleaseReason : std::uint8_t { unused, answered, failed, rejected, unreachable, gone };
 struct Release {
     std::uint32_t id = 0, runner = 0;
-    Ended how = Ended::unused;
+    ReleaseReason how = ReleaseReason::unused;
     std::uint32_t took_ms = 0;
 };
 struct RunnerReachable {
@@ -199,7 +199,7 @@
 };
 // How a function's slots are kept. Free: there is so much room that each front sends where its fractions say,
 // unasked.
-struct Mode {
+struct FunctionMode {
     std::string service;
     bool unrestricted = false;
 };
@@ -213,10 +213,10 @@
 };
 struct Heartbeat {};
 
-using Message =
-    std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse, RecoveryRequest, RecoveryResponse,
-                 JoinRequest, TimeoutNow, LeaveRequest, LeaveResponse, EntryChunk, Register, Redirect,
-                 Registered, ConfigurationSent, ConfigurationHeld, RunnerTold, AcquireRequest, AcquireGranted,
-                 AcquireDenied, Release, RunnerReachable, Heartbeat, Mode, LoadReport, OutstandingReport>;
+using Message = std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse, RecoveryRequest,
+                             RecoveryResponse, JoinRequest, TimeoutNow, LeaveRequest, LeaveResponse,
+                             EntryChunk, Register, Redirect, Registered, ConfigurationSent, ConfigurationHeld,
+                             RunnerUpdate, AcquireRequest, AcquireGranted, AcquireDenied, Release,
+                             RunnerReachable, Heartbeat, FunctionMode, LoadReport, OutstandingReport>;
 
 }  // namespace gannethold::cluster
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -48,7 +48,7 @@
 
 // A caller, a scripted runner, and how each call ended.
 struct Runner {
-    struct Ended {
+    struct ReleaseReason {
         HttpCaller::Call call = 0;
         CallEnd how = CallEnd::broken;
         HttpMessage message;
@@ -81,17 +81,17 @@
         }));
         return *found;
     }
-    const Ended& end_of(HttpCaller::Call call) {
-        const Ended* found = nullptr;
+    const ReleaseReason& end_of(HttpCaller::Call call) {
+        const ReleaseReason* found = nullptr;
         BOOST_REQUIRE(until([&] {
-            for (const Ended& one : ended)
+            for (const ReleaseReason& one : ended)
                 if (one.call == call) found = &one;
             return found != nullptr;
         }));
         return *found;
     }
     // How a new call ends after the runner has said that and then done so.
-    Ended after(
+    ReleaseReason after(
         const std::string& words, const std::function<void(Wire&)>& then = [](Wire&) {}) {
         const std::string id = "id" + std::to_string(last + 1);
         call(request(id));
@@ -114,7 +114,7 @@
     Door door;
     bool calling = false;
     HttpCaller::Call last = 0;
-    std::deque<Ended> ended;
+    std::deque<ReleaseReason> ended;
     HttpCaller caller;
 };
 
@@ -261,16 +261,16 @@
 BOOST_AUTO_TEST_CASE(an_answer_without_an_id_counts_as_no_promise_on_a_connection_that_served_others) {
     const std::string not_run = "HTTP/1.1 503 x\r\nX-Request-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
     Runner fresh;
-    const Runner::Ended first = fresh.after(not_run);
-    BOOST_TEST((judge(first.how, first.message, first.fresh) == RunEnd::not_run));
+    const Runner::ReleaseReason first = fresh.after(not_run);
+    BOOST_TEST((judge(first.how, first.message, first.fresh) == AttemptResult::not_run));
     Runner kept;
     kept.exchange_before();
-    const Runner::Ended second = kept.after(not_run);
-    BOOST_TEST((judge(second.how, second.message, second.fresh) == RunEnd::may_have_run));
+    const Runner::ReleaseReason second = kept.after(not_run);
+    BOOST_TEST((judge(second.how, second.message, second.fresh) == AttemptResult::may_have_run));
     // Nor on one where another's answer came first.
     Runner strange;
-    const Runner::Ended third = strange.after(answer("another", "x") + not_run);
-    BOOST_TEST((judge(third.how, third.message, third.fresh) == RunEnd::may_have_run));
+    const Runner::ReleaseReason third = strange.after(answer("another", "x") + not_run);
+    BOOST_TEST((judge(third.how, third.message, third.fresh) == AttemptResult::may_have_run));
 }
 
 BOOST_AUTO_TEST_CASE(only_what_the_runner_states_is_a_promise) {
@@ -281,18 +281,20 @@
         return judge(CallEnd::answered, message, false);
     };
     const std::pair<std::string, std::string> id{"X-Attempt-Id", "a"}, not_run{"X-Request-Not-Run", "full"};
-    BOOST_TEST((judged(200, {id}) == RunEnd::answered));
-    BOOST_TEST((judged(404, {id}) == RunEnd::answered));
-    BOOST_TEST((judged(200, {}) == RunEnd::may_have_run));
-    BOOST_TEST((judged(200, {id, {"Content-Encoding", "gzip"}}) == RunEnd::may_have_run));
-    BOOST_TEST((judged(500, {id}) == RunEnd::failed));
-    for (const int status : {408, 429, 503}) BOOST_TEST((judged(status, {id}) == RunEnd::may_have_run));
-    for (const int status : {400, 429, 503}) BOOST_TEST((judged(status, {id, not_run}) == RunEnd::not_run));
-    BOOST_TEST((judged(421, {id}) == RunEnd::misdirected));
-    BOOST_TEST((judge(CallEnd::broken, {}, true) == RunEnd::may_have_run));
-    BOOST_TEST((judge(CallEnd::malformed, {}, true) == RunEnd::may_have_run));
-    BOOST_TEST((judge(CallEnd::unsent, {}, true) == RunEnd::unsent));
-    BOOST_TEST((judge(CallEnd::unreachable, {}, true) == RunEnd::unreachable));
+    BOOST_TEST((judged(200, {id}) == AttemptResult::answered));
+    BOOST_TEST((judged(404, {id}) == AttemptResult::answered));
+    BOOST_TEST((judged(200, {}) == AttemptResult::may_have_run));
+    BOOST_TEST((judged(200, {id, {"Content-Encoding", "gzip"}}) == AttemptResult::may_have_run));
+    BOOST_TEST((judged(500, {id}) == AttemptResult::failed));
+    for (const int status : {408, 429, 503})
+        BOOST_TEST((judged(status, {id}) == AttemptResult::may_have_run));
+    for (const int status : {400, 429, 503})
+        BOOST_TEST((judged(status, {id, not_run}) == AttemptResult::not_run));
+    BOOST_TEST((judged(421, {id}) == AttemptResult::misdirected));
+    BOOST_TEST((judge(CallEnd::broken, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallEnd::malformed, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallEnd::unsent, {}, true) == AttemptResult::unsent));
+    BOOST_TEST((judge(CallEnd::unreachable, {}, true) == AttemptResult::unreachable));
 }
 
 BOOST_AUTO_TEST_CASE(after_an_answer_that_came_before_the_request_was_written_the_connection_is_not_used) {
@@ -313,7 +315,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(interim_answers_are_no_answers) {
-    const Runner::Ended one =
+    const Runner::ReleaseReason one =
         Runner().after("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: id1\r\n\r\n" +
                        answer("id1", "mine"));
     BOOST_TEST(one.message.body == "mine");
@@ -325,8 +327,8 @@
 BOOST_AUTO_TEST_CASE(answers_that_have_no_body_by_rule_wait_for_none) {
     for (const char* const status : {"204 No Content", "304 Not Modified"}) {
         Runner runner;
-        const Runner::Ended one = runner.after("HTTP/1.1 " + std::string(status) +
-                                               "\r\nX-Attempt-Id: id1\r\nContent-Length: 5\r\n\r\n");
+        const Runner::ReleaseReason one = runner.after("HTTP/1.1 " + std::string(status) +
+                                                       "\r\nX-Attempt-Id: id1\r\nContent-Length: 5\r\n\r\n");
         BOOST_TEST((one.how == CallEnd::answered));
         BOOST_TEST(one.message.body.empty());
     }
@@ -523,7 +525,7 @@
     Wire client = Wire::to(served.port);
     client.say(Served::ask("/1", "HEAD") + Served::ask("/2"));
     BOOST_REQUIRE(served.until([&] { return served.asked.size() == 1; }));
-    served.service.answer(served.asked[0].first, Kind::no_slot, {}, 100);
+    served.service.answer(served.asked[0].first, ErrorCode::no_slot, {}, 100);
     BOOST_REQUIRE(served.until([&] { return served.asked.size() == 2; }));
     served.answer(served.asked[1].first, "mine");
     BOOST_REQUIRE(served.until([&] { return client.has("mine"); }));
@@ -561,25 +563,25 @@
     void open_coordinator() {
         table = std::make_unique<SlotTable>(SlotTable::Options{.budget_slack = 100});
         table->configure(routes);
-        std::vector<FrontMail> mail;
-        for (const Holding& runner : runners) table->listed(now, runner, false, mail);
+        std::vector<ProxyMessage> mail;
+        for (const RunnerInfo& runner : runners) table->listed(now, runner, false, mail);
     }
     void add_runner(const std::string& name) {
         runners.push_back(
             {name, kService, "10.0.0.1:" + std::to_string(runners.size() + 1), "z0", "w", 1, 0, true});
-        std::vector<FrontMail> mail;
+        std::vector<ProxyMessage> mail;
         table->listed(now, runners.back(), false, mail);
         deliver(mail);
     }
-    void deliver(std::vector<FrontMail>& mail) {
-        for (const FrontMail& one : mail) handler.said(now, one.message, actions);
+    void deliver(std::vector<ProxyMessage>& mail) {
+        for (const ProxyMessage& one : mail) handler.said(now, one.message, actions);
         mail.clear();
         carry();
     }
     // What the front says reaches the coordinator, as long as there is one.
     void carry() {
         while (!actions.mails.empty()) {
-            std::vector<FrontMail> mail;
+            std::vector<ProxyMessage> mail;
             for (const Message& message : std::exchange(actions.mails, {})) {
                 said.push_back(message);
                 if (const auto* ask = std::get_if<AcquireRequest>(&message))
@@ -589,29 +591,29 @@
                 if (const auto* outs = std::get_if<OutstandingReport>(&message))
                     table->outs(now, kSession, *outs);
             }
-            for (const FrontMail& one : mail) handler.said(now, one.message, actions);
+            for (const ProxyMessage& one : mail) handler.said(now, one.message, actions);
         }
     }
     // The greeting is on its way; meanwhile may happen what the test does; then the answer comes.
     void greet(const std::function<void()>& meanwhile = [] {}) {
         const Register registration = handler.registration();
         meanwhile();
-        std::vector<FrontMail> mail;
-        table->front_came(now, kSession, registration, mail);
+        std::vector<ProxyMessage> mail;
+        table->on_proxy_registered(now, kSession, registration, mail);
         handler.said(now, Registered{1, 0, 1, {}}, actions);
-        handler.coordinator_connected(now, actions);
+        handler.on_coordinator_registered(now, actions);
         deliver(mail);
     }
     void request(RequestId id) {
         handler.arrived(now, id, "h", "/f/x", 3000, actions);
         carry();
     }
-    void end(RequestId id, RunEnd how) {
+    void end(RequestId id, AttemptResult how) {
         handler.ended(now, id, how, actions);
         carry();
     }
     void lose_coordinator() {
-        handler.coordinator_lost(now, actions);
+        handler.on_coordinator_disconnected(now, actions);
         actions.mails.clear();
     }
     std::uint32_t out() const {
@@ -624,7 +626,7 @@
     std::shared_ptr<const Configuration> routes;
     RequestHandler handler;
     std::unique_ptr<SlotTable> table;
-    std::vector<Holding> runners;
+    std::vector<RunnerInfo> runners;
     Actions actions;
     std::vector<Message> said;
 };
@@ -636,11 +638,11 @@
     together.greet();
     together.request(1);
     BOOST_REQUIRE(together.actions.forwards.size() == 1U);
-    together.end(1, RunEnd::may_have_run);
+    together.end(1, AttemptResult::may_have_run);
     BOOST_TEST(together.actions.forwards.size() == 2U);
-    together.end(1, RunEnd::not_run);
+    together.end(1, AttemptResult::not_run);
     BOOST_REQUIRE(together.actions.replies.size() == 1U);
-    BOOST_TEST(!answer_to(together.actions.replies[0].kind).promise);
+    BOOST_TEST(!error_response(together.actions.replies[0].kind).guarantees_not_run);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_and_then_finds_no_slot_in_time_has_no_promise) {
@@ -649,17 +651,17 @@
     together.greet();
     together.request(1);
     together.request(2);  // waits behind it
-    together.end(1, RunEnd::may_have_run);
+    together.end(1, AttemptResult::may_have_run);
     // The second has the slot now, and the first waits for a second runner until its time is over.
     together.now += 3'100'000;
     together.handler.tick(together.now, together.actions);
     for (const Actions::Reply& reply : together.actions.replies)
-        if (reply.request == 1) BOOST_TEST(!answer_to(reply.kind).promise);
+        if (reply.request == 1) BOOST_TEST(!error_response(reply.kind).guarantees_not_run);
     BOOST_TEST(together.actions.replies.size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(what_may_not_be_repeated_is_sent_once_after_it_may_have_run_and_again_after_a_promise) {
-    for (const RunEnd how : {RunEnd::may_have_run, RunEnd::failed}) {
+    for (const AttemptResult how : {AttemptResult::may_have_run, AttemptResult::failed}) {
         Together together(false, 3);
         together.add_runner("i-1");
         together.greet();
@@ -668,13 +670,13 @@
         BOOST_TEST(together.actions.forwards.size() == 1U);
         BOOST_TEST(together.actions.replies.size() + together.actions.relays.size() == 1U);
         for (const Actions::Reply& reply : together.actions.replies)
-            BOOST_TEST(!answer_to(reply.kind).promise);
+            BOOST_TEST(!error_response(reply.kind).guarantees_not_run);
     }
     Together together(false, 3);
     together.add_runner("i-1");
     together.greet();
     together.request(1);
-    together.end(1, RunEnd::unsent);
+    together.end(1, AttemptResult::unsent);
     BOOST_TEST(together.actions.forwards.size() == 2U);
 }
 
@@ -705,7 +707,8 @@
     BOOST_REQUIRE(together.actions.forwards.size() == 1U);
     together.lose_coordinator();
     together.open_coordinator();
-    together.greet([&] { together.handler.ended(together.now, 1, RunEnd::answered, together.actions); });
+    together.greet(
+        [&] { together.handler.ended(together.now, 1, AttemptResult::answered, together.actions); });
     BOOST_TEST(together.out() == 0U);
     together.request(2);
     BOOST_TEST(together.actions.forwards.size() == 2U);
@@ -716,7 +719,7 @@
     together.add_runner("i-1");
     together.greet();
     together.request(1);
-    together.end(1, RunEnd::answered);
+    together.end(1, AttemptResult::answered);
     together.lose_coordinator();
     together.open_coordinator();
     together.greet([&] {
@@ -724,7 +727,7 @@
         BOOST_REQUIRE(together.actions.forwards.size() == 2U);  // of its own part
     });
     BOOST_TEST(together.out() == 1U);
-    together.end(2, RunEnd::answered);
+    together.end(2, AttemptResult::answered);
     BOOST_TEST(together.out() == 0U);
 }
 
@@ -735,15 +738,15 @@
     together.request(1);
     BOOST_REQUIRE(together.out() == 1U);
     const std::uint32_t number = together.table->runners().begin()->first;
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     together.lose_coordinator();
-    together.table->front_left(together.now, kSession, mail);
+    together.table->on_proxy_disconnected(together.now, kSession, mail);
     together.table->retire(together.now, number, mail);
     mail.clear();
     together.greet();
     BOOST_TEST(together.out() == 1U);
     BOOST_TEST(!together.table->retire(together.now, number, mail));
-    together.end(1, RunEnd::answered);
+    together.end(1, AttemptResult::answered);
     // Nothing is under way there any more: it may be stopped.
     BOOST_TEST(together.out() == 0U);
     BOOST_TEST(together.table->retire(together.now, number, mail));
--- a/tests/system/costs.cpp
+++ b/tests/system/costs.cpp
@@ -12,12 +12,13 @@
     const double ask =
         static_cast<double>(encode(AcquireRequest{123456, 7001, "huvo11a", 1500, 4000, 2, 9, false}).size());
     const double grant = static_cast<double>(encode(AcquireGranted{123456, 7001}).size());
-    const double release = static_cast<double>(encode(Release{123456, 7001, Ended::answered, 61}).size());
+    const double release =
+        static_cast<double>(encode(Release{123456, 7001, ReleaseReason::answered, 61}).size());
     const double told = static_cast<double>(
-        encode(RunnerTold{7001,
-                          RunnerState::ready,
-                          {"i-7f3a91c2ab", "huvo11a", "10.128.0.9:8080", "isan-hall-a", "w-33", 4, 0, true},
-                          false})
+        encode(RunnerUpdate{7001,
+                            RunnerState::ready,
+                            {"i-7f3a91c2ab", "huvo11a", "10.128.0.9:8080", "isan-hall-a", "w-33", 4, 0, true},
+                            false})
             .size());
     const double beat = static_cast<double>(encode(Heartbeat{}).size());
     LoadReport loads{1000, {}};
--- a/tests/system/formats_encoded.cpp
+++ b/tests/system/formats_encoded.cpp
@@ -34,7 +34,7 @@
 
 std::vector<ConfirmedVersion> confirmed_versions() { return {{3, kLarge, 1}, {9, kLarge - 1, 2}, {8, 5, 3}}; }
 std::vector<Load> loads() { return {{"render", 300, 70'000}, {"resize", 2, 9}}; }
-std::vector<Holding> holdings() {
+std::vector<RunnerInfo> runners() {
     return {{"i-1", "render", "10.1.64.9:8080", "plateau", "w-3", 4, 2, true},
             {"i-2", "resize", "10.2.64.7:8081", "almadies", "w-5", 70'000, 65'536, true}};
 }
@@ -61,26 +61,26 @@
 
 std::vector<MessageExample> front_examples() {
     return {
-        {"register", Register{"front-1", "plateau", kLarge, 12, holdings(), loads()}, {}},
+        {"register", Register{"front-1", "plateau", kLarge, 12, runners(), loads()}, {}},
         {"redirect", Redirect{kOther}, {}},
         {"registered", Registered{kLarge, 2, 70'000, {kSender, kOther}}, {}},
         {"configuration_sent", ConfigurationSent{kLarge, {12, kBytes}}, {}},
         {"configuration_held", ConfigurationHeld{kLarge}, {}},
-        {"runner_told", RunnerTold{70'000, RunnerState::ready, holdings().back(), true}, {}},
+        {"runner_told", RunnerUpdate{70'000, RunnerState::ready, runners().back(), true}, {}},
         {"acquire_request", AcquireRequest{70'001, 70'002, "render", 70'003, 70'004, 200, 60'000, true}, {}},
-        {"acquire_granted", AcquireGranted{70'001, 70'002, WaitedFor::memory}, {}},
-        {"acquire_denied", AcquireDenied{70'001, 70'003, WaitedFor::slot}, {}},
-        {"release", Release{70'001, 70'002, Ended::turned_away, 70'003}, {}},
+        {"acquire_granted", AcquireGranted{70'001, 70'002, WaitReason::memory}, {}},
+        {"acquire_denied", AcquireDenied{70'001, 70'003, WaitReason::slot}, {}},
+        {"release", Release{70'001, 70'002, ReleaseReason::rejected, 70'003}, {}},
         {"runner_reachable", RunnerReachable{70'002, true}, {}},
-        {"mode", Mode{"render", true}, {}},
+        {"mode", FunctionMode{"render", true}, {}},
         {"load_report", LoadReport{70'000, loads()}, {}},
         {"outstanding_report", OutstandingReport{{{70'001, 2}, {70'002, 70'003}}}, {}},
     };
 }
 
 // What is read of a runner that is gone: nothing of it is sent, and then its slots are 0, not their default.
-Holding nothing_sent() {
-    Holding holding;
+RunnerInfo nothing_sent() {
+    RunnerInfo holding;
     holding.slots = 0;
     return holding;
 }
@@ -88,17 +88,17 @@
 // One more of each value that an enumeration has.
 std::vector<MessageExample> enumeration_examples() {
     return {
-        {"runner_told_starting", RunnerTold{1, RunnerState::starting, holdings().front(), false}, {}},
-        {"runner_told_gone", RunnerTold{1, RunnerState::gone, nothing_sent(), false}, {}},
-        {"acquire_granted_nothing", AcquireGranted{1, 2, WaitedFor::nothing}, {}},
-        {"acquire_granted_start", AcquireGranted{1, 2, WaitedFor::start}, {}},
-        {"acquire_granted_slot", AcquireGranted{1, 2, WaitedFor::slot}, {}},
-        {"acquire_denied_memory", AcquireDenied{1, 2, WaitedFor::memory}, {}},
-        {"release_unused", Release{1, 2, Ended::unused, 3}, {}},
-        {"release_answered", Release{1, 2, Ended::answered, 3}, {}},
-        {"release_failed", Release{1, 2, Ended::failed, 3}, {}},
-        {"release_unreachable", Release{1, 2, Ended::unreachable, 3}, {}},
-        {"release_gone", Release{1, 2, Ended::gone, 3}, {}},
+        {"runner_told_starting", RunnerUpdate{1, RunnerState::starting, runners().front(), false}, {}},
+        {"runner_told_gone", RunnerUpdate{1, RunnerState::gone, nothing_sent(), false}, {}},
+        {"acquire_granted_nothing", AcquireGranted{1, 2, WaitReason::nothing}, {}},
+        {"acquire_granted_start", AcquireGranted{1, 2, WaitReason::start}, {}},
+        {"acquire_granted_slot", AcquireGranted{1, 2, WaitReason::slot}, {}},
+        {"acquire_denied_memory", AcquireDenied{1, 2, WaitReason::memory}, {}},
+        {"release_unused", Release{1, 2, ReleaseReason::unused, 3}, {}},
+        {"release_answered", Release{1, 2, ReleaseReason::answered, 3}, {}},
+        {"release_failed", Release{1, 2, ReleaseReason::failed, 3}, {}},
+        {"release_unreachable", Release{1, 2, ReleaseReason::unreachable, 3}, {}},
+        {"release_gone", Release{1, 2, ReleaseReason::gone, 3}, {}},
     };
 }
 
@@ -237,7 +237,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(only_the_number_of_a_runner_that_is_gone_is_sent) {
-    const RunnerTold gone{1, RunnerState::gone, holdings().front(), false};
+    const RunnerUpdate gone{1, RunnerState::gone, runners().front(), false};
     BOOST_TEST(hexadecimal(encode(gone)) == hexadecimal(fixture("runner_told_gone")));
 }
 
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_calls.cpp
@@ -110,10 +110,10 @@
         if (std::holds_alternative<Register>(message)) {
             line.send(Registered{1, 0, 1, {}});
             line.send(ConfigurationSent{1, {0, make_delta({}, kConfiguration)}});
-            line.send(RunnerTold{kRunnerNumber,
-                                 RunnerState::ready,
-                                 {kRunnerName, "f", runner.address(), "z0", "w", 8, 0, true},
-                                 false});
+            line.send(RunnerUpdate{kRunnerNumber,
+                                   RunnerState::ready,
+                                   {kRunnerName, "f", runner.address(), "z0", "w", 8, 0, true},
+                                   false});
         }
         if (const auto* held = std::get_if<ConfigurationHeld>(&message)) held_ = held->version == 1;
         if (const auto* ask = std::get_if<AcquireRequest>(&message)) {
--- a/tests/system/required.hpp
+++ b/tests/system/required.hpp
@@ -11,7 +11,7 @@
 template <class Value, class Call>
 Value required(const Call& call) {
     return leaf::try_handle_all([&]() -> leaf::result<Value> { return call(); },
-                                [](const Detail& detail) -> Value {
+                                [](const ErrorDetail& detail) -> Value {
                                     BOOST_FAIL("failed: " << detail.text);
                                     throw;
                                 },
--- a/tests/system/scenarios.cpp
+++ b/tests/system/scenarios.cpp
@@ -128,7 +128,7 @@
             m.slots = static_cast<std::uint32_t>(value(w, "slots", 1));
             m.boot_ms = static_cast<int>(value(w, "boot", 900));
             m.memory_mb = static_cast<int>(value(w, "memory", 128));
-            m.aim_ms = static_cast<int>(value(w, "aim", 1500));
+            m.latency_target_ms = static_cast<int>(value(w, "aim", 1500));
             m.timeout_ms = static_cast<int>(value(w, "timeout", 4000));
             m.priority = static_cast<int>(value(w, "priority", 1));
             for (std::size_t i = 0; i + 1 < w.size(); ++i)
@@ -306,7 +306,7 @@
         if (name == "stops") return x.stops;
         if (name == "ran") return x.ran;
         if (name == "unconnected") return x.unconnected;
-        if (name == "turned-away") return x.turned_away;
+        if (name == "turned-away") return x.rejected;
         if (name == "worst-refusal-ms") return static_cast<double>(x.refusal_worst_of[arg]) / 1e3;
         if (name == "free") return x.is_unrestricted(arg);
         if (name == "greetings") return static_cast<double>(x.greetings());
@@ -352,8 +352,8 @@
                     BOOST_LEAF_CHECK(Configuration::read(text));
                 return {};
             },
-            [&](Kind k, const Detail& d) {
-                got = answer_to(k).name;
+            [&](ErrorCode k, const ErrorDetail& d) {
+                got = error_response(k).name;
                 detail = d.text;
             },
             [&] { got = "?"; });
@@ -362,8 +362,9 @@
         if (colon != std::string::npos)
             BOOST_TEST(detail.find(kind.substr(colon + 1)) != std::string::npos, detail);
         if (!settings && got != "ok") {
-            const int status = got == "configuration_cut" ? answer_to(Kind::configuration_cut).status
-                                                          : answer_to(Kind::configuration_invalid).status;
+            const int status = got == "configuration_cut"
+                                   ? error_response(ErrorCode::configuration_cut).status
+                                   : error_response(ErrorCode::configuration_invalid).status;
             BOOST_TEST((status >= 400 && status < 500));
         }
     }
@@ -498,7 +499,7 @@
         World world(shape);
         World::Made service;
         service.name = "a";
-        service.aim_ms = 8000;
+        service.latency_target_ms = 8000;
         service.timeout_ms = 10'000;
         service.idempotent = false;
         service.attempts = 1;
@@ -534,7 +535,7 @@
             },
             [] { BOOST_FAIL("the configuration can not be read"); });
         Actions ignored;
-        handler.coordinator_connected(kStart, ignored);
+        handler.on_coordinator_registered(kStart, ignored);
     }
 
     Actions arrive(Micros now, RequestId id) {
@@ -567,17 +568,17 @@
     BOOST_TEST(front.tick(WaitingFront::kStart + 3'500'000).replies.empty());
     const Actions late = front.tick(WaitingFront::kStart + 3'700'000);
     BOOST_REQUIRE(late.replies.size() == 1U);
-    BOOST_TEST((late.replies.front().kind == Kind::leaving));
+    BOOST_TEST((late.replies.front().kind == ErrorCode::leaving));
     BOOST_TEST(late.replies.front().retry_ms > 0U);
     // The coordinator is told that the slot is not wanted any more.
     BOOST_REQUIRE(late.mails.size() == 1U);
     const auto* const release = std::get_if<Release>(&late.mails.front());
     BOOST_REQUIRE(release != nullptr);
-    BOOST_TEST((release->id == request->id && release->how == Ended::unused));
+    BOOST_TEST((release->id == request->id && release->how == ReleaseReason::unused));
     // What comes now is refused at once.
     const Actions refused = front.arrive(WaitingFront::kStart + 3'800'000, 2);
     BOOST_REQUIRE(refused.replies.size() == 1U);
-    BOOST_TEST((refused.replies.front().kind == Kind::leaving));
+    BOOST_TEST((refused.replies.front().kind == ErrorCode::leaving));
     BOOST_TEST(refused.mails.empty());
     BOOST_TEST(front.handler.open() == 0U);
 }
@@ -586,7 +587,7 @@
     WaitingFront front;
     const Actions asked = front.arrive(WaitingFront::kStart, 1);
     const std::uint32_t id = std::get<AcquireRequest>(asked.mails.front()).id;
-    RunnerTold runner;
+    RunnerUpdate runner;
     runner.number = 3;
     runner.state = RunnerState::ready;
     runner.runner = {"i-1", "a", "10.1.0.1:80", "z0", "w-0", 1, 0, true};
@@ -598,10 +599,10 @@
     front.handler.said(WaitingFront::kStart + 3'700'000, AcquireGranted{id, 3}, granted);
     BOOST_TEST(granted.forwards.empty());
     BOOST_REQUIRE(granted.replies.size() == 1U);
-    BOOST_TEST((granted.replies.front().kind == Kind::leaving));
+    BOOST_TEST((granted.replies.front().kind == ErrorCode::leaving));
     BOOST_REQUIRE(granted.mails.size() == 1U);
     const auto& release = std::get<Release>(granted.mails.front());
-    BOOST_TEST((release.id == id && release.runner == 3U && release.how == Ended::unused));
+    BOOST_TEST((release.id == id && release.runner == 3U && release.how == ReleaseReason::unused));
 }
 
 // A member that was frozen may answer, in the term of now, heartbeats of an earlier life of the same leader:
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -165,7 +165,7 @@
     return {
         {"timeout_ms", "4000", [](auto& c) { first_route(c).timeout = 4'000'000; }},
         {"target_latency_ms", "400",
-         [](auto& c) { first_route(c).aim = first_service(c).tightest_aim = 400'000; }},
+         [](auto& c) { first_route(c).latency_target = first_service(c).tightest_aim = 400'000; }},
         {"priority", "2", [](auto& c) { first_route(c).priority = 2; }},
         {"max_attempts", "3", [](auto& c) { first_route(c).attempts = 3; }},
     };
@@ -205,9 +205,9 @@
     return message;
 }
 
-Page page_of(const std::string& entry) {
+RunnerListPage page_of(const std::string& entry) {
     const std::string body = R"({"instances":[)" + entry + R"(],"next_page_token":"p-50"})";
-    return required<Page>([&] { return RunnersResource{}.read(answer(200, body)); });
+    return required<RunnerListPage>([&] { return RunnerListResource{}.read(answer(200, body)); });
 }
 
 constexpr char kEntry[] =
@@ -251,7 +251,7 @@
                 BOOST_LEAF_CHECK(Settings::parse(text));
                 return false;
             },
-            [](Kind kind) { return kind == Kind::settings_invalid; }, [] { return false; });
+            [](ErrorCode kind) { return kind == ErrorCode::settings_invalid; }, [] { return false; });
         BOOST_TEST(refused, name);
     }
 }
@@ -315,14 +315,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(each_field_of_the_list_of_runners_arrives) {
-    const Page page = page_of(std::string(kEntry) + ',' + kDrainingEntry);
-    const Page expected{{{{"i-7", "render", "10.128.0.9:8080", "plateau", "w-3", 4, 0, true}, false},
-                         {{"i-8", "", "10.128.0.8:8080", "", "", 1, 0, true}, true}},
-                        "p-50"};
+    const RunnerListPage page = page_of(std::string(kEntry) + ',' + kDrainingEntry);
+    const RunnerListPage expected{
+        {{{"i-7", "render", "10.128.0.9:8080", "plateau", "w-3", 4, 0, true}, false},
+         {{"i-8", "", "10.128.0.8:8080", "", "", 1, 0, true}, true}},
+        "p-50"};
     BOOST_TEST(same(page, expected));
-    const Page last = required<Page>(
-        [] { return RunnersResource{}.read(answer(200, R"({"instances":[],"next_page_token":null})")); });
-    BOOST_TEST(same(last, Page{}));
+    const RunnerListPage last = required<RunnerListPage>(
+        [] { return RunnerListResource{}.read(answer(200, R"({"instances":[],"next_page_token":null})")); });
+    BOOST_TEST(same(last, RunnerListPage{}));
 }
 
 BOOST_AUTO_TEST_CASE(each_field_of_the_list_of_workers_arrives) {
@@ -331,37 +332,39 @@
         R"("no_such_field":{}},{"name":"w-4","zone":"almadies","memory_mb":2048,"free_memory_mb":12,)"
         R"("state":"draining"}],"no_such_field":1})";
     const auto workers =
-        required<std::vector<Worker>>([&] { return WorkersResource{}.read(answer(200, body)); });
+        required<std::vector<Worker>>([&] { return WorkerListResource{}.read(answer(200, body)); });
     const std::vector<Worker> expected{{"w-3", "plateau", 4096, 1280, true},
                                        {"w-4", "almadies", 2048, 12, false}};
     BOOST_TEST(same(workers, expected));
 }
 
 BOOST_AUTO_TEST_CASE(the_answer_to_a_start_arrives) {
-    const BeginResource begin;
-    Holding begun;
+    const StartRunnerResource begin;
+    RunnerInfo begun;
     const std::string body = R"({"runner_id":"i-7","address":"10.1.64.9:8080","no_such_field":1})";
-    BOOST_TEST((begin.read(answer(200, body), begun) == BeginAnswer::begun));
+    BOOST_TEST((begin.read(answer(200, body), begun) == StartResult::begun));
     BOOST_TEST(begun.runner == "i-7");
     BOOST_TEST(begun.address == "10.1.64.9:8080");
-    BOOST_TEST((begin.read(answer(409, ""), begun) == BeginAnswer::no_room));
-    BOOST_TEST((begin.read(answer(429, ""), begun) == BeginAnswer::busy));
-    BOOST_TEST((begin.read(answer(400, ""), begun) == BeginAnswer::refused));
-    BOOST_TEST(StopResource{}.done(answer(404, "")));
-    BOOST_TEST(!StopResource{}.done(answer(429, "")));
+    BOOST_TEST((begin.read(answer(409, ""), begun) == StartResult::no_room));
+    BOOST_TEST((begin.read(answer(429, ""), begun) == StartResult::busy));
+    BOOST_TEST((begin.read(answer(400, ""), begun) == StartResult::refused));
+    BOOST_TEST(StopRunnerResource{}.done(answer(404, "")));
+    BOOST_TEST(!StopRunnerResource{}.done(answer(429, "")));
 }
 
 BOOST_AUTO_TEST_CASE(calls_to_the_platform_are_written_as_before) {
     const Fence fence{"front-1", 12};
-    BOOST_TEST(request_text(RunnersResource{}.get("")) == "GET /runners HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(RunnersResource{}.get("p 50")) ==
+    BOOST_TEST(request_text(RunnerListResource{}.get("")) ==
+               "GET /runners HTTP/1.1\r\nHost: platform\r\n\r\n");
+    BOOST_TEST(request_text(RunnerListResource{}.get("p 50")) ==
                "GET /runners?page_token=p%2050 HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(WorkersResource{}.get()) == "GET /v1/workers HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(BeginResource{}.post(fence, {"render", "w-3", "n-81"})) ==
+    BOOST_TEST(request_text(WorkerListResource{}.get()) ==
+               "GET /v1/workers HTTP/1.1\r\nHost: platform\r\n\r\n");
+    BOOST_TEST(request_text(StartRunnerResource{}.post(fence, {"render", "w-3", "n-81"})) ==
                "POST /v1/begin HTTP/1.1\r\nHost: platform\r\nX-Duty-Holder: front-1\r\nX-Fence-Number: 12\r\n"
                "Content-Type: application/json\r\nContent-Length: 61\r\n\r\n"
                R"({"service":"render","worker_id":"w-3","request_nonce":"n-81"})");
-    BOOST_TEST(request_text(StopResource{}.post(fence, {"i-7"})) ==
+    BOOST_TEST(request_text(StopRunnerResource{}.post(fence, {"i-7"})) ==
                "POST /v1/stop HTTP/1.1\r\nHost: platform\r\nX-Duty-Holder: front-1\r\nX-Fence-Number: 12\r\n"
                "Content-Type: application/json\r\nContent-Length: 19\r\n\r\n"
                R"({"runner_id":"i-7"})");
--- a/tests/system/slots_tests.cpp
+++ b/tests/system/slots_tests.cpp
@@ -30,12 +30,12 @@
     return registration;
 }
 
-Holding instance(const std::string& name) { return {name, "f", "127.0.0.1:1", "z", "w", 1, 0, true}; }
+RunnerInfo instance(const std::string& name) { return {name, "f", "127.0.0.1:1", "z", "w", 1, 0, true}; }
 
 AcquireRequest request(std::uint32_t id) { return {id, 0, "f", 1000, 4000, 1, 1, false}; }
 
-bool granted(const std::vector<FrontMail>& mail, Session to) {
-    return std::any_of(mail.begin(), mail.end(), [&](const FrontMail& one) {
+bool granted(const std::vector<ProxyMessage>& mail, Session to) {
+    return std::any_of(mail.begin(), mail.end(), [&](const ProxyMessage& one) {
         return one.to == to && std::holds_alternative<AcquireGranted>(one.message);
     });
 }
@@ -43,12 +43,12 @@
 struct Table {
     Table() : slots({}) {
         slots.configure(one_function());
-        slots.front_came(0, kFirst, proxy("first"), mail);
-        slots.front_came(0, kSecond, proxy("second"), mail);
+        slots.on_proxy_registered(0, kFirst, proxy("first"), mail);
+        slots.on_proxy_registered(0, kSecond, proxy("second"), mail);
     }
     const Function& function() const { return *slots.functions().at("f"); }
 
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     SlotTable slots;
 };
 
@@ -62,7 +62,7 @@
     table.mail.clear();
     table.slots.ask(0, kSecond, request(1), table.mail);
     BOOST_TEST(!granted(table.mail, kSecond));
-    table.slots.front_left(0, kFirst, table.mail);
+    table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.slots.runners().begin()->second.out() == 0U);
     table.slots.tick(400'000, table.mail);
     BOOST_TEST(granted(table.mail, kSecond));
@@ -74,7 +74,7 @@
     const std::uint32_t number = table.slots.runners().begin()->first;
     table.slots.outs(0, kFirst, OutstandingReport{{{number, 1}}});
     BOOST_TEST(table.slots.runner(number).out() == 1U);
-    table.slots.front_left(0, kFirst, table.mail);
+    table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.slots.runner(number).out() == 0U);
 }
 
@@ -82,12 +82,12 @@
     Table table;
     table.slots.ask(0, kFirst, request(1), table.mail);
     BOOST_TEST(table.function().waiting.size() == 1U);
-    table.slots.front_left(0, kFirst, table.mail);
+    table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.function().waiting.empty());
     BOOST_TEST(table.function().interested.empty());
     table.mail.clear();
     table.slots.listed(0, instance("i-1"), false, table.mail);
-    for (const FrontMail& one : table.mail) BOOST_TEST(one.to != kFirst);
+    for (const ProxyMessage& one : table.mail) BOOST_TEST(one.to != kFirst);
 }
 
 BOOST_AUTO_TEST_CASE(loads_of_a_proxy_that_left_count_no_more) {
@@ -95,7 +95,7 @@
     table.slots.loads(0, kFirst, LoadReport{1000, {{"f", 3, 200}}});
     table.slots.loads(0, kSecond, LoadReport{1000, {{"f", 3, 200}}});
     BOOST_TEST(table.function().parts.size() == 2U);
-    table.slots.front_left(0, kFirst, table.mail);
+    table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.function().parts.size() == 1U);
     BOOST_TEST(table.function().parts.count(kSecond) == 1U);
 }
@@ -106,7 +106,7 @@
     const Session watcher = table.slots.runners().begin()->second.watcher;
     BOOST_TEST((watcher == kFirst || watcher == kSecond));
     table.mail.clear();
-    table.slots.front_left(0, watcher, table.mail);
+    table.slots.on_proxy_disconnected(0, watcher, table.mail);
     const Session other = watcher == kFirst ? kSecond : kFirst;
     BOOST_TEST(table.slots.runners().begin()->second.watcher == other);
     BOOST_REQUIRE(table.mail.size() == 1U);
@@ -122,7 +122,7 @@
         table.slots.listed(0, instance(name), false, table.mail);
         if (n % 2 == 0) table.slots.gone(0, name, "stopped", table.mail);
     }
-    table.slots.front_left(0, kFirst, table.mail);
+    table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.slots.runners().size() == static_cast<std::size_t>(kMany / 2));
     for (const auto& [number, runner] : table.slots.runners()) {
         BOOST_TEST(runner.told.empty());
--- a/tests/system/world.hpp
+++ b/tests/system/world.hpp
@@ -64,7 +64,7 @@
     struct Made {
         std::string name;
         std::uint32_t slots = 1;
-        int boot_ms = 900, memory_mb = 128, aim_ms = 1500, timeout_ms = 4000;
+        int boot_ms = 900, memory_mb = 128, latency_target_ms = 1500, timeout_ms = 4000;
         bool idempotent = true;
         int attempts = 2;
         std::string of;  // a further route to that service, with aims of its own
@@ -135,7 +135,7 @@
     int unconnected = 0;  // requests that met a front which accepts no connections
     int reads = 0, registrations = 0, conflicts = 0, confirmations = 0, ends_after_grace = 0;
     std::size_t most_queued = 0;  // bytes to one member
-    int late = 0, ran = 0, turned_away = 0, starts = 0, stops = 0, fence_refused = 0;
+    int late = 0, ran = 0, rejected = 0, starts = 0, stops = 0, fence_refused = 0;
     std::map<std::string, Micros> refusal_worst_of;  // longest time to an answer that promises it has not run
     std::size_t runners(const std::string& service) const;   // that live
     bool is_unrestricted(const std::string& service) const;  // at the leader: fronts take its slots unasked
@@ -182,7 +182,7 @@
     void end_if_it_may(Core& core);
     void open_core(Core& core);
     void coordinator_step(Core& core);
-    void post(std::size_t core, std::vector<FrontMail>& mail);
+    void post(std::size_t core, std::vector<ProxyMessage>& mail);
     void to_coordinator(std::size_t front, const Message& message);
     void take(std::size_t front, std::size_t core, Number life, Number term, Session session,
               const Message& message);
@@ -191,7 +191,7 @@
     void stop_front(std::size_t f);
     std::vector<RequestId> unanswered(std::size_t f) const;
     void actions(std::size_t f, Actions& d);
-    void begin(std::size_t core, Number life, const Begin& begin, Number fence);
+    void begin(std::size_t core, Number life, const StartRunner& begin, Number fence);
     void breach(const std::string& what);
     template <class... Parts>
     void digest_output(const Parts&... parts) {
@@ -242,7 +242,7 @@
         int work_ms = 0, runs = 0;
         bool idempotent = true, answered = false, promised = false;
         Micros came = 0;
-        Micros aim = 0;
+        Micros latency_target = 0;
         Number front_life = 0;
     };
     std::map<RequestId, Try> tries_;
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -66,7 +66,7 @@
         cores_.begin());
     Core::Coordinator& k = *core.coordinator;
     k.next = now_ + SlotTable::kSample;
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     // The platform's lists, as it shows them late.
     std::vector<Worker> workers;
     for (std::size_t w = 0; w < shape_.workers; ++w) {
@@ -76,10 +76,10 @@
                 {name, "z" + std::to_string(w % 3), shape_.worker_mb, 0, !workers_draining_.count(name)});
     }
     k.planner.workers(now_, workers);
-    k.planner.end_lost_starts(now_, k.slot_table, mail);
+    k.planner.cancel_lost_starts(now_, k.slot_table, mail);
     std::string token;
     if (k.listing.due(now_, token)) {
-        Page page;
+        RunnerListPage page;
         for (const auto& [id, r] : runners_)
             if (now_ >= r->listed_at && (!r->ended || now_ < r->ended_seen()))
                 page.runners.push_back(
@@ -87,7 +87,7 @@
         bool whole = false;
         std::vector<std::string> gone;
         k.listing.page(now_, page, whole, gone);
-        for (const Listed& one : page.runners) k.slot_table.listed(now_, one.what, one.draining, mail);
+        for (const ListedRunner& one : page.runners) k.slot_table.listed(now_, one.what, one.draining, mail);
         for (const std::string& id : gone) k.slot_table.gone(now_, id, "not listed", mail);
         k.planner.list_read(now_);
     }
@@ -95,31 +95,34 @@
     // What was granted by this coordinator itself, never more than there are slots.
     for (const auto& [number, r] : k.slot_table.runners()) {
         std::set<std::pair<Session, std::uint32_t>> granted;
-        for (const Slots::Given& g : r.given)
+        for (const RunnerSlots::Given& g : r.given)
             if (g.ask > 0 && !granted.insert({g.front, g.ask}).second)
                 breach("one ask has two slots of " + r.what.runner);
         if (granted.size() > r.what.slots) breach("more granted than " + r.what.runner + " has slots");
     }
     // Nobody goes before one that came earlier but by having less time left, or where that one can not be in
     // aim, or as a late one in its turn.
-    const auto& overtakings = k.slot_table.overtakings();
-    const std::size_t fresh = std::min(overtakings.all() - k.overtakings, overtakings.kept().size());
-    k.overtakings = overtakings.all();
-    for (std::size_t n = overtakings.kept().size() - fresh; n < overtakings.kept().size(); ++n) {
-        const Overtaking& o = overtakings.kept()[n];
-        const bool urgent = o.aim_left + o.priority * kRank <= o.before_aim_left + o.before_priority * kRank;
+    const auto& priority_inversions = k.slot_table.priority_inversions();
+    const std::size_t fresh =
+        std::min(priority_inversions.all() - k.priority_inversions, priority_inversions.kept().size());
+    k.priority_inversions = priority_inversions.all();
+    for (std::size_t n = priority_inversions.kept().size() - fresh; n < priority_inversions.kept().size();
+         ++n) {
+        const PriorityInversion& o = priority_inversions.kept()[n];
+        const bool urgent =
+            o.target_left + o.priority * kRank <= o.before_target_left + o.before_priority * kRank;
         const bool past = std::string(o.why) != "less_time_left";
         if (!past && !urgent) breach("one with more time left went first in " + o.service);
-        if (std::string(o.why) == "it_can_be_in_aim" && o.aim_left <= 0)
+        if (std::string(o.why) == "it_can_be_in_aim" && o.target_left <= 0)
             breach("one that is late itself went before a late one in " + o.service);
     }
     overtaken += fresh;
     k.planner.plan_all(now_, k.slot_table, mail);
-    PlatformOrders orders;
+    PlatformRequests orders;
     k.planner.due(now_, orders);
     post(i, mail);
-    for (const Begin& b : orders.begins) begin(i, core.life, b, k.term);
-    for (const Stop& s : orders.stops) {
+    for (const StartRunner& b : orders.starts) begin(i, core.life, b, k.term);
+    for (const StopRunner& s : orders.stops) {
         digest_output(std::uint64_t{i}, std::string_view(s.runner));
         ++stops;
         const Number life = core.life, term = k.term;
@@ -130,23 +133,23 @@
             if (chance(platform_answers_lost_)) return;
             Core& c = *cores_[i];
             if (c.life != life || !c.coordinator || c.coordinator->term != term) return;
-            c.coordinator->planner.stop_answered(s.runner, true);
-            std::vector<FrontMail> mail;
+            c.coordinator->planner.on_stop_result(s.runner, true);
+            std::vector<ProxyMessage> mail;
             c.coordinator->slot_table.gone(now_, s.runner, "stopped", mail);
             post(i, mail);
         });
     }
 }
 
-void World::begin(std::size_t core, Number life, const Begin& b, Number fence) {
+void World::begin(std::size_t core, Number life, const StartRunner& b, Number fence) {
     digest_output(std::uint64_t{core}, fence, std::string_view(b.service), std::string_view(b.worker),
                   std::string_view(b.nonce));
     at(now_ + hop(), [this, core, life, b, fence] {
-        BeginAnswer answer = BeginAnswer::begun;
-        Holding begun;
+        StartResult answer = StartResult::begun;
+        RunnerInfo begun;
         if (fence < fence_ || (fence == fence_ && fence_holder_ != cores_[core]->name)) {
             ++fence_refused;
-            answer = BeginAnswer::refused;
+            answer = StartResult::refused;
         } else {
             if (fence > fence_) fence_ = fence, fence_holder_ = cores_[core]->name;
             const std::string key = b.service + "/" + b.nonce;
@@ -162,7 +165,7 @@
                 if (made == services.end() || workers_down_.count(b.worker) ||
                     workers_draining_.count(b.worker) || used + made->memory_mb > shape_.worker_mb) {
                     nonces_.erase(key);
-                    answer = BeginAnswer::no_room;
+                    answer = StartResult::no_room;
                 } else {
                     ++starts;
                     id = "i-" + std::to_string(++made_);
@@ -176,27 +179,27 @@
                     runners_[id] = std::move(r);
                 }
             }
-            if (answer == BeginAnswer::begun) {
+            if (answer == StartResult::begun) {
                 const Runner& r = *runners_[nonces_[key]];
                 begun = {r.id, r.service, r.address, r.zone, r.worker, r.slots, 0, false};
             }
         }
         const bool lost = chance(platform_answers_lost_);
-        if (lost) answer = BeginAnswer::silent;
+        if (lost) answer = StartResult::silent;
         at(now_ + (lost ? kCallLimit : hop()), [this, core, life, b, answer, begun] {
             Core& c = *cores_[core];
             if (c.life != life || !c.coordinator || !c.consensus || !c.consensus->leads(now_)) return;
-            std::vector<FrontMail> mail;
-            if (answer == BeginAnswer::begun) c.coordinator->slot_table.began(now_, begun, mail);
-            c.coordinator->planner.begin_answered(now_, b.nonce, answer);
+            std::vector<ProxyMessage> mail;
+            if (answer == StartResult::begun) c.coordinator->slot_table.began(now_, begun, mail);
+            c.coordinator->planner.on_start_result(now_, b.nonce, answer);
             post(core, mail);
         });
     });
 }
 
-void World::post(std::size_t core, std::vector<FrontMail>& mail) {
-    for (const FrontMail& one : mail) digest_message(core, one.to, one.message);
-    for (const FrontMail& one : mail)
+void World::post(std::size_t core, std::vector<ProxyMessage>& mail) {
+    for (const ProxyMessage& one : mail) digest_message(core, one.to, one.message);
+    for (const ProxyMessage& one : mail)
         for (std::size_t f = 0; f < fronts_.size(); ++f) {
             Front& front = *fronts_[f];
             if (front.session != one.to || front.core != core) continue;
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -26,15 +26,15 @@
            [=, this] { take(f, core, life, term, session, message); });
         return;
     }
-    std::vector<FrontMail> mail;
+    std::vector<ProxyMessage> mail;
     SlotTable& slot_table = c.coordinator->slot_table;
     if (const auto* m = std::get_if<AcquireRequest>(&message)) {
         Function* const fn = slot_table.ask(now_, session, *m, mail);
         if (fn && !fn->waiting.empty()) {
             c.coordinator->planner.plan_waiting(now_, slot_table, *fn, mail);
-            PlatformOrders orders;
+            PlatformRequests orders;
             c.coordinator->planner.due(now_, orders);
-            for (const Begin& b : orders.begins) begin(core, life, b, term);
+            for (const StartRunner& b : orders.starts) begin(core, life, b, term);
         }
     }
     if (const auto* m = std::get_if<Release>(&message)) slot_table.release(now_, session, *m, mail);
@@ -55,13 +55,14 @@
             if (!front.off || now_ > front.heard + kReach) {
                 if (c->up && c->coordinator && c->coordinator->term == front.term &&
                     c->life == front.core_life) {
-                    std::vector<FrontMail> mail;
-                    cores_[*front.core]->coordinator->slot_table.front_left(now_, front.session, mail);
+                    std::vector<ProxyMessage> mail;
+                    cores_[*front.core]->coordinator->slot_table.on_proxy_disconnected(now_, front.session,
+                                                                                       mail);
                     cores_[*front.core]->coordinator->fronts.erase(f);
                     post(*front.core, mail);
                 }
                 front.core.reset();
-                front.handler->coordinator_lost(now_, d);
+                front.handler->on_coordinator_disconnected(now_, d);
             }
         }
         if (!front.core && !front.off) {
@@ -72,14 +73,14 @@
                 front.session = ++session_;
                 front.heard = front.next = now_;
                 next.coordinator->fronts.insert(f);
-                std::vector<FrontMail> mail;
+                std::vector<ProxyMessage> mail;
                 const auto rank = static_cast<std::uint32_t>(
                     std::distance(next.coordinator->fronts.begin(), next.coordinator->fronts.find(f)));
                 mail.push_back(
                     {front.session,
                      Registered{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}}});
-                next.coordinator->slot_table.front_came(now_, front.session, front.handler->registration(),
-                                                        mail);
+                next.coordinator->slot_table.on_proxy_registered(now_, front.session,
+                                                                 front.handler->registration(), mail);
                 if (next.consensus && next.consensus->committed() &&
                     (next.consensus->leads(now_) || shape_.sabotage == Sabotage::configure_without_lease) &&
                     next.consensus->committed()->version > front.handler->version())
@@ -93,7 +94,7 @@
                         },
                         [] {});
                 post(*front.core, mail);
-                front.handler->coordinator_connected(now_, d);
+                front.handler->on_coordinator_registered(now_, d);
             }
         }
         if (!front.shutdown.begun() && front.handler->configuration()) front.accepts = true;
@@ -127,19 +128,20 @@
         Try& t = tries_[reply.request];
         if (t.answered) breach("answered twice");
         t.answered = true;
-        const Answer a = answer_to(reply.kind);
+        const ErrorResponse a = error_response(reply.kind);
         ++statuses[a.status];
         ++refused_of[t.service];
-        if (a.promise) refusal_worst_of[t.service] = std::max(refusal_worst_of[t.service], now_ - t.came);
-        if (a.promise) t.promised = true;
-        if (a.promise && t.runs > 0) breach("refused as not run, and it has run");
+        if (a.guarantees_not_run)
+            refusal_worst_of[t.service] = std::max(refusal_worst_of[t.service], now_ - t.came);
+        if (a.guarantees_not_run) t.promised = true;
+        if (a.guarantees_not_run && t.runs > 0) breach("refused as not run, and it has run");
     }
     for (const RequestId id : d.relays) {
         Try& t = tries_[id];
         if (t.answered) breach("answered twice");
         t.answered = true;
         ++statuses[200];
-        if (now_ > t.came + t.aim) ++late, ++late_of[t.service];
+        if (now_ > t.came + t.latency_target) ++late, ++late_of[t.service];
         ++answered_of[t.service];
         worst_of[t.service] = std::max(worst_of[t.service], now_ - t.came);
     }
@@ -154,9 +156,9 @@
         const RequestId id = fw.request;
         const std::string want = fw.runner, address = fw.address;
         const Number life = front.life;
-        const auto end = [this, f, id, life](RunEnd how) {
-            if (shape_.sabotage == Sabotage::repeat_after_silence && how == RunEnd::may_have_run)
-                how = RunEnd::unsent;
+        const auto end = [this, f, id, life](AttemptResult how) {
+            if (shape_.sabotage == Sabotage::repeat_after_silence && how == AttemptResult::may_have_run)
+                how = AttemptResult::unsent;
             at(now_ + hop(), [this, f, id, life, how] {
                 Front& front = *fronts_[f];
                 if (!front.up || front.life != life) return;
@@ -169,12 +171,12 @@
             const auto r = std::find_if(runners_.begin(), runners_.end(), [&](const auto& one) {
                 return one.second->address == address && !one.second->ended;
             });
-            if (r == runners_.end() || now_ < r->second->ready_at) return end(RunEnd::unreachable);
+            if (r == runners_.end() || now_ < r->second->ready_at) return end(AttemptResult::unreachable);
             Runner& runner = *r->second;
-            if (runner.id != want) return end(RunEnd::misdirected);
+            if (runner.id != want) return end(AttemptResult::misdirected);
             if (runner.busy >= runner.slots) {
-                ++turned_away;
-                return end(RunEnd::not_run);
+                ++rejected;
+                return end(AttemptResult::not_run);
             }
             Try& t = tries_[id];
             ++runner.busy;
@@ -190,8 +192,8 @@
                 t.at.clear();
                 --at->second->busy;
                 end(lost || (at->second->ended && workers_down_.count(at->second->worker))
-                        ? RunEnd::may_have_run
-                        : RunEnd::answered);
+                        ? AttemptResult::may_have_run
+                        : AttemptResult::answered);
             });
         });
     }
@@ -250,8 +252,8 @@
     Front& front = *fronts_[f];
     if (front.core && cores_[*front.core]->coordinator &&
         cores_[*front.core]->coordinator->term == front.term) {
-        std::vector<FrontMail> mail;
-        cores_[*front.core]->coordinator->slot_table.front_left(now_, front.session, mail);
+        std::vector<ProxyMessage> mail;
+        cores_[*front.core]->coordinator->slot_table.on_proxy_disconnected(now_, front.session, mail);
         cores_[*front.core]->coordinator->fronts.erase(f);
         post(*front.core, mail);
     }
--- a/tests/system/world_outside.cpp
+++ b/tests/system/world_outside.cpp
@@ -14,8 +14,9 @@
         text << (i ? "," : "") << "{\"name\":\"r-" << m.name
              << "\",\"host\":\"h.example\",\"path_prefix\":\"/" << m.name << "/\",\"route_kind\":\""
              << (m.idempotent ? "idempotent" : "non_idempotent") << "\",\"timeout_ms\":" << m.timeout_ms
-             << ",\"target_latency_ms\":" << m.aim_ms << ",\"priority\":" << m.priority << ",\"service\":\""
-             << (m.of.empty() ? m.name : m.of) << "\",\"max_attempts\":" << m.attempts << "}";
+             << ",\"target_latency_ms\":" << m.latency_target_ms << ",\"priority\":" << m.priority
+             << ",\"service\":\"" << (m.of.empty() ? m.name : m.of) << "\",\"max_attempts\":" << m.attempts
+             << "}";
     }
     text << "],\"services\":[";
     bool any = false;
@@ -42,7 +43,7 @@
     t.front_life = front.life;
     t.front = f, t.service = service, t.work_ms = work_ms, t.came = now_;
     for (const Made& m : services)
-        if (m.name == service) t.idempotent = m.idempotent, t.aim = m.aim_ms * 1000LL;
+        if (m.name == service) t.idempotent = m.idempotent, t.latency_target = m.latency_target_ms * 1000LL;
     Actions d;
     front.handler->arrived(now_, id, "h.example", "/" + service + "/x",
                            static_cast<std::uint32_t>(deadline_ms), d);
--- a/tests/system/world_parts.hpp
+++ b/tests/system/world_parts.hpp
@@ -33,11 +33,11 @@
         Number term = 0;
         SlotTable slot_table;
         Planner planner;
-        Listing listing;
+        RunnerListing listing;
         std::set<std::size_t> fronts;
         Number version = 0;
         Micros next = 0;
-        std::size_t overtakings = 0;  // looked at
+        std::size_t priority_inversions = 0;  // looked at
         Coordinator(Number t, const SlotTable::Options& b, const Planner::Options& p, Micros now)
             : term(t), slot_table(b), planner(p, now), listing({20, 400'000}, now) {}
     };
