--- /dev/null
+++ b/tests/recorded/events.cpp
@@ -0,0 +1,315 @@
+// Seeded streams of those events that the bench's line protocol cannot carry (guests that pull, room told by
+// them, orders restated in service, the last call, beliefs handed on, a copy of the module), mixed with all
+// the others, played straight into the module. Every action, and at the end what was learned and what an
+// operator would see, goes into the digest as numbers.
+//
+//   recorded_events DIGESTS|--print
+#include <stdexcept>
+#include <utility>
+
+#include "choice.hpp"
+#include "recording.hpp"
+
+namespace {
+
+using namespace gannethold;
+using recorded::Digest;
+using recorded::Random;
+
+template <class Id>
+std::uint64_t raw(Id id) {
+    return static_cast<std::uint64_t>(id);
+}
+
+// An action's code in the digest is fixed here and does not follow the order of the variant's alternatives.
+// Of texts only that they came: their wording is no behaviour of the module's.
+struct Codes {
+    Digest& digest;
+    std::map<int, std::uint64_t>& counts;
+    void put(int code, std::initializer_list<std::uint64_t> values = {}) const {
+        ++counts[code];
+        digest.whole(static_cast<std::uint64_t>(code));
+        for (const std::uint64_t value : values) digest.whole(value);
+    }
+    void operator()(const Assign& a) const { put(1, {raw(a.task), raw(a.runner), raw(a.stop_at)}); }
+    void operator()(const Bounce& a) const { put(2, {raw(a.task), raw(a.stay_away)}); }
+    void operator()(const Abandon& a) const { put(3, {raw(a.task)}); }
+    void operator()(const Withdraw& a) const { put(4, {raw(a.task), raw(a.assignment)}); }
+    void operator()(const WakeAt& a) const { put(5, {raw(a.at), raw(a.mark)}); }
+    void operator()(const Probe& a) const { put(6, {raw(a.runner)}); }
+    void operator()(const CloseIdle& a) const { put(7, {raw(a.runner)}); }
+    void operator()(const TellPeers&) const { put(8); }
+    void operator()(const TellPeer& a) const { put(9, {raw(a.to)}); }
+    void operator()(const LogLine&) const { put(10); }
+    void operator()(const FollowRoster& a) const { put(11, {a.on}); }
+    void operator()(const AskRoster&) const { put(12); }
+};
+
+void digest_histogram(Digest& digest, const Histogram& histogram) {
+    for (const auto bin : histogram.bins()) digest.real(bin);
+}
+
+void digest_lore(Digest& digest, const Lore& lore) {
+    for (const RunnerLore& r : lore.runners) {
+        digest.whole(raw(r.runner)), digest_histogram(digest, r.latency);
+        digest.real(r.least), digest.real(r.slots), digest.real(r.fraction);
+        digest.whole(raw(r.aside_for)), digest.whole(raw(r.cold_for));
+    }
+    digest.whole(lore.places);
+    for (const KindLore& k : lore.kinds)
+        digest.whole(raw(k.kind)), digest_histogram(digest, k.latency), digest.real(k.weight);
+    for (const Histogram& w : lore.workloads) digest_histogram(digest, w);
+    digest.real(lore.usual_cost);
+}
+
+void digest_view(Digest& digest, const Choice& choice) {
+    for (const auto& [id, fraction] : choice.fractions()) digest.whole(raw(id)), digest.real(fraction);
+    for (const RunnerView& v : choice.runners()) {
+        digest.whole(raw(v.runner)), digest.whole(v.ready * 4U + v.trial * 2U + v.doubted);
+        digest.real(v.share), digest.real(v.slots), digest.real(v.room), digest.real(v.warmth);
+        digest.whole(raw(v.out)), digest.whole(raw(v.reported_at)), digest.whole(raw(v.aside_until));
+    }
+}
+
+// Workloads only ever come: a place that tasks may hold is never taken away (src/orders/terms.hpp).
+StatedOrders orders_of(int workloads, bool restated) {
+    StatedOrders all{{"workloads.count", std::to_string(workloads)},
+                     {"caps.max_assignments", "4"},
+                     {"caps.cancelling", "true"},
+                     {"caps.probes", "true"},
+                     {"caps.parallel_tries", "true"},
+                     {"caps.retry_after", "true"},
+                     {"caps.max_retry_after_us", "300000"},
+                     {"caps.keepalive_us", "2000000"},
+                     {"rules.fall_multiple", "8"},
+                     {"rules.warm_after_us", "4000000"},
+                     {"customers.count", "2"},
+                     {"customers.0.allowance_per_s", "20"},
+                     {"customers.1.allowance_per_s", "900"},
+                     {"importance.surplus", "0.1"},
+                     {"reports.names", "free_slots,waiting,held"}};
+    const char* const effects[] = {"idempotent", "fingerprinted", "side-effecting", "idempotent"};
+    for (int i = 0; i < 4; ++i) {
+        const std::string at = "workloads." + std::to_string(i) + ".";
+        all[at + "effect"] = effects[i], all[at + "importance"] = std::to_string(1 + 3 * i);
+        all[at + "due_time_us"] = restated && i == 0 ? "200000" : "400000", all[at + "expiry_us"] = "2000000";
+    }
+    all["workloads.1.group"] = "cell", all["workloads.1.window_us"] = "1000000";
+    return all;
+}
+
+struct Out {
+    TaskId task{};
+    RunnerId runner{};
+    int assignment = 0;
+    Micros since = 0;
+    bool begun = false;
+};
+
+class Stream {
+  public:
+    explicit Stream(std::uint64_t seed) : random_(seed), choice_(orders_of(3, false), seed) {}
+    std::string play(const std::string& name, int events);
+
+  private:
+    void tell(const Event& event);
+    void take(const std::vector<Action>& actions);
+    void begin();
+    void happen();
+    void arrive();
+    void end_one();
+    void change_roster();
+    void restate();
+    void rare_event();
+    void hand_on();
+    Report report() {
+        return {static_cast<double>(random_.below(6)), static_cast<double>(random_.below(3)),
+                static_cast<double>(random_.below(5))};
+    }
+    RosterEntry entry(unsigned id, RunnerState state = RunnerState::ready);
+
+    Random random_;
+    Choice choice_;
+    Digest digest_;
+    std::map<int, std::uint64_t> counts_;
+    Micros now_ = 50'000'000;
+    std::vector<Out> out_;
+    std::vector<RunnerId> probed_;
+    std::map<TaskId, int> assignments_;
+    std::uint64_t next_task_ = 1;
+    std::uint32_t version_ = 1;
+    bool restated_ = false;
+    int workloads_ = 3;
+    static constexpr unsigned kRunners = 7, kGuests = 3;
+};
+
+void Stream::tell(const Event& event) {
+    Choice copy(choice_);  // from the same events comes the same
+    std::vector<Action> actions, of_copy;
+    choice_.note(now_, event), choice_.settle(now_, actions);
+    copy.note(now_, event), copy.settle(now_, of_copy);
+    Digest one, other;
+    std::map<int, std::uint64_t> ignored;
+    for (const Action& a : actions) std::visit(Codes{one, ignored}, a);
+    for (const Action& a : of_copy) std::visit(Codes{other, ignored}, a);
+    if (one.text() != other.text()) throw std::runtime_error("a copy of the module decided otherwise");
+    take(actions);
+}
+
+void Stream::take(const std::vector<Action>& actions) {
+    digest_.whole(static_cast<std::uint64_t>(now_));
+    for (const Action& action : actions) {
+        std::visit(Codes{digest_, counts_}, action);
+        if (const auto* a = std::get_if<Assign>(&action))
+            out_.push_back({a->task, a->runner, assignments_[a->task]++, now_});
+        if (const auto* p = std::get_if<Probe>(&action)) probed_.push_back(p->runner);
+    }
+}
+
+RosterEntry Stream::entry(unsigned id, RunnerState state) {
+    RosterEntry e;
+    e.runner = RunnerId{id}, e.zone = ZoneId{id % 2}, e.kind = KindId{id % 3}, e.group = GroupId{id % 2};
+    e.state = state, e.share = id % 3 == 2 ? 0.5 : 1;
+    return e;
+}
+
+void Stream::begin() {
+    std::vector<RosterEntry> all;
+    for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
+    tell(RosterNews{RosterScope::remembered, version_++, all});
+    tell(RosterNews{RosterScope::complete, version_++, all});
+    std::vector<RosterEntry> guests;
+    for (unsigned id = kRunners + 1; id <= kRunners + kGuests; ++id) {
+        guests.push_back(entry(id));
+        guests.back().pulls = true;
+        guests.back().serves = Serves().set(id % 3);
+        guests.back().started_at = id % 2 ? now_ : 0;
+    }
+    tell(RosterNews{RosterScope::guests, version_++, guests});
+}
+
+void Stream::arrive() {
+    TaskArrived a;
+    a.task = TaskId{next_task_++};
+    a.workload = static_cast<WorkloadId>(random_.below(workloads_));
+    a.customer = static_cast<CustomerId>(random_.below(2));
+    a.key = static_cast<std::uint64_t>(random_.below(100)), a.expiry = now_ + 2'000'000;
+    a.hint_valid = random_.one_in(3), a.cost_hint = a.hint_valid ? 60'000 : 0;
+    a.client_repeat = random_.one_in(9), a.write = random_.one_in(5), a.after_break = random_.one_in(15);
+    tell(a);
+}
+
+void Stream::end_one() {
+    if (out_.empty()) return;
+    const auto at = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(out_.size())));
+    const Out one = out_[at];
+    if (!one.begun && !random_.one_in(4)) {
+        out_[at].begun = true;
+        return tell(Progress{one.task, 0, one.runner, one.assignment, Stage::begun});
+    }
+    if (random_.one_in(8)) return tell(StreamBegun{one.task, one.assignment, one.runner, now_ - one.since});
+    if (random_.one_in(8)) return tell(Progress{one.task, 0.5, one.runner, one.assignment, Stage::progress});
+    out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(at));
+    constexpr Outcome kFailures[] = {
+        Outcome::error, Outcome::full,      Outcome::timed_out, Outcome::connect_failed,
+        Outcome::reset, Outcome::withdrawn, Outcome::moot};
+    const Outcome how = random_.one_in(5) ? kFailures[random_.below(7)] : Outcome::finished;
+    tell(AssignmentEnded{one.task, how == Outcome::finished, 0, now_ - one.since, one.runner, one.assignment,
+                         how, report()});
+}
+
+void Stream::change_roster() {
+    constexpr RunnerState kStates[] = {RunnerState::draining, RunnerState::gone, RunnerState::ready,
+                                       RunnerState::ready};
+    RosterEntry e = entry(1 + static_cast<unsigned>(random_.below(kRunners)), kStates[random_.below(4)]);
+    e.started_at = random_.one_in(2) ? now_ - 100'000 : 0;
+    tell(RosterNews{RosterScope::changes, version_++, {e}});
+}
+
+void Stream::hand_on() {
+    const Lore lore = choice_.lore(0, kRunners);
+    digest_lore(digest_, lore);
+    Choice next(orders_of(workloads_, restated_), 5);
+    std::vector<Action> actions;
+    std::vector<RosterEntry> all;
+    for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
+    next.note(now_, RosterNews{RosterScope::remembered, 1, all});
+    next.believe(lore);
+    next.settle(now_, actions);
+    for (const Action& a : actions) std::visit(Codes{digest_, counts_}, a);
+    digest_view(digest_, next);
+    digest_lore(digest_, next.lore());
+}
+
+void Stream::restate() {
+    restated_ = !restated_;
+    const auto last = static_cast<WorkloadId>(std::exchange(workloads_, 4) == 4 ? 3 : 256);  // 256: nobody's
+    tell(OrdersRestated{orders_of(workloads_, restated_),
+                        {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}, last}});
+}
+
+void Stream::rare_event() {
+    switch (random_.below(6)) {
+        case 0:
+            return change_roster();
+        case 1:
+            return tell(RosterNews{RosterScope::failed, version_++, {}});
+        case 2:
+            return tell(ClientLeft{TaskId{next_task_ - 1}});
+        case 3:
+            return tell(PeerSaid{PeerId{1}, "a word"});
+        case 4:
+            return restate();
+        default:
+            return hand_on();
+    }
+}
+
+void Stream::happen() {
+    now_ += 1 + random_.below(9'000);
+    const auto chance = random_.below(100);
+    if (chance < 30) return arrive();
+    if (chance < 72) return end_one();
+    if (chance < 84) return tell(TimerDue{});
+    if (chance < 90) {
+        const auto guest = static_cast<unsigned>(kRunners + 1 + random_.below(kGuests));
+        return tell(RoomTold{RunnerId{guest}, static_cast<double>(random_.below(4))});
+    }
+    if (chance < 97) {
+        if (probed_.empty()) return;
+        const RunnerId asked = probed_.back();
+        probed_.pop_back();
+        constexpr Outcome kEnds[] = {Outcome::finished, Outcome::finished, Outcome::finished,
+                                     Outcome::connect_failed, Outcome::timed_out};
+        return tell(ProbeEnded{asked, kEnds[random_.below(5)], 1'000, report()});
+    }
+    rare_event();
+}
+
+std::string Stream::play(const std::string& name, int events) {
+    begin();
+    for (int i = 0; i < events; ++i) happen();
+    digest_view(digest_, choice_);
+    digest_lore(digest_, choice_.lore());
+    tell(LastCall{});
+    digest_view(digest_, choice_);
+    return name + " " + digest_.text() + recorded::counts_text(counts_);
+}
+
+}  // namespace
+
+int main(int count, char** words) {
+    if (count != 2) {
+        std::cerr << "usage: recorded_events DIGESTS|--print\n";
+        return 2;
+    }
+    try {
+        std::vector<std::string> lines;
+        for (const std::uint64_t seed : {1, 2, 3, 4, 5, 6})
+            lines.push_back(Stream(seed).play("seed-" + std::to_string(seed), 4'000));
+        return recorded::conclude(lines, words[1]);
+    } catch (const std::exception& e) {
+        std::cerr << "recorded_events: " << e.what() << '\n';
+        return 1;
+    }
+}
