--- /dev/null
+++ b/tests/recorded/kept_stories.cpp
@@ -0,0 +1,245 @@
+// Bytes that outlive a process or pass between two, as the text before the renaming wrote and read them: a
+// keepsake's folder, the words of a handover, and the names in both files of settings.
+#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <fstream>
+#include <iterator>
+#include <numeric>
+#include <optional>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "dispatcher/posting.hpp"
+#include "handover/words.hpp"
+#include "house/house_rules.hpp"
+#include "json/json.hpp"
+#include "keepsake/shelf.hpp"
+#include "sheets/sheet.hpp"
+
+using namespace gannethold;
+
+namespace {
+
+std::string whole_file(const std::string& path) {
+    std::ifstream file(path, std::ios::binary);
+    REQUIRE(file);
+    return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
+}
+
+const std::string kFolder = RECORDED_FIXTURES "/keepsake";
+
+// The smallest configuration, with one more line among the settings or beside them.
+std::string configuration(const std::string& settings, const std::string& beside = "",
+                          const std::string& of_workload = "") {
+    return R"({"name": "n0", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500")" + beside +
+           R"(, "settings": {"workloads": [{"name": "a", "effect": "pure", "due_time_us": 400000,
+           "expiry_us": 5000000)" +
+           of_workload + "}]" + settings + "}}";
+}
+
+std::string refusal(const std::string& text) {
+    try {
+        dispatcher::Posting::read(text);
+    } catch (const std::exception& e) {
+        return e.what();
+    }
+    return "";
+}
+
+std::string refusal_of_operators_file(const std::string& text) {
+    try {
+        house::HouseRules::read(text, "operator.toml");
+    } catch (const sheets::SheetError& e) {
+        return e.what();
+    }
+    return "";
+}
+
+// deploy/operator.toml with every example that stands there behind a # taken in.
+std::string uncommented(const std::string& text) {
+    std::istringstream lines(text);
+    std::string all;
+    for (std::string line; std::getline(lines, line);) {
+        const bool example =
+            line.starts_with("# ") && (line[2] == '[' || line.find(" = ") < line.find(' ', 2) + 1);
+        all += (example ? line.substr(2) : line) + "\n";
+    }
+    return all;
+}
+
+}  // namespace
+
+TEST_CASE(
+    "a keepsake's folder that a dispatcher left is read with its values and spelled to the same bytes") {
+    for (const std::string& name : std::vector<std::string>{"d-1.keep", "d-1.keep.before"}) {
+        const std::string bytes = whole_file(kFolder + "/" + name);
+        const keepsake::Record record = keepsake::read(bytes);
+        CHECK(record.dispatcher == "d-1");
+        CHECK(record.runners.size() == 8);
+        CHECK(record.kinds.size() == 2);
+        CHECK(record.workloads.size() == 1);
+        CHECK(keepsake::spell(record) == bytes);
+    }
+}
+
+TEST_CASE("the newest file of the folder is the one that is taken") {
+    const keepsake::Shelf::Found found = keepsake::Shelf(kFolder, "d-1").take();
+    REQUIRE(found.record);
+    CHECK(found.passed_over.empty());
+    CHECK(keepsake::spell(*found.record) == whole_file(kFolder + "/d-1.keep"));
+    double fractions = 0;
+    for (const keepsake::KeptRunner& r : found.record->runners) {
+        CHECK(r.latency.size() == 20);
+        CHECK(r.least > 0);
+        fractions += r.fraction;
+    }
+    CHECK(fractions == doctest::Approx(1));
+    // As `gannethold keepsake show` told them when they were written.
+    CHECK(found.record->written_ms == 1'796'198'195'891);
+    CHECK(found.record->usual_cost == doctest::Approx(86753.9));
+    const keepsake::KeptRunner& first = found.record->runners.front();
+    CHECK((first.name == "quick-3" && first.kind == "m" && first.zone == "a" && first.started_ms == 0));
+    CHECK(first.address == "127.179.0.3:21000");
+    CHECK(std::accumulate(first.latency.begin(), first.latency.end(), 0.0) == doctest::Approx(117));
+    CHECK(first.least == doctest::Approx(0.679379));
+    CHECK(first.slots == 1.5);
+    CHECK(first.fraction == doctest::Approx(0.652353));
+}
+
+TEST_CASE("the words of a handover keep their bytes") {
+    using namespace handover;
+    CHECK(spell(Greeting{1, "n0", 2}) == R"({"name":"n0","others":2,"v":1})");
+    const Troubles troubles{{"s-1", {2'500'000, -1}}, {"s-2", {0, 700}}, {"s-3", {5, 6}}};
+    const std::string spelled =
+        R"({"s-1":{"aside_us":2500000},"s-2":{"cold_us":700},"s-3":{"aside_us":5,"cold_us":6}})";
+    CHECK(spell(troubles) == spelled);
+    CHECK(spell(read_troubles(spelled)) == spelled);
+    const std::string line = "greeting 3\nabclist 1\nxtroubles 2\n{}learned 0\ndone 0\n";
+    Reader reader;
+    REQUIRE(reader.feed(line));
+    std::string again;
+    std::vector<Kind> kinds;
+    while (const std::optional<Word> word = reader.next()) again += spell(*word), kinds.push_back(word->kind);
+    CHECK(again == line);
+    CHECK(kinds == std::vector{Kind::greeting, Kind::list, Kind::troubles, Kind::learned, Kind::done});
+    const auto greeting = read_greeting(R"({"name":"n0","others":2,"v":1})");
+    REQUIRE(greeting);
+    CHECK((greeting->version == 1 && greeting->name == "n0" && greeting->others == 2));
+}
+
+TEST_CASE("every number among the dispatcher's settings is read: nonsense in it is refused by its name") {
+    for (const std::string& name : std::vector<std::string>{"balancers",
+                                                            "me",
+                                                            "resolution_us",
+                                                            "surplus_importance",
+                                                            "zone",
+                                                            "caps.max_assignments",
+                                                            "caps.max_retry_after_us",
+                                                            "caps.keepalive_us",
+                                                            "rules.cold_from",
+                                                            "rules.warm_after_us",
+                                                            "rules.fall_multiple",
+                                                            "rules.tip_after_us",
+                                                            "rules.must_ask_in_us",
+                                                            "rules.drain_grace_us",
+                                                            "caps.cancelling",
+                                                            "caps.parallel_tries",
+                                                            "caps.probes",
+                                                            "caps.retry_after",
+                                                            "specifics.tells_start",
+                                                            "clients.marks_retry",
+                                                            "rules.only_draining_binds",
+                                                            "registry_mode",
+                                                            "importance_by",
+                                                            "specifics.class_stretch",
+                                                            "tenants.count"}) {
+        const auto dot = name.find('.');
+        const std::string nonsense = dot == std::string::npos ? ", \"" + name + "\": \"x\""
+                                                              : ", \"" + name.substr(0, dot) + "\": {\"" +
+                                                                    name.substr(dot + 1) + "\": \"x\"}";
+        CAPTURE(name);
+        CHECK(refusal(configuration("")) == "");
+        const std::string told = refusal(configuration(nonsense));
+        // Two are refused by the module's own word for them; then the value is what can be looked for.
+        const bool by_name = told.find(name.substr(name.find('.') + 1)) != std::string::npos;
+        CHECK((by_name || told.ends_with(" is not a number: x")));
+    }
+    for (const std::string& name : std::vector<std::string>{"window_us", "importance", "tardy_importance",
+                                                            "aim_stretch", "machine_kind"}) {
+        CAPTURE(name);
+        CHECK(refusal(configuration("", "", ", \"" + name + "\": \"x\"")).find(name) != std::string::npos);
+    }
+    for (const std::string& name : std::vector<std::string>{"admin", "peer_listen"}) {
+        CAPTURE(name);
+        CHECK(refusal(configuration("", ", \"" + name + "\": \"x\"")).find(name) != std::string::npos);
+    }
+    for (const std::string& beside : std::vector<std::string>{
+             R"(, "peers": ["x"])", R"(, "seed": "x")", R"(, "limits": {"memory_mb": 0})",
+             R"(, "limits": {"sockets": 0})", R"(, "known": 3)"}) {
+        CAPTURE(beside);
+        CHECK(refusal(configuration("", beside)) != "");
+    }
+}
+
+TEST_CASE("settings that are read without bounds arrive with their value") {
+    for (const std::string& name : std::vector<std::string>{
+             "dcs", "kinds", "reporting.names", "reporting.how", "caps.connect_timeout_us", "caps.max_open",
+             "caps.may_tell", "specifics.class_kind"}) {
+        CAPTURE(name);
+        const auto dot = name.find('.');
+        const std::string within = dot == std::string::npos ? "\"" + name + "\": 7531"
+                                                            : "\"" + name.substr(0, dot) + "\": {\"" +
+                                                                  name.substr(dot + 1) + "\": 7531}";
+        const auto posting = dispatcher::Posting::read(configuration(", " + within));
+        CHECK(std::any_of(posting.orders.begin(), posting.orders.end(),
+                          [](const auto& order) { return order.second.find("7531") != std::string::npos; }));
+    }
+}
+
+TEST_CASE("a name that the dispatcher's configuration does not know is passed over") {
+    CHECK(refusal(configuration(R"(, "no_such_setting": 3, "caps": {"no_such_cap": "x"})",
+                                R"(, "no_such_name": "x")", R"(, "no_such_term": "x")")) == "");
+}
+
+TEST_CASE("the operators' file that is deployed is read whole, with every example in it") {
+    const std::string text = whole_file(DEPLOYED "/operator.toml");
+    CHECK(refusal_of_operators_file(text) == "");
+    const std::string all = uncommented(text);
+    CHECK(refusal_of_operators_file(all) == "");
+    const house::HouseRules rules = house::HouseRules::read(all, "operator.toml");
+    CHECK(rules.control.path == "/run/gannethold/control.sock");
+    CHECK(rules.keepsake.folder == "/var/lib/gannethold");
+    CHECK(rules.tubes.entrances.size() == 1);
+    CHECK(rules.tubes.trade.tubes.size() == 1);
+    CHECK(rules.watch.configuration == "/etc/gannethold/next.json");
+}
+
+TEST_CASE("every name of the operators' file is read: of another kind it is refused by its name") {
+    const std::vector<std::pair<std::string, std::vector<std::string>>> tables{
+        {"[log]", {"form"}},
+        {"[control]", {"socket", "clients", "remembered_changes"}},
+        {"[drain]", {"front_notices_s", "closing_takes_s"}},
+        {"[keepsake]", {"folder", "every_s", "half_life_h"}},
+        {"[beanstalk]",
+         {"listen", "connections", "longest_job", "most_jobs", "most_mb", "other_tubes", "cold"}},
+        {"[beanstalk.other]", {"effect", "due_s", "expiry_s", "importance", "pushed"}},
+        {"[[beanstalk.tube]]", {"name", "effect", "due_s", "expiry_s", "importance", "pushed", "workload"}},
+        {"[[beanstalk.entrance]]", {"address", "kind", "zone"}},
+        {"[repeats]", {"remember", "by_path", "keep_s", "most", "most_mb", "longest_result"}},
+        {"[shadow]", {"configuration", "every", "most_ms_per_s"}}};
+    for (const auto& each : tables) {
+        const std::string& table = each.first;
+        for (const std::string& name : each.second) {
+            CAPTURE(table);
+            CAPTURE(name);
+            const std::string told = refusal_of_operators_file(table + "\n" + name + " = {}\n");
+            CHECK(told.find(name) != std::string::npos);
+            CHECK(told.find("no such name") == std::string::npos);
+        }
+        CHECK(refusal_of_operators_file(table + "\nno_such_name = 1\n") != "");
+    }
+    CHECK(refusal_of_operators_file("[no_such_table]\nx = 1\n").find("no such name") != std::string::npos);
+}
