--- /dev/null
+++ b/tests/system/simulation/coordinators.cpp
@@ -0,0 +1,218 @@
+#include "coordinators.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace gannethold::cluster::simulation {
+namespace {
+
+constexpr std::size_t kBudgetSlack = 20;
+constexpr double kStartsPerSecond = 100;
+constexpr Micros kSettleFirstTerm = 200'000;
+constexpr Micros kSettleLaterTerm = 1'500'000;
+
+}  // namespace
+
+Coordinators::Coordinators(Environment& environment, const CoreMachines& cores, Platform& platform)
+    : environment_(environment), cores_(cores), platform_(platform) {}
+
+Coordinator* Coordinators::find(std::size_t core) {
+    const auto coordinator = coordinators_.find(core);
+    return coordinator == coordinators_.end() ? nullptr : coordinator->second.get();
+}
+
+Coordinator* Coordinators::find(std::size_t core, Number incarnation, Number term) {
+    Coordinator* const coordinator = find(core);
+    const bool is_same =
+        cores_.at(core).incarnation == incarnation && coordinator && coordinator->term == term;
+    return is_same ? coordinator : nullptr;
+}
+
+// ---- role
+
+void Coordinators::update_role(std::size_t core) {
+    if (!cores_.is_responsive(core)) return;
+    const Consensus& consensus = *cores_.at(core).consensus;
+    const Coordinator* const before = find(core);
+    if (before && (!consensus.holds() || before->term != consensus.term())) close(core);
+    if (!cores_.is_leading(core)) return;
+    if (!find(core) && environment_.shape.proxies > 0) open(core);
+    const Coordinator* const coordinator = find(core);
+    const LogEntry* const entry = consensus.committed();
+    if (coordinator && entry && entry->version > coordinator->version) configure(core, *entry);
+}
+
+void Coordinators::open(std::size_t core) {
+    const Number term = cores_.at(core).consensus->term();
+    SlotTable::Options slots;
+    slots.budget_slack = kBudgetSlack;
+    Planner::Options placement;
+    placement.nonce_prefix = cores_.at(core).address + "-" + std::to_string(term) + "-";
+    placement.duty_per_s = kStartsPerSecond;
+    placement.settle = term <= 1 ? kSettleFirstTerm : kSettleLaterTerm;
+    for (const char* zone : {"z0", "z1", "z2"}) placement.region_of[zone] = "r";
+    coordinators_[core] = std::make_unique<Coordinator>(term, slots, placement, environment_.now());
+}
+
+void Coordinators::configure(std::size_t core, const LogEntry& entry) {
+    Coordinator& coordinator = *find(core);
+    coordinator.version = entry.version;
+    leaf::try_handle_all(
+        [&]() -> leaf::result<void> {
+            BOOST_LEAF_AUTO(configuration, Configuration::read(entry.body));
+            coordinator.slot_table.configure(configuration);
+            for (const std::size_t proxy : coordinator.proxies)
+                environment_.after_hop(
+                    [this, proxy, configuration] { channel_->configure(proxy, configuration); });
+            return {};
+        },
+        [&] { environment_.violations.report("a committed configuration can't be read"); });
+}
+
+bool Coordinators::is_unrestricted(const std::string& service) const {
+    const std::optional<std::size_t> leader = cores_.leader();
+    const auto coordinator = leader ? coordinators_.find(*leader) : coordinators_.end();
+    if (coordinator == coordinators_.end()) return false;
+    const auto& functions = coordinator->second->slot_table.functions();
+    const auto function = functions.find(service);
+    return function != functions.end() && function->second->unrestricted;
+}
+
+// ---- messages of proxies
+
+void Coordinators::on_message(std::size_t core, Session session, const Message& message) {
+    Coordinator& coordinator = *find(core);
+    SlotTable& slot_table = coordinator.slot_table;
+    const Micros now = environment_.now();
+    std::vector<ProxyMessage> messages;
+    if (const auto* const acquire = std::get_if<AcquireRequest>(&message)) {
+        Function* const function = slot_table.ask(now, session, *acquire, messages);
+        if (function && !function->waiting.empty()) {
+            coordinator.planner.plan_waiting(now, slot_table, *function, messages);
+            PlatformRequests requests;
+            coordinator.planner.due(now, requests);
+            for (const StartRunner& request : requests.starts) request_start(core, coordinator.term, request);
+        }
+    }
+    if (const auto* const release = std::get_if<Release>(&message))
+        slot_table.release(now, session, *release, messages);
+    if (const auto* const reachable = std::get_if<RunnerReachable>(&message))
+        slot_table.up(now, session, *reachable, messages);
+    if (const auto* const load = std::get_if<LoadReport>(&message)) slot_table.loads(now, session, *load);
+    if (const auto* const outstanding = std::get_if<OutstandingReport>(&message))
+        slot_table.outs(now, session, *outstanding);
+    channel_->send(core, messages);
+}
+
+void Coordinators::on_disconnected(std::size_t core, std::size_t proxy, Session session) {
+    Coordinator& coordinator = *find(core);
+    std::vector<ProxyMessage> messages;
+    coordinator.slot_table.on_proxy_disconnected(environment_.now(), session, messages);
+    coordinator.proxies.erase(proxy);
+    channel_->send(core, messages);
+}
+
+// ---- regular steps
+
+void Coordinators::tick(std::size_t core) {
+    Coordinator* const coordinator = find(core);
+    const Micros now = environment_.now();
+    if (!coordinator || now < coordinator->next_step || !cores_.is_leading(core)) return;
+    coordinator->next_step = now + SlotTable::kSample;
+    std::vector<ProxyMessage> messages;
+    coordinator->planner.workers(now, platform_.list_workers());
+    coordinator->planner.cancel_lost_starts(now, coordinator->slot_table, messages);
+    read_runner_list(*coordinator, messages);
+    coordinator->slot_table.tick(now, messages);
+    check_grants(coordinator->slot_table);
+    check_priority_inversions(*coordinator);
+    coordinator->planner.plan_all(now, coordinator->slot_table, messages);
+    PlatformRequests requests;
+    coordinator->planner.due(now, requests);
+    channel_->send(core, messages);
+    for (const StartRunner& request : requests.starts) request_start(core, coordinator->term, request);
+    for (const StopRunner& request : requests.stops) request_stop(core, coordinator->term, request);
+}
+
+void Coordinators::read_runner_list(Coordinator& coordinator, std::vector<ProxyMessage>& messages) {
+    const Micros now = environment_.now();
+    std::string token;
+    if (!coordinator.listing.due(now, token)) return;
+    const RunnerListPage page = platform_.list_runners();
+    bool complete = false;
+    std::vector<std::string> gone;
+    coordinator.listing.page(now, page, complete, gone);
+    for (const ListedRunner& listed : page.runners)
+        coordinator.slot_table.listed(now, listed.what, listed.draining, messages);
+    for (const std::string& runner : gone) coordinator.slot_table.gone(now, runner, "not listed", messages);
+    coordinator.planner.list_read(now);
+}
+
+// A request has one slot of a runner at most, and no more are granted than there are.
+void Coordinators::check_grants(const SlotTable& slot_table) {
+    for (const auto& [number, runner] : slot_table.runners()) {
+        std::set<std::pair<Session, std::uint32_t>> granted;
+        for (const RunnerSlots::Given& grant : runner.given)
+            if (grant.ask > 0 && !granted.insert({grant.front, grant.ask}).second)
+                environment_.violations.report("one request has two slots of " + runner.what.runner);
+        if (granted.size() > runner.what.slots)
+            environment_.violations.report("more granted than " + runner.what.runner + " has slots");
+    }
+}
+
+// No request is served before an earlier one but for having less time left, or where the earlier one can't
+// meet its latency target any more, or as a late one in its turn.
+void Coordinators::check_priority_inversions(Coordinator& coordinator) {
+    const auto& inversions = coordinator.slot_table.priority_inversions();
+    const auto& kept = inversions.kept();
+    const std::size_t unchecked = std::min(inversions.all() - coordinator.checked_inversions, kept.size());
+    coordinator.checked_inversions = inversions.all();
+    for (std::size_t n = kept.size() - unchecked; n < kept.size(); ++n) {
+        const PriorityInversion& inversion = kept[n];
+        const std::string why = inversion.why;
+        const bool is_more_urgent = inversion.target_left + inversion.priority * kRank <=
+                                    inversion.before_target_left + inversion.before_priority * kRank;
+        if (why == "less_time_left" && !is_more_urgent)
+            environment_.violations.report("one with more time left was served first in " +
+                                           inversion.service);
+        if (why == "it_can_be_in_aim" && inversion.target_left <= 0)
+            environment_.violations.report("one that is late itself was served before a late one in " +
+                                           inversion.service);
+    }
+}
+
+// ---- calls to the platform
+
+void Coordinators::request_start(std::size_t core, Number term, const StartRunner& request) {
+    environment_.recorder.add(std::uint64_t{core}, term, request.service, request.worker, request.nonce);
+    const auto on_answer = [this, core, incarnation = cores_.at(core).incarnation, nonce = request.nonce](
+                               StartResult result, const RunnerInfo& runner) {
+        Coordinator* const coordinator = find(core);
+        const CoreMachine& machine = cores_.at(core);
+        const Micros now = environment_.now();
+        // A stalled machine takes the answer all the same.
+        const bool leads = machine.consensus && machine.consensus->leads(now);
+        if (machine.incarnation != incarnation || !coordinator || !leads) return;
+        std::vector<ProxyMessage> messages;
+        if (result == StartResult::begun) coordinator->slot_table.began(now, runner, messages);
+        coordinator->planner.on_start_result(now, nonce, result);
+        channel_->send(core, messages);
+    };
+    platform_.start(request, term, cores_.at(core).address, on_answer);
+}
+
+void Coordinators::request_stop(std::size_t core, Number term, const StopRunner& request) {
+    environment_.recorder.add(std::uint64_t{core}, request.runner);
+    const auto on_answer = [this, core, term, incarnation = cores_.at(core).incarnation,
+                            runner = request.runner] {
+        Coordinator* const coordinator = find(core, incarnation, term);
+        if (!coordinator) return;
+        coordinator->planner.on_stop_result(runner, true);
+        std::vector<ProxyMessage> messages;
+        coordinator->slot_table.gone(environment_.now(), runner, "stopped", messages);
+        channel_->send(core, messages);
+    };
+    platform_.stop(request.runner, on_answer);
+}
+
+}  // namespace gannethold::cluster::simulation
--- a/tests/system/output_digest.hpp
+++ b/tests/system/simulation/output_digest.hpp
@@ -1,14 +1,13 @@
-// A digest of everything that the state machines of a simulated system put out, in order. It is taken over
-// bytes and numbers only, never over names of the code, so that a change that only renames or moves code
-// leaves it alone.
+// A digest of all outputs of the state machines of a simulated cluster, in order. It covers bytes and numbers
+// only, never names in the code, so a change that only renames or moves code leaves it unchanged.
 #pragma once
 
 #include <cstdint>
 #include <string_view>
 
-namespace gannethold::cluster::played {
+namespace gannethold::cluster::simulation {
 
-// FNV-1a with 64 bits: fixed for all time, unlike std::hash.
+/// FNV-1a with 64 bits: the same in every build, unlike std::hash.
 class OutputDigest {
   public:
     void add(std::string_view bytes) {
@@ -32,4 +31,4 @@
     std::uint64_t value_ = kOffsetBasis;
 };
 
-}  // namespace gannethold::cluster::played
+}  // namespace gannethold::cluster::simulation
--- /dev/null
+++ b/tests/system/simulation/output_recorder.cpp
@@ -0,0 +1,36 @@
+#include "output_recorder.hpp"
+
+#include "cluster/base/error.hpp"
+#include "cluster/wire/codec.hpp"
+
+namespace gannethold::cluster::simulation {
+
+void OutputRecorder::add_message(std::uint64_t from, std::uint64_t to, const Message& message) {
+    if (enabled_) add(from, to, encode(message));
+}
+
+void OutputRecorder::add_consensus_output(std::uint64_t core, const PersistentState& state,
+                                          const Output& out) {
+    if (!enabled_) return;
+    if (out.write) add(core, encode_promise(state.promise), encode_entry(state.entry));
+    for (const Output::Envelope& envelope : out.sends) {
+        add(envelope.to);
+        add_message(core, 0, envelope.message);
+    }
+    for (const Output::ProposalResult& result : out.results)
+        add(core, result.ticket, static_cast<std::uint64_t>(result.outcome));
+}
+
+void OutputRecorder::add_actions(std::uint64_t proxy, const Actions& actions) {
+    if (!enabled_) return;
+    for (const auto& reply : actions.replies) {
+        const ErrorResponse answer = error_response(reply.kind);
+        add(proxy, reply.request, static_cast<std::uint64_t>(answer.status), std::uint64_t{reply.retry_ms});
+    }
+    for (const RequestId request : actions.relays) add(proxy, request);
+    for (const RequestId request : actions.abandons) add(proxy, request);
+    for (const auto& forward : actions.forwards) add(proxy, forward.request, forward.runner, forward.address);
+    for (const std::string& address : actions.watches) add(proxy, address);
+}
+
+}  // namespace gannethold::cluster::simulation
