--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -15,7 +15,7 @@
 
 double seconds(Micros span) { return static_cast<double>(span) / 1e6; }
 
-std::uint32_t whole_ms_until(Micros now, Micros until) {
+std::uint32_t ms_until(Micros now, Micros until) {
     return static_cast<std::uint32_t>(std::max<Micros>(0, until - now) / 1000);
 }
 
@@ -159,10 +159,10 @@
     request.phase = Phase::acquiring;
     request.acquire_id = acquires_.add(request.id);
     request.drawn_number = drawn ? drawn->number : 0;
-    actions.messages.emplace_back(
-        AcquireRequest{request.acquire_id, request.drawn_number, request.service,
-                       whole_ms_until(now, request.target_at), whole_ms_until(now, request.deadline_at),
-                       request.route->priority, request.route->shape, request.retry.is_retry()});
+    actions.messages.emplace_back(AcquireRequest{request.acquire_id, request.drawn_number, request.service,
+                                                 ms_until(now, request.target_at),
+                                                 ms_until(now, request.deadline_at), request.route->priority,
+                                                 request.route->shape, request.retry.is_retry()});
 }
 
 // A request that has just arrived does not take the slot for which a more urgent one waits here.
