--- a/tests/system/proxy_server/classify_attempt_test.cpp
+++ b/tests/system/proxy_server/classify_attempt_test.cpp
@@ -78,7 +78,8 @@
         message.fields = std::move(fields);
         return classify_attempt(CallEnd::answered, message, false);
     };
-    const std::pair<std::string, std::string> id{"X-Attempt-Id", "a"}, not_run{"X-Request-Not-Run", "full"};
+    const std::pair<std::string, std::string> id{"X-Attempt-Id", "a"};
+    const std::pair<std::string, std::string> not_run{"X-Request-Not-Run", "full"};
     BOOST_TEST((judged(200, {id}) == AttemptResult::succeeded));
     BOOST_TEST((judged(404, {id}) == AttemptResult::succeeded));
     BOOST_TEST((judged(200, {}) == AttemptResult::outcome_unknown));
--- /dev/null
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -0,0 +1,138 @@
+// The session with the coordinator, against scripted core members on loopback.
+#define BOOST_TEST_DYN_LINK
+#include <boost/test/unit_test.hpp>
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "../peers.hpp"
+#include "cluster/proxy_server/coordinator_client.hpp"
+#include "net/listener.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr char kSeedIp[] = "127.0.0.1";
+constexpr char kLeaderIp[] = "127.0.0.2";
+
+// A member of the core: keeps what it is sent, and answers as the test wants.
+class ScriptedMember {
+  public:
+    ScriptedMember(net::Loop& loop, const std::string& ip, std::uint16_t port)
+        : loop_(loop),
+          listener_(
+              loop, net::Door(*net::Address::read(ip + ":" + std::to_string(port))),
+              [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {}
+
+    void send(const Message& message) { connections_.back()->send(message); }
+    template <class T>
+    std::size_t count() const {
+        std::size_t found = 0;
+        for (const Message& message : received_) found += std::holds_alternative<T>(message) ? 1 : 0;
+        return found;
+    }
+    std::size_t connections() const { return connections_.size(); }
+
+  private:
+    void on_accept(evutil_socket_t socket) {
+        MessageConnection::Events events;
+        events.message_received = [this](const ReceivedMessage& received) {
+            received_.push_back(received.message);
+        };
+        events.ended = [] {};
+        connections_.push_back(std::make_unique<MessageConnection>(loop_, socket, std::move(events)));
+    }
+
+    net::Loop& loop_;
+    std::vector<std::unique_ptr<MessageConnection>> connections_;
+    std::vector<Message> received_;
+    net::Listener listener_;
+};
+
+// A client whose seed is a scripted member.
+struct Fixture {
+    Fixture() : port(free_port()), seed(loop, kSeedIp, port) {
+        settings.internal_port = port;
+        settings.seeds = {std::string(kSeedIp) + ":1"};
+        client = std::make_unique<CoordinatorClient>(loop, settings, events());
+    }
+    CoordinatorClient::Events events() {
+        CoordinatorClient::Events events;
+        events.make_registration = [] { return Register{"proxy", "z0", 1, 0, {}, {}}; };
+        events.message_received = [this](const Message& message, bool begins_session) {
+            received.push_back(message);
+            if (begins_session) ++sessions;
+        };
+        events.disconnected = [this] { ++disconnects; };
+        events.stalled = [this] { ++stalls; };
+        return events;
+    }
+    bool until(const std::function<bool()>& holds) {
+        return turn_until(loop, [&] {
+            client->tick(net::Loop::now());
+            return holds();
+        });
+    }
+    void register_at_seed() {
+        BOOST_REQUIRE(until([&] { return seed.count<Register>() == 1; }));
+        seed.send(Registered{1, 0, 1, {}});
+        BOOST_REQUIRE(until([&] { return sessions == 1; }));
+    }
+
+    net::Loop loop{8192};
+    std::uint16_t port;
+    ScriptedMember seed;
+    Settings settings;
+    std::unique_ptr<CoordinatorClient> client;
+    std::vector<Message> received;
+    int sessions = 0;
+    int disconnects = 0;
+    int stalls = 0;
+};
+
+BOOST_AUTO_TEST_CASE(a_session_begins_once_and_lives_by_heartbeats) {
+    Fixture fixture;
+    fixture.register_at_seed();
+    fixture.seed.send(Registered{1, 0, 2, {}});
+    BOOST_REQUIRE(fixture.until([&] { return fixture.received.size() == 2; }));
+    BOOST_TEST(fixture.sessions == 1);
+    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Heartbeat>() >= 1; }));
+    BOOST_TEST(fixture.seed.count<Register>() == 1U);
+    BOOST_TEST(fixture.disconnects == 0);
+}
+
+BOOST_AUTO_TEST_CASE(a_silent_coordinator_is_given_up_and_another_session_begins) {
+    Fixture fixture;
+    fixture.register_at_seed();
+    BOOST_REQUIRE(fixture.until([&] { return fixture.disconnects == 1; }));
+    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Register>() == 2; }));
+    BOOST_TEST(fixture.seed.connections() == 2U);
+    fixture.seed.send(Registered{2, 0, 1, {}});
+    BOOST_REQUIRE(fixture.until([&] { return fixture.sessions == 2; }));
+    BOOST_TEST(fixture.stalls == 0);
+}
+
+BOOST_AUTO_TEST_CASE(a_redirect_leads_to_the_leader) {
+    Fixture fixture;
+    ScriptedMember leader(fixture.loop, kLeaderIp, fixture.port);
+    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Register>() == 1; }));
+    fixture.seed.send(Redirect{std::string(kLeaderIp) + ":1"});
+    BOOST_REQUIRE(fixture.until([&] { return leader.count<Register>() == 1; }));
+    BOOST_TEST(fixture.disconnects == 1);
+    BOOST_TEST(fixture.received.empty());
+    BOOST_TEST(fixture.seed.connections() == 1U);
+}
+
+BOOST_AUTO_TEST_CASE(a_process_that_stood_still_drops_its_session) {
+    Fixture fixture;
+    fixture.register_at_seed();
+    fixture.client->tick(net::Loop::now() + 1'100'000);
+    BOOST_TEST(fixture.stalls == 1);
+    BOOST_TEST(fixture.disconnects == 1);
+}
+
+}  // namespace
+}  // namespace gannethold::cluster
--- a/tests/system/proxy_server/program_test.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -213,7 +213,8 @@
     fleet.grants = false;
     const auto leave = [&](std::size_t times) {
         for (std::size_t n = 0; n < times; ++n) {
-            const std::size_t asked = fleet.asked, withdrawn = fleet.withdrawn;
+            const std::size_t asked = fleet.asked;
+            const std::size_t withdrawn = fleet.withdrawn;
             const std::string words = Fleet::ask("/once/x", "left", "POST", std::string(kBody, 'x'));
             Wire client = fleet.client({});
             std::size_t said = 0;
