--- a/src/cluster/proxy_server/proxy_server.cpp
+++ b/src/cluster/proxy_server/proxy_server.cpp
@@ -90,7 +90,7 @@
         carry_out(actions);
     };
     events.stalled = [this] {
-        Event("process_stalled", Level::warning).with("pending_requests", handler_.pending_requests());
+        Event("process_stalled", Level::warning).with("pending", handler_.pending_requests());
     };
     return events;
 }
@@ -178,7 +178,7 @@
     if (shutdown_.begun()) return;
     const Micros now = net::Loop::now();
     shutdown_.begin(now, settings_.grace_period);
-    Event("shutdown_started").with("pending_requests", handler_.pending_requests());
+    Event("shutdown_started").with("pending", handler_.pending_requests());
     downstream_.begin_shutdown();
     Actions actions;
     handler_.begin_shutdown(now, shutdown_.answer_by(), actions);
