--- a/tests/system/proxy_server/coordinator_client_test.cpp
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -70,10 +70,10 @@
         events.stalled = [this] { ++stalls; };
         return events;
     }
-    bool until(const std::function<bool()>& holds) {
+    bool until(const std::function<bool()>& condition) {
         return turn_until(loop, [&] {
             client->tick(net::Loop::now());
-            return holds();
+            return condition();
         });
     }
     void register_at_seed() {
--- a/tests/system/proxy_server/program_test.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -1,6 +1,6 @@
 // The proxy as a process, between a scripted controller, a scripted runner and scripted clients: whatever the
-// runner's connection does, each request is answered once, to its client, and one that may not be repeated is
-// sent once.
+// runner's connection does, each request is answered once, to its client, and a non-idempotent one is sent
+// once.
 #define BOOST_TEST_DYN_LINK
 #define BOOST_TEST_MODULE proxy_calls
 #include <boost/test/unit_test.hpp>
@@ -29,54 +29,54 @@
     R"("services":[{"name":"f","connection_limit":20,"memory_mb":128,"boot_duration_ms":600,"max_concurrency":8}],)"
     R"("limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout_ms":3000,"idle_timeout_ms":15000}})";
 
-// The proxy, and all that it talks with in the hands of the test.
-class Fleet {
+// The proxy, with scripted peers on all sides.
+class ProxyFixture {
   public:
-    Fleet()
+    ProxyFixture()
         : frontend_(free_port()),
           listener_(
               loop, net::Door(*net::Address::read("127.0.0.1:" + std::to_string(free_port()))),
-              [this](evutil_socket_t socket) { accepted(socket); }, [] {}) {
+              [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {
         proxy_.emplace(PROXY, settings());
-        BOOST_REQUIRE(until([this] { return held_; }));
+        BOOST_REQUIRE(until([this] { return configuration_held_; }));
     }
 
-    bool until(const std::function<bool()>& holds) { return turn_until(loop, holds); }
-    void pass(Micros span) {
+    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
+    void run_for(Micros span) {
         until([end = net::Loop::now() + span] { return net::Loop::now() > end; });
     }
-    Wire client(const std::string& words) const {
+    Wire client(const std::string& request) const {
         Wire wire = Wire::to(frontend_);
-        wire.say(words);
+        wire.say(request);
         return wire;
     }
-    static std::string ask(const std::string& path, const std::string& id, const std::string& method = "POST",
-                           const std::string& body = {}) {
+    static std::string make_request(const std::string& path, const std::string& id,
+                                    const std::string& method = "POST", const std::string& body = {}) {
         return method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + id +
                "\r\nX-Deadline-Remaining: 1500\r\nContent-Length: " + std::to_string(body.size()) +
                "\r\n\r\n" + body;
     }
-    static std::string answer(const std::string& id, const std::string& body) {
+    static std::string make_response(const std::string& id, const std::string& body) {
         return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id +
                "\r\nX-Runner-Seal: s\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    // The runner's connection on which that request came last, and how often it came over all of them.
-    Wire& at_runner(const std::string& id, std::size_t times = 1) {
-        BOOST_REQUIRE(until([&] { return arrivals(id) >= times; }));
+    // The runner's connection on which that request arrived last, once it has arrived so often in all.
+    Wire& connection_at_runner(const std::string& id, std::size_t times = 1) {
+        BOOST_REQUIRE(until([&] { return count_at_runner(id) >= times; }));
         Wire* found = nullptr;
         for (Wire& wire : runner.guests())
             if (wire.has("X-Attempt-Id: " + id + "\r\n")) found = &wire;
         return *found;
     }
-    std::size_t arrivals(const std::string& id) {
+    std::size_t count_at_runner(const std::string& id) {
         std::size_t times = 0;
         for (Wire& wire : runner.guests()) times += count(wire.look().got, "X-Attempt-Id: " + id + "\r\n");
         return times;
     }
-    // The whole answer that a client got, once it has come.
-    std::string answer_of(Wire& client, const std::string& status) {
+    // The complete response that a client received, after a check that it is the only one.
+    std::string response_to(Wire& client, const std::string& status) {
         BOOST_TEST(until([&] { return client.has("HTTP/1.1 " + status); }), client.got);
-        pass(20'000);
+        run_for(20'000);
         BOOST_TEST(count(client.look().got, "HTTP/1.1 ") == 1U, client.got);
         return client.got;
     }
@@ -84,8 +84,9 @@
 
     net::Loop loop{8192};
     Door runner;
-    bool grants = true;
-    std::size_t asked = 0, withdrawn = 0;
+    bool grants_slots = true;
+    std::size_t acquires = 0;     // that the proxy asked for
+    std::size_t withdrawals = 0;  // of those, before they were granted
 
   private:
     std::string settings() const {
@@ -97,43 +98,44 @@
                "\nlisten_addresses.readiness=127.0.0.1:" + std::to_string(free_port()) + "\n";
     }
 
-    void accepted(evutil_socket_t socket) {
+    void on_accept(evutil_socket_t socket) {
         MessageConnection::Events events;
-        events.message_received = [this](const ReceivedMessage& received) { got(received.message); };
+        events.message_received = [this](const ReceivedMessage& received) { on_message(received.message); };
         events.ended = [] {};
-        lines_.push_back(std::make_unique<MessageConnection>(loop, socket, std::move(events)));
+        core_connections_.push_back(std::make_unique<MessageConnection>(loop, socket, std::move(events)));
     }
 
-    void got(const Message& message) {
-        MessageConnection& line = *lines_.back();
-        if (std::holds_alternative<Heartbeat>(message)) line.send(Heartbeat{});
+    void on_message(const Message& message) {
+        MessageConnection& core = *core_connections_.back();
+        if (std::holds_alternative<Heartbeat>(message)) core.send(Heartbeat{});
         if (std::holds_alternative<Register>(message)) {
-            line.send(Registered{1, 0, 1, {}});
-            line.send(ConfigurationSent{1, {0, make_delta({}, kConfiguration)}});
-            line.send(RunnerUpdate{kRunnerNumber,
+            core.send(Registered{1, 0, 1, {}});
+            core.send(ConfigurationSent{1, {0, make_delta({}, kConfiguration)}});
+            core.send(RunnerUpdate{kRunnerNumber,
                                    RunnerState::ready,
                                    {kRunnerName, "f", runner.address(), "z0", "w", 8, 0, true},
                                    false});
         }
-        if (const auto* held = std::get_if<ConfigurationHeld>(&message)) held_ = held->version == 1;
-        if (const auto* ask = std::get_if<AcquireRequest>(&message)) {
-            ++asked;
-            if (grants) line.send(AcquireGranted{ask->id, kRunnerNumber});
+        if (const auto* held = std::get_if<ConfigurationHeld>(&message))
+            configuration_held_ = held->version == 1;
+        if (const auto* acquire = std::get_if<AcquireRequest>(&message)) {
+            ++acquires;
+            if (grants_slots) core.send(AcquireGranted{acquire->id, kRunnerNumber});
         }
-        if (const auto* release = std::get_if<Release>(&message)) withdrawn += release->runner == 0;
+        if (const auto* release = std::get_if<Release>(&message)) withdrawals += release->runner == 0;
     }
 
     std::uint16_t frontend_;
     net::Listener listener_;
-    std::vector<std::unique_ptr<MessageConnection>> lines_;
-    bool held_ = false;
+    std::vector<std::unique_ptr<MessageConnection>> core_connections_;
+    bool configuration_held_ = false;
     std::optional<Program> proxy_;
 };
 
-BOOST_AUTO_TEST_CASE(what_may_not_be_repeated_is_sent_once_whatever_its_connection_does) {
-    Fleet fleet;
+BOOST_AUTO_TEST_CASE(a_non_idempotent_request_is_sent_once_whatever_its_connection_does) {
+    ProxyFixture fixture;
     const std::string head = "HTTP/1.1 200 OK\r\nX-Runner-Seal: s\r\nX-Attempt-Id: ";
-    const std::vector<std::function<void(Wire&, const std::string&)>> ends = {
+    const std::vector<std::function<void(Wire&, const std::string&)>> endings = {
         [](Wire& wire, const std::string&) { wire.reset(); },
         [](Wire& wire, const std::string&) { wire.hang_up(); },
         [](Wire& wire, const std::string&) { wire.half_close(); },
@@ -154,82 +156,84 @@
             wire.say("HTTP/1.1 200 OK\r\nX-Runner-Seal: s\r\nContent-Length: 4\r\n\r\npart");
         },
         [&](Wire& wire, const std::string&) {
-            wire.say(Fleet::answer("another", "x"));
+            wire.say(ProxyFixture::make_response("another", "x"));
             wire.hang_up();
         },
         [&](Wire& wire, const std::string& id) {
             wire.say("HTTP/1.1 503 x\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
         }};
-    for (std::size_t n = 0; n < ends.size(); ++n) BOOST_TEST_CONTEXT("end " << n) {
+    for (std::size_t n = 0; n < endings.size(); ++n) BOOST_TEST_CONTEXT("end " << n) {
             const std::string id = "once-" + std::to_string(n);
-            Wire client = fleet.client(Fleet::ask("/once/x", id));
-            ends[n](fleet.at_runner(id), id);
-            const std::string got = fleet.answer_of(client, "502");
+            Wire client = fixture.client(ProxyFixture::make_request("/once/x", id));
+            endings[n](fixture.connection_at_runner(id), id);
+            const std::string got = fixture.response_to(client, "502");
             BOOST_TEST(got.find("part") == std::string::npos);
-            BOOST_TEST(fleet.arrivals(id) == 1U);
+            BOOST_TEST(fixture.count_at_runner(id) == 1U);
         }
 }
 
-BOOST_AUTO_TEST_CASE(what_the_runner_did_not_run_is_offered_again_and_then_refused) {
-    Fleet fleet;
-    Wire client = fleet.client(Fleet::ask("/once/x", "full"));
+BOOST_AUTO_TEST_CASE(a_rejected_request_is_retried_and_then_answered_as_not_run) {
+    ProxyFixture fixture;
+    Wire client = fixture.client(ProxyFixture::make_request("/once/x", "full"));
     for (std::size_t n = 1; n <= 3; ++n) {
-        // Each sending to the one address has its own connection: an answer too many would bear its id.
-        Wire& wire = fleet.at_runner("full", n);
+        // Each attempt at the one address has its own connection: a surplus response would bear its id.
+        Wire& wire = fixture.connection_at_runner("full", n);
         BOOST_TEST(count(wire.got, "X-Attempt-Id: full") == 1U);
         const std::string not_run =
             "HTTP/1.1 503 x\r\nX-Attempt-Id: full\r\nX-Request-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
         wire.say(not_run);
-        fleet.pass(20'000);
+        fixture.run_for(20'000);
         wire.say(not_run);
     }
-    fleet.answer_of(client, "503");
-    BOOST_TEST(fleet.arrivals("full") == 3U);
+    fixture.response_to(client, "503");
+    BOOST_TEST(fixture.count_at_runner("full") == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_late_or_extra_answer_reaches_nobody) {
-    Fleet fleet;
-    // One whose time is over: its answer comes when nobody waits for it.
-    Wire slow = fleet.client(Fleet::ask("/once/x", "slow"));
-    Wire& late = fleet.at_runner("slow");
-    fleet.answer_of(slow, "504");
-    late.say(Fleet::answer("slow", "late"));
-    Wire first = fleet.client(Fleet::ask("/again/x", "first"));
-    Wire& wire = fleet.at_runner("first");
-    wire.say(Fleet::answer("first", "of first"));
-    BOOST_TEST(fleet.answer_of(first, "200").ends_with("of first"));
-    // An answer too many, where the next one is due.
-    Wire second = fleet.client(Fleet::ask("/again/x", "second"));
-    BOOST_TEST(&fleet.at_runner("second") == &wire);
-    wire.say(Fleet::answer("first", "extra") + Fleet::answer("second", "of second"));
-    BOOST_TEST(fleet.answer_of(second, "200").ends_with("of second"));
-    BOOST_TEST(fleet.arrivals("slow") == 1U);
+BOOST_AUTO_TEST_CASE(a_late_or_surplus_response_reaches_no_client) {
+    ProxyFixture fixture;
+    // Its deadline has passed: the response comes when no client waits for it.
+    Wire slow = fixture.client(ProxyFixture::make_request("/once/x", "slow"));
+    Wire& late = fixture.connection_at_runner("slow");
+    fixture.response_to(slow, "504");
+    late.say(ProxyFixture::make_response("slow", "late"));
+    Wire first = fixture.client(ProxyFixture::make_request("/again/x", "first"));
+    Wire& wire = fixture.connection_at_runner("first");
+    wire.say(ProxyFixture::make_response("first", "of first"));
+    BOOST_TEST(fixture.response_to(first, "200").ends_with("of first"));
+    // A surplus response, where the next one is due.
+    Wire second = fixture.client(ProxyFixture::make_request("/again/x", "second"));
+    BOOST_TEST(&fixture.connection_at_runner("second") == &wire);
+    wire.say(ProxyFixture::make_response("first", "extra") +
+             ProxyFixture::make_response("second", "of second"));
+    BOOST_TEST(fixture.response_to(second, "200").ends_with("of second"));
+    BOOST_TEST(fixture.count_at_runner("slow") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(clients_that_left_leave_nothing_behind) {
-    constexpr std::size_t kMany = 300;
-    constexpr std::size_t kBody = 200'000;
-    Fleet fleet;
-    fleet.grants = false;
-    const auto leave = [&](std::size_t times) {
+BOOST_AUTO_TEST_CASE(disconnected_clients_leave_no_memory_in_use) {
+    constexpr std::size_t kClients = 300;
+    constexpr std::size_t kBodyBytes = 200'000;
+    ProxyFixture fixture;
+    fixture.grants_slots = false;
+    const auto disconnect_clients = [&](std::size_t times) {
         for (std::size_t n = 0; n < times; ++n) {
-            const std::size_t asked = fleet.asked;
-            const std::size_t withdrawn = fleet.withdrawn;
-            const std::string words = Fleet::ask("/once/x", "left", "POST", std::string(kBody, 'x'));
-            Wire client = fleet.client({});
-            std::size_t said = 0;
-            BOOST_REQUIRE(fleet.until([&] {
-                said += client.say(std::string_view(words).substr(said));
-                return fleet.asked > asked;
+            const std::size_t acquires = fixture.acquires;
+            const std::size_t withdrawals = fixture.withdrawals;
+            const std::string request =
+                ProxyFixture::make_request("/once/x", "left", "POST", std::string(kBodyBytes, 'x'));
+            Wire client = fixture.client({});
+            std::size_t written = 0;
+            BOOST_REQUIRE(fixture.until([&] {
+                written += client.say(std::string_view(request).substr(written));
+                return fixture.acquires > acquires;
             }));
             client.reset();
-            BOOST_REQUIRE(fleet.until([&] { return fleet.withdrawn > withdrawn; }));
+            BOOST_REQUIRE(fixture.until([&] { return fixture.withdrawals > withdrawals; }));
         }
     };
-    leave(20);
-    const long before = fleet.resident_kb();
-    leave(kMany);
-    BOOST_TEST(fleet.resident_kb() - before < static_cast<long>(kMany * kBody / 1024 / 4));
+    disconnect_clients(20);
+    const long before = fixture.resident_kb();
+    disconnect_clients(kClients);
+    BOOST_TEST(fixture.resident_kb() - before < static_cast<long>(kClients * kBodyBytes / 1024 / 4));
 }
 
 }  // namespace
