--- a/tests/system/simulation/client_requests.cpp
+++ b/tests/system/simulation/client_requests.cpp
@@ -64,7 +64,7 @@
 
 // ---- attempts at runners
 
-void ClientRequests::abandon(RequestId id) {
+void ClientRequests::cancel_attempt(RequestId id) {
     environment_.after_hop([this, id] {
         const std::string working = std::exchange(requests_[id].runner, {});
         Runner* const runner = working.empty() ? nullptr : platform_.find(working);
@@ -83,7 +83,7 @@
                                         const AttemptCallback& on_ended) {
     Runner* const found = platform_.find_by_address(address);
     if (!found || environment_.now() < found->ready_at) {
-        on_ended(AttemptResult::unreachable);
+        on_ended(AttemptResult::connect_failed);
         return;
     }
     if (found->id != runner) {
@@ -92,7 +92,7 @@
     }
     if (found->busy >= found->slots) {
         ++outcomes_.runner_rejections;
-        on_ended(AttemptResult::not_run);
+        on_ended(AttemptResult::rejected);
         return;
     }
     Request& request = requests_[id];
@@ -116,7 +116,7 @@
     request.runner.clear();
     --working->busy;
     const bool crashed = working->ended && platform_.is_worker_down(working->worker);
-    on_ended(answer_lost || crashed ? AttemptResult::may_have_run : AttemptResult::answered);
+    on_ended(answer_lost || crashed ? AttemptResult::outcome_unknown : AttemptResult::succeeded);
 }
 
 // ---- state
--- a/tests/system/simulation/client_requests.hpp
+++ b/tests/system/simulation/client_requests.hpp
@@ -45,7 +45,7 @@
     /// The proxy passes a runner's answer on.
     void on_relay(RequestId id);
     /// The proxy gives up its attempt: the runner drops the request.
-    void abandon(RequestId id);
+    void cancel_attempt(RequestId id);
     /// Sends an attempt to the runner of that id at that address.
     void attempt(RequestId id, const std::string& runner, const std::string& address,
                  AttemptCallback on_ended);
--- a/tests/system/simulation/output_recorder.cpp
+++ b/tests/system/simulation/output_recorder.cpp
@@ -23,14 +23,15 @@
 
 void OutputRecorder::add_actions(std::uint64_t proxy, const Actions& actions) {
     if (!enabled_) return;
-    for (const auto& reply : actions.replies) {
-        const ErrorResponse answer = error_response(reply.kind);
-        add(proxy, reply.request, static_cast<std::uint64_t>(answer.status), std::uint64_t{reply.retry_ms});
+    for (const auto& reply : actions.local_replies) {
+        const ErrorResponse answer = error_response(reply.error);
+        add(proxy, reply.request, static_cast<std::uint64_t>(answer.status),
+            std::uint64_t{reply.retry_after_ms});
     }
-    for (const RequestId request : actions.relays) add(proxy, request);
-    for (const RequestId request : actions.abandons) add(proxy, request);
+    for (const RequestId request : actions.relayed_responses) add(proxy, request);
+    for (const RequestId request : actions.cancelled_attempts) add(proxy, request);
     for (const auto& forward : actions.forwards) add(proxy, forward.request, forward.runner, forward.address);
-    for (const std::string& address : actions.watches) add(proxy, address);
+    for (const std::string& address : actions.probed_addresses) add(proxy, address);
 }
 
 }  // namespace gannethold::cluster::simulation
--- a/tests/system/simulation/proxies.cpp
+++ b/tests/system/simulation/proxies.cpp
@@ -6,7 +6,6 @@
 namespace gannethold::cluster::simulation {
 namespace {
 
-constexpr Micros kCoordinatorTimeout = 800'000;  // without a message of it, it counts as lost
 constexpr Micros kFirstTick = 1'000;
 constexpr Micros kTickInterval = 20'000;
 constexpr Micros kRestartDelay = 500'000;
@@ -37,8 +36,8 @@
 
 void Proxies::make_handler(std::size_t proxy, std::uint64_t random_seed) {
     Proxy& starting = at(proxy);
-    starting.handler = std::make_unique<RequestHandler>(RequestHandler::Options{
-        starting.name, starting.zone, starting.incarnation + 1, kCoordinatorTimeout, random_seed});
+    starting.handler = std::make_unique<RequestHandler>(
+        RequestHandler::Options{starting.name, starting.zone, starting.incarnation + 1, random_seed});
 }
 
 void Proxies::request(std::size_t proxy, const std::string& route, int work_ms, int deadline_ms) {
@@ -49,8 +48,8 @@
     }
     const RequestId id = requests_.open(proxy, receiver.incarnation, route, work_ms);
     Actions actions;
-    receiver.handler->arrived(environment_.now(), id, "h.example", "/" + route + "/x",
-                              static_cast<std::uint32_t>(deadline_ms), actions);
+    receiver.handler->on_request(environment_.now(), id, "h.example", "/" + route + "/x",
+                                 static_cast<std::uint32_t>(deadline_ms), actions);
     carry_out(proxy, actions);
 }
 
@@ -63,25 +62,25 @@
     if (!ticking.shutdown.begun() && ticking.handler->configuration()) ticking.accepts_connections = true;
     ticking.handler->tick(environment_.now(), actions);
     carry_out(proxy, actions);
-    check_watched_addresses(proxy);
+    check_probed_addresses(proxy);
     if (ticking.shutdown.begun()) advance_shutdown(proxy);
     environment_.events.after(kTickInterval, [this, proxy, incarnation] {
         if (at(proxy).incarnation == incarnation) tick(proxy);
     });
 }
 
-void Proxies::check_watched_addresses(std::size_t proxy) {
-    Proxy& watching = at(proxy);
-    for (auto watched = watching.watched_addresses.begin(); watched != watching.watched_addresses.end();) {
-        const std::string address = watched->first;
+void Proxies::check_probed_addresses(std::size_t proxy) {
+    Proxy& probing = at(proxy);
+    for (auto probed = probing.probed_addresses.begin(); probed != probing.probed_addresses.end();) {
+        const std::string address = probed->first;
         const Runner* const runner = platform_.find_by_address(address);
         if (!runner || environment_.now() < runner->ready_at) {
-            ++watched;
+            ++probed;
             continue;
         }
         Actions actions;
-        watching.handler->reached(environment_.now(), address, true, actions);
-        watched = watching.watched_addresses.erase(watched);
+        probing.handler->on_probe_completed(address, true, actions);
+        probed = probing.probed_addresses.erase(probed);
         carry_out(proxy, actions);
     }
 }
@@ -90,12 +89,12 @@
 
 void Proxies::carry_out(std::size_t proxy, const Actions& actions) {
     environment_.recorder.add_actions(proxy, actions);
-    for (const Message& message : actions.mails) send_to_coordinator(proxy, message);
-    for (const auto& reply : actions.replies) requests_.on_reply(reply.request, reply.kind);
-    for (const RequestId request : actions.relays) requests_.on_relay(request);
-    for (const RequestId request : actions.abandons) requests_.abandon(request);
-    for (const std::string& address : actions.watches)
-        at(proxy).watched_addresses[address] = environment_.now();
+    for (const Message& message : actions.messages) send_to_coordinator(proxy, message);
+    for (const auto& reply : actions.local_replies) requests_.on_reply(reply.request, reply.error);
+    for (const RequestId request : actions.relayed_responses) requests_.on_relay(request);
+    for (const RequestId request : actions.cancelled_attempts) requests_.cancel_attempt(request);
+    for (const std::string& address : actions.probed_addresses)
+        at(proxy).probed_addresses[address] = environment_.now();
     for (const auto& attempt : actions.forwards) forward(proxy, attempt);
 }
 
@@ -103,12 +102,12 @@
     const RequestId id = attempt.request;
     const auto on_ended = [this, proxy, id, incarnation = at(proxy).incarnation](AttemptResult result) {
         if (environment_.has_fault(PlantedFault::retry_after_timeout) &&
-            result == AttemptResult::may_have_run)
-            result = AttemptResult::unsent;
+            result == AttemptResult::outcome_unknown)
+            result = AttemptResult::not_sent;
         environment_.after_hop([this, proxy, id, incarnation, result] {
             if (at(proxy).incarnation != incarnation) return;
             Actions actions;
-            at(proxy).handler->ended(environment_.now(), id, result, actions);
+            at(proxy).handler->on_attempt_completed(environment_.now(), id, result, actions);
             carry_out(proxy, actions);
         });
     };
@@ -132,7 +131,7 @@
     ++killed.incarnation;
     killed.core.reset();
     killed.newest_version = 0;
-    killed.watched_addresses.clear();
+    killed.probed_addresses.clear();
     killed.shutdown = {};
     make_handler(proxy, environment_.shape.seed + proxy + killed.incarnation * 100);
     environment_.events.after(kRestartDelay, [this, proxy] { tick(proxy); });
@@ -161,7 +160,7 @@
             case Shutdown::Step::answer_open: {
                 if (environment_.has_fault(PlantedFault::end_without_answers)) break;
                 Actions actions;
-                ending.handler->answer_all(environment_.now(), actions);
+                ending.handler->answer_all_pending(environment_.now(), actions);
                 carry_out(proxy, actions);
                 break;
             }
--- a/tests/system/simulation/proxies.hpp
+++ b/tests/system/simulation/proxies.hpp
@@ -65,7 +65,7 @@
         Micros next_delivery = 0;   // messages of one connection arrive in order
         std::size_t next_core = 0;  // that it tries to register with
         Number newest_version = 0;
-        std::map<std::string, Micros> watched_addresses;  // of runners that it can't reach yet
+        std::map<std::string, Micros> probed_addresses;  // of runners that it can't reach yet
     };
 
     Proxy& at(std::size_t proxy) { return *proxies_[proxy]; }
@@ -77,7 +77,7 @@
     /// Registers with the next core in turn, if that has a coordinator.
     void register_with_next(std::size_t proxy, Actions& actions);
     void configure_from(const CoreMachine& core, Proxy& proxy);
-    void check_watched_addresses(std::size_t proxy);
+    void check_probed_addresses(std::size_t proxy);
     void carry_out(std::size_t proxy, const Actions& actions);
     void forward(std::size_t proxy, const Actions::Forward& attempt);
     void send_to_coordinator(std::size_t proxy, const Message& message);
--- a/tests/system/simulation/proxy_sessions.cpp
+++ b/tests/system/simulation/proxy_sessions.cpp
@@ -49,8 +49,8 @@
     const auto count = static_cast<std::uint32_t>(proxies_.size());
     std::vector<ProxyMessage> messages;
     messages.push_back({registering.session, Registered{registering.term, rank, count, {}}});
-    coordinator->slot_table.on_proxy_registered(now, registering.session, registering.handler->registration(),
-                                                messages);
+    coordinator->slot_table.on_proxy_registered(now, registering.session,
+                                                registering.handler->make_registration(), messages);
     configure_from(machine, registering);
     send(core, messages);
     registering.handler->on_coordinator_registered(now, actions);
@@ -107,7 +107,7 @@
     if (receiver.cut_off || receiver.session != session || !receiver.core) return;
     receiver.last_heartbeat = environment_.now();
     Actions actions;
-    receiver.handler->said(environment_.now(), message, actions);
+    receiver.handler->on_message(environment_.now(), message, actions);
     carry_out(proxy, actions);
 }
 
