--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -7,7 +7,7 @@
 
 namespace gannethold::cluster {
 
-Consensus::Consensus(Options options, PersistentState state, Micros now, Output& out)
+Consensus::Consensus(Options options, PersistentState state, Micros now)
     : options_(std::move(options)),
       state_(std::move(state)),
       now_(now),
@@ -20,7 +20,7 @@
         state_.promise.member = true;
         state_.entry.position = {0, 1};
         state_.entry.members = options_.seeds;
-        out.write = true;
+        output_.must_persist = true;
     }
     if (state_.promise.member) {
         role_ = Role::follower;
@@ -28,51 +28,60 @@
     }
     next_recovery_request_ = now;
     set_election_timer();
-    tick(now, out);
 }
 
-Micros Consensus::heard_from(const std::string& member) const {
+ConsensusOutput Consensus::start() {
+    run_due_work();
+    return take_output();
+}
+
+Micros Consensus::last_contact(const std::string& member) const {
     const auto at = peers_.find(member);
     return at == peers_.end() ? 0 : at->second.heard;
 }
 
-void Consensus::receive(Micros now, const std::string& from, const Message& message, Output& out) {
+ConsensusOutput Consensus::on_message(Micros now, const std::string& from, const Message& message) {
     now_ = now;
-    if (is_self(from)) return;
+    if (is_self(from)) return {};
     peers_[from].heard = now;
     std::visit(
         [&](const auto& typed) {
-            if constexpr (requires { handle(from, typed, out); }) handle(from, typed, out);
+            if constexpr (requires { handle(from, typed); }) handle(from, typed);
         },
         message);
-    tick(now, out);
+    run_due_work();
+    return take_output();
 }
 
-void Consensus::tick(Micros now, Output& out) {
-    constexpr int kTimeoutsUntilAsking = 4;
+ConsensusOutput Consensus::on_timer(Micros now) {
     now_ = now;
-    if (role_ == Role::leader && !hears_quorum()) become_follower(term(), out);
+    run_due_work();
+    return take_output();
+}
+
+void Consensus::run_due_work() {
+    constexpr int kTimeoutsUntilAsking = 4;
+    if (role_ == Role::leader && !hears_quorum()) become_follower(current_term());
     if (role_ == Role::leader) {
         drop_silent_learners();
-        append_next_change(out);
-        if (now >= next_heartbeat_) send_heartbeats(out);
+        append_next_change();
+        if (now_ >= next_heartbeat_) send_heartbeats();
     }
     const bool may_campaign = role_ != Role::leader && role_ != Role::non_member;
-    if (may_campaign && now >= election_at_) {
+    if (may_campaign && now_ >= election_at_) {
         // One that was left out is told so by nobody's votes: it asks how things stand.
-        if (now > heard_leader_ + kTimeoutsUntilAsking * options_.election_timeout)
-            send_recovery_requests(out);
+        if (now_ > heard_leader_ + kTimeoutsUntilAsking * options_.election_timeout) send_recovery_requests();
         handed_over_ = false;
-        campaign(true, out);
+        campaign(true);
     }
-    const bool hears_leader = now < heard_leader_ + options_.election_timeout;
-    if (role_ == Role::non_member && !(accepts_state() && hears_leader)) send_recovery_requests(out);
-    if (leaving_) continue_leaving(out);
+    const bool hears_leader = now_ < heard_leader_ + options_.election_timeout;
+    if (role_ == Role::non_member && !(accepts_state() && hears_leader)) send_recovery_requests();
+    if (leaving_) continue_leaving();
 
     if (role_ == Role::leader)
         next_tick_ = next_heartbeat_;
     else if (role_ == Role::non_member)
-        next_tick_ = std::max(next_recovery_request_, now + options_.heartbeat_interval);
+        next_tick_ = std::max(next_recovery_request_, now_ + options_.heartbeat_interval);
     else
         next_tick_ = election_at_;
     if (leaving_ && !may_end_) next_tick_ = std::min(next_tick_, next_leave_request_);
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -8,9 +8,10 @@
 // Algorithm", and Ongaro's thesis, sections 4 and 9.6; the recovery of a member that lost its disk, Liskov
 // and Cowling, "Viewstamped Replication Revisited", section 4.3.
 //
-// No I/O and no clock: each call takes the time of a steady clock and fills an Output. The caller first
-// writes persistent_state() to disk and syncs it where Output::write is set, and only then sends; if the
-// write fails nothing of the Output may be used and the machine is made anew from what is on disk.
+// No I/O and no clock: each call takes the time of a steady clock and fills an ConsensusOutput. The caller
+// first writes persistent_state() to disk and syncs it where ConsensusOutput::write is set, and only then
+// sends; if the write fails nothing of the ConsensusOutput may be used and the machine is made anew from what
+// is on disk.
 //
 // Files: consensus.cpp (time, messages in), election.cpp, replication.cpp, proposals.cpp, membership.cpp,
 // recovery.cpp. docs/control-plane.md says what holds and why.
@@ -21,6 +22,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "cluster/consensus/entry_transfer.hpp"
@@ -44,7 +46,7 @@
 };
 
 // What a call of Consensus asks of its caller.
-struct Output {
+struct ConsensusOutput {
     struct Envelope {
         std::string to;  // a core machine's control_plane address
         Message message;
@@ -53,9 +55,9 @@
         Number ticket = 0;
         ProposalOutcome outcome = ProposalOutcome::unknown;
     };
-    bool write = false;  // persistent_state() changed
-    std::vector<Envelope> sends;
-    std::vector<ProposalResult> results;
+    bool must_persist = false;  // persistent_state() changed
+    std::vector<Envelope> messages;
+    std::vector<ProposalResult> proposal_results;
 };
 
 // Faults that tests plant to show that their checks find them; nothing else sets one.
@@ -87,37 +89,44 @@
     // the leader whose heartbeat it answered last: it does not know how long ago that was. That leader
     // itself, if it asks for the vote, has a new life and no lease, so it gets it at once; and it asks at
     // once, many times, as it starts.
-    Consensus(Options options, PersistentState state, Micros now, Output& out);
+    Consensus(Options options, PersistentState state, Micros now);
 
-    void receive(Micros now, const std::string& from, const Message& message, Output& out);
-    void tick(Micros now, Output& out);
+    // To be called once, before anything else.
+    [[nodiscard]] ConsensusOutput start();
+    [[nodiscard]] ConsensusOutput on_message(Micros now, const std::string& from, const Message& message);
+    // At next_timer() or sooner.
+    [[nodiscard]] ConsensusOutput on_timer(Micros now);
 
-    // A checked configuration, at the leader. The result comes with this or a later Output. Under one number
-    // one body is committed, ever; the same body proposed again is committed again. A number below the newest
-    // is recorded and alters nothing else.
-    void propose(Micros now, Number ticket, Number version, std::string body, Output& out);
+    // A checked configuration, at the leader. The result comes with this or a later ConsensusOutput. Under
+    // one number one body is committed, ever; the same body proposed again is committed again. A number below
+    // the newest is recorded and alters nothing else.
+    [[nodiscard]] ConsensusOutput propose(Micros now, Number ticket, Number version, std::string body);
 
     // Before a planned end: a leader hands over, a member asks the leader whether it may go.
-    void leave(Micros now, Output& out);
+    [[nodiscard]] ConsensusOutput begin_leaving(Micros now);
     // A quorum without this member holds all that is committed; only after leave().
-    bool may_end() const { return may_end_; }
+    bool may_stop() const { return may_end_; }
     void set_seeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
     const PersistentState& persistent_state() const { return state_; }
     // Elected for the term, its first entry committed. It may act only while it leads, too.
-    bool holds() const { return role_ == Role::leader && committed_.position.term == term() && !resigned_; }
+    bool is_established_leader() const {
+        return role_ == Role::leader && committed_.position.term == current_term() && !resigned_;
+    }
     // Holds, and the lease of a quorum has not run out. A lease that ran out for a while and came back in the
     // same term was nobody else's meanwhile: who has voted for another answers this term no more.
-    bool leads(Micros now) const;
+    bool has_lease(Micros now) const;
     // The newest entry that is known to be committed; nullptr: none yet.
-    const LogEntry* committed() const { return committed_.position > LogPosition{} ? &committed_ : nullptr; }
+    const LogEntry* committed_entry() const {
+        return committed_.position > LogPosition{} ? &committed_ : nullptr;
+    }
     const std::string& leader() const { return leader_; }  // empty: not known
-    Number term() const { return state_.promise.term; }
-    const std::vector<std::string>& members() const { return state_.entry.members; }
+    Number current_term() const { return state_.promise.term; }
+    const std::vector<std::string>& voters() const { return state_.entry.members; }
     const std::set<std::string>& learners() const { return learners_; }  // at the leader
-    Micros next_tick() const { return next_tick_; }
-    bool recovering() const { return !state_.promise.member; }
-    Micros heard_from(const std::string& member) const;  // 0: never
+    Micros next_timer() const { return next_tick_; }
+    bool is_recovering() const { return !state_.promise.member; }
+    Micros last_contact(const std::string& member) const;  // 0: never
 
   private:
     enum class Role { non_member, follower, pre_candidate, candidate, leader };
@@ -135,68 +144,72 @@
         Number index = 0;  // of the entry that decides it; 0: not yet appended
     };
 
+    // consensus.cpp
+    void run_due_work();
+    [[nodiscard]] ConsensusOutput take_output() { return std::exchange(output_, {}); }
+
     // election.cpp
     void set_election_timer();
-    void campaign(bool pre_vote, Output& out);
-    void count_votes(Output& out);
-    void become_follower(Number term, Output& out);
-    void become_leader(Output& out);
-    void handle(const std::string& from, const VoteRequest& request, Output& out);
-    void handle(const std::string& from, const VoteResponse& response, Output& out);
-    void handle(const std::string& from, const TimeoutNow& request, Output& out);
+    void campaign(bool pre_vote);
+    void count_votes();
+    void become_follower(Number term);
+    void become_leader();
+    void handle(const std::string& from, const VoteRequest& request);
+    void handle(const std::string& from, const VoteResponse& response);
+    void handle(const std::string& from, const TimeoutNow& request);
     bool hears_other_leader(const std::string& candidate) const;
     Number next_term() const;
 
     // replication.cpp
-    void append(LogEntry entry, Output& out);
-    void send_heartbeats(Output& out);
-    void send_append(const std::string& to, Output& out);
+    void append(LogEntry entry);
+    void send_heartbeats();
+    void send_append(const std::string& to);
     bool start_transfer(Peer& peer);
     bool continue_transfer(Peer& peer, const AppendResponse& response);
-    void resend_whole_entry(const std::string& to, Output& out);
+    void resend_whole_entry(const std::string& to);
     LogPosition base_for(const Peer& peer) const;
     std::shared_ptr<const std::string> payload_against(const LogPosition& base);
     std::size_t large_transfers() const;
     void remember_body();
-    void advance_commit(Output& out);
-    bool accept_leader(const std::string& from, Number term, Output& out);
-    void install(LogEntry entry, Output& out);
-    void answer_leader(const std::string& from, Number round, Output& out);
-    void handle(const std::string& from, const AppendRequest& request, Output& out);
-    void handle(const std::string& from, const EntryChunk& chunk, Output& out);
-    void handle(const std::string& from, const AppendResponse& response, Output& out);
+    void advance_commit();
+    bool accept_leader(const std::string& from, Number term);
+    void install(LogEntry entry);
+    void answer_leader(const std::string& from, Number round);
+    void handle(const std::string& from, const AppendRequest& request);
+    void handle(const std::string& from, const EntryChunk& chunk);
+    void handle(const std::string& from, const AppendResponse& response);
     Micros lease_start() const;
     Micros lease_start(const std::vector<std::string>& group) const;
     bool hears_quorum() const;
 
     // proposals.cpp
-    void append_next_change(Output& out);
-    bool append_proposals(Output& out);
-    void resolve_proposals(Output& out);
-    void fail_proposals(Output& out);
+    void append_next_change();
+    bool append_proposals();
+    void resolve_proposals();
+    void fail_proposals();
 
     // membership.cpp
-    bool append_membership_change(Output& out);
+    bool append_membership_change();
     bool silent(const std::string& voter, Micros span) const;
     std::vector<std::string> ready_learners() const;
     std::vector<std::string> wanted_members() const;
     void remove_gone(std::vector<std::string>& members, std::size_t count) const;
     void drop_silent_learners();
-    void hand_over(Output& out);
-    void continue_leaving(Output& out);
+    void hand_over();
+    void continue_leaving();
     bool safe_without(const std::string& member) const;
-    void handle(const std::string& from, const JoinRequest& request, Output& out);
-    void handle(const std::string& from, const LeaveRequest& request, Output& out);
-    void handle(const std::string& from, const LeaveResponse& response, Output& out);
+    void handle(const std::string& from, const JoinRequest& request);
+    void handle(const std::string& from, const LeaveRequest& request);
+    void handle(const std::string& from, const LeaveResponse& response);
 
     // recovery.cpp
-    void send_recovery_requests(Output& out);
-    void handle(const std::string& from, const RecoveryRequest& request, Output& out);
-    void handle(const std::string& from, const RecoveryResponse& response, Output& out);
-    void become_learner(const RecoveryResponse& newest, Output& out);
+    void send_recovery_requests();
+    void handle(const std::string& from, const RecoveryRequest& request);
+    void handle(const std::string& from, const RecoveryResponse& response);
+    void become_learner(const RecoveryResponse& newest);
     void await_state(const RecoveryResponse& newest);
     bool accepts_state() const;
-    void become_member(Output& out);
+    void become_member();
 
     bool planted(PlantedFault fault) const { return options_.planted_fault == fault; }
     // Whether a quorum of the newest entry's voters agrees.
@@ -210,6 +223,7 @@
 
     Options options_;
     PersistentState state_;
+    ConsensusOutput output_;  // of the call that runs
     LogEntry committed_;
     Role role_ = Role::non_member;
     std::string leader_;
--- a/src/cluster/consensus/election.cpp
+++ b/src/cluster/consensus/election.cpp
@@ -29,7 +29,7 @@
 
 // Whether a lease may be owed to another than the candidate.
 bool Consensus::hears_other_leader(const std::string& candidate) const {
-    if (role_ == Role::leader) return leads(now_);
+    if (role_ == Role::leader) return has_lease(now_);
     const bool recent = now_ < heard_leader_ + options_.election_timeout;
     return recent && state_.promise.last_leader != candidate;
 }
@@ -37,10 +37,10 @@
 // The next term in which this member may stand: not one in which it, or a member that was asked, gives no
 // vote.
 Number Consensus::next_term() const {
-    return std::max({term() + 1, state_.promise.no_vote_through + 1, term_floor_});
+    return std::max({current_term() + 1, state_.promise.no_vote_through + 1, term_floor_});
 }
 
-void Consensus::campaign(bool pre_vote, Output& out) {
+void Consensus::campaign(bool pre_vote) {
     set_election_timer();
     leader_.clear();
     if (!is_voter(state_.entry, options_.self)) return;
@@ -54,16 +54,17 @@
         role_ = Role::candidate;
         state_.promise.term = target;
         state_.promise.voted_for = options_.self;
-        out.write = true;
+        output_.must_persist = true;
     }
     for (const std::string& voter : all_voters(state_.entry)) {
         if (is_self(voter)) continue;
-        out.sends.push_back({voter, VoteRequest{target, state_.entry.position, pre_vote, handed_over_}});
+        output_.messages.push_back(
+            {voter, VoteRequest{target, state_.entry.position, pre_vote, handed_over_}});
     }
-    count_votes(out);
+    count_votes();
 }
 
-void Consensus::handle(const std::string& from, const VoteRequest& request, Output& out) {
+void Consensus::handle(const std::string& from, const VoteRequest& request) {
     if (role_ == Role::non_member) return;  // a new disk may have promised anything before
     Promise& promise = state_.promise;
     const bool owes_lease = hears_other_leader(from) && !request.leader_hands_over;
@@ -75,68 +76,68 @@
             // On disk: a member that loses its disk learns from a quorum in which terms it may have voted,
             // and no candidate had a vote in a term that a quorum had not pre-granted.
             promise.pre_voted_through = request.term;
-            out.write = true;
+            output_.must_persist = true;
         }
         // A candidate whose term is behind learns the first one in which it may get this vote.
         const Number newest = std::max(promise.no_vote_through, promise.term);
-        out.sends.push_back({from, VoteResponse{request.term, granted, true, newest}});
+        output_.messages.push_back({from, VoteResponse{request.term, granted, true, newest}});
         return;
     }
     // Against one that did not hear what all others hear. A leader that hands over has given up its lease
     // itself.
     if (owes_lease) return;
-    if (request.term > promise.term) become_follower(request.term, out);
+    if (request.term > promise.term) become_follower(request.term);
     const bool not_given = promise.voted_for.empty() || promise.voted_for == from;
     const bool current = request.term == promise.term && role_ == Role::follower;
     const bool granted = current && up_to_date && may_vote && not_given;
     if (granted) {
-        out.write = out.write || promise.voted_for.empty();
+        output_.must_persist = output_.must_persist || promise.voted_for.empty();
         promise.voted_for = from;
         set_election_timer();
     }
-    out.sends.push_back({from, VoteResponse{promise.term, granted, false, promise.no_vote_through}});
+    output_.messages.push_back({from, VoteResponse{promise.term, granted, false, promise.no_vote_through}});
 }
 
-void Consensus::handle(const std::string& from, const VoteResponse& response, Output& out) {
+void Consensus::handle(const std::string& from, const VoteResponse& response) {
     if (response.pre_vote) {
         if (role_ != Role::pre_candidate || response.term != next_term()) return;
         if (!response.granted && response.no_vote_through >= response.term) {
             // That voter has a newer term or lost its disk: a term in which it may vote is asked for at once.
             term_floor_ = response.no_vote_through + 1;
-            return campaign(true, out);
+            return campaign(true);
         }
     } else {
-        if (response.term > term()) return become_follower(response.term, out);
-        if (role_ != Role::candidate || response.term != term()) return;
+        if (response.term > current_term()) return become_follower(response.term);
+        if (role_ != Role::candidate || response.term != current_term()) return;
     }
     if (response.granted) votes_.insert(from);
-    count_votes(out);
+    count_votes();
 }
 
-void Consensus::count_votes(Output& out) {
+void Consensus::count_votes() {
     const auto voted = [&](const std::string& voter) { return votes_.contains(voter); };
     if (!quorum_agrees(voted)) return;
     if (role_ == Role::pre_candidate)
-        campaign(false, out);
+        campaign(false);
     else if (role_ == Role::candidate)
-        become_leader(out);
+        become_leader();
 }
 
-void Consensus::handle(const std::string& from, const TimeoutNow& request, Output& out) {
-    if (role_ != Role::follower || request.term != term() || from != leader_) return;
+void Consensus::handle(const std::string& from, const TimeoutNow& request) {
+    if (role_ != Role::follower || request.term != current_term() || from != leader_) return;
     heard_leader_ = 0;
     handed_over_ = true;
-    campaign(true, out);
+    campaign(true);
 }
 
-void Consensus::become_follower(Number term, Output& out) {
+void Consensus::become_follower(Number term) {
     if (term > state_.promise.term) {
         state_.promise.term = term;
         state_.promise.voted_for.clear();
-        out.write = true;
+        output_.must_persist = true;
     }
     if (role_ == Role::leader) {
-        fail_proposals(out);
+        fail_proposals();
         leader_.clear();
         resigned_ = false;
     }
@@ -146,7 +147,7 @@
     set_election_timer();
 }
 
-void Consensus::become_leader(Output& out) {
+void Consensus::become_leader() {
     role_ = Role::leader;
     leader_ = options_.self;
     handed_over_ = false;
@@ -163,7 +164,7 @@
     for (const std::string& voter : all_voters(state_.entry)) peers_[voter].answered = now_;
     state_.promise.last_leader = options_.self;  // written with the first entry
     // What an earlier term left half done is committed, or not, with the first entry of this one.
-    append(state_.entry, out);
+    append(state_.entry);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/membership.cpp
+++ b/src/cluster/consensus/membership.cpp
@@ -45,7 +45,7 @@
 
 void Consensus::drop_silent_learners() {
     for (auto learner = learners_.begin(); learner != learners_.end();) {
-        const Micros heard = heard_from(*learner);
+        const Micros heard = last_contact(*learner);
         learner = now_ > heard + kLearnerForgotten ? learners_.erase(learner) : std::next(learner);
     }
 }
@@ -87,25 +87,25 @@
 }
 
 // Begins or ends a joint change; whether it did.
-bool Consensus::append_membership_change(Output& out) {
+bool Consensus::append_membership_change() {
     if (!state_.entry.outgoing_members.empty()) {
         LogEntry next = state_.entry;
         next.outgoing_members.clear();
-        append(std::move(next), out);
+        append(std::move(next));
         return true;
     }
-    if (!leads(now_)) return false;
+    if (!has_lease(now_)) return false;
     std::vector<std::string> members = wanted_members();
     if (members == state_.entry.members) return false;
     for (const std::string& member : members) learners_.erase(member);
     LogEntry next = state_.entry;
     next.outgoing_members = std::exchange(next.members, std::move(members));
     if (planted(PlantedFault::change_without_joint_step)) next.outgoing_members.clear();
-    append(std::move(next), out);
+    append(std::move(next));
     return true;
 }
 
-void Consensus::handle(const std::string& from, const JoinRequest&, Output&) {
+void Consensus::handle(const std::string& from, const JoinRequest&) {
     if (role_ != Role::leader || is_voter(state_.entry, from) || learners_.contains(from)) return;
     learners_.insert(from);
     Peer& peer = peers_[from];
@@ -126,28 +126,29 @@
     });
 }
 
-void Consensus::handle(const std::string& from, const LeaveRequest&, Output& out) {
-    if (role_ != Role::leader || !holds()) return;
+void Consensus::handle(const std::string& from, const LeaveRequest&) {
+    if (role_ != Role::leader || !is_established_leader()) return;
     if (is_voter(state_.entry, from)) {
         leaving_members_.insert(from);
-        append_next_change(out);
+        append_next_change();
         const bool replaceable = !ready_learners().empty();
         if (replaceable || !state_.entry.outgoing_members.empty() || !safe_without(from)) return;
     }
-    out.sends.push_back({from, LeaveResponse{term()}});
+    output_.messages.push_back({from, LeaveResponse{current_term()}});
 }
 
 // ---- the one that leaves ----
 
-void Consensus::leave(Micros now, Output& out) {
+ConsensusOutput Consensus::begin_leaving(Micros now) {
     now_ = now;
     leaving_ = true;
     next_leave_request_ = now;
-    fail_proposals(out);
-    continue_leaving(out);
+    fail_proposals();
+    continue_leaving();
+    return take_output();
 }
 
-void Consensus::continue_leaving(Output& out) {
+void Consensus::continue_leaving() {
     if (may_end_ || now_ < next_leave_request_) return;
     next_leave_request_ = now_ + kLeaveInterval;
     const bool alone = all_voters(state_.entry).size() <= 1;
@@ -156,13 +157,13 @@
         return;
     }
     if (role_ == Role::leader)
-        hand_over(out);
+        hand_over();
     else if (!leader_.empty())
-        out.sends.push_back({leader_, LeaveRequest{}});
+        output_.messages.push_back({leader_, LeaveRequest{}});
 }
 
 // The voter that answered last of those who hold the newest entry is asked to stand for election.
-void Consensus::hand_over(Output& out) {
+void Consensus::hand_over() {
     std::string best;
     for (const std::string& voter : state_.entry.members) {
         if (is_self(voter) || leaving_members_.contains(voter)) continue;
@@ -171,11 +172,11 @@
     }
     if (best.empty()) return;
     resigned_ = true;
-    out.sends.push_back({best, TimeoutNow{term()}});
+    output_.messages.push_back({best, TimeoutNow{current_term()}});
 }
 
-void Consensus::handle(const std::string&, const LeaveResponse& response, Output&) {
-    if (leaving_ && response.term == term()) may_end_ = true;
+void Consensus::handle(const std::string&, const LeaveResponse& response) {
+    if (leaving_ && response.term == current_term()) may_end_ = true;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Consensus::send_recovery_requests(Output& out) {
+void Consensus::send_recovery_requests() {
     if (now_ < next_recovery_request_) return;
     next_recovery_request_ = now_ + kRecoveryRequestInterval;
     if (nonce_ == 0) {
@@ -28,18 +28,19 @@
         all.insert(response.outgoing_members.begin(), response.outgoing_members.end());
     }
     all.erase(options_.self);
-    for (const std::string& member : all) out.sends.push_back({member, RecoveryRequest{nonce_}});
+    for (const std::string& member : all) output_.messages.push_back({member, RecoveryRequest{nonce_}});
 }
 
-void Consensus::handle(const std::string& from, const RecoveryRequest& request, Output& out) {
+void Consensus::handle(const std::string& from, const RecoveryRequest& request) {
     if (role_ == Role::non_member) return;
     const bool knows_leader = role_ == Role::leader || now_ < heard_leader_ + options_.election_timeout;
-    out.sends.push_back({from, RecoveryResponse{request.nonce, term(), state_.promise.pre_voted_through,
-                                                knows_leader ? leader_ : "", state_.entry.position,
-                                                state_.entry.members, state_.entry.outgoing_members}});
+    output_.messages.push_back(
+        {from, RecoveryResponse{request.nonce, current_term(), state_.promise.pre_voted_through,
+                                knows_leader ? leader_ : "", state_.entry.position, state_.entry.members,
+                                state_.entry.outgoing_members}});
 }
 
-void Consensus::handle(const std::string& from, const RecoveryResponse& response, Output& out) {
+void Consensus::handle(const std::string& from, const RecoveryResponse& response) {
     if (response.nonce != nonce_ || nonce_ == 0) return;
     recovery_responses_[from] = response;
     const auto newest =
@@ -55,9 +56,9 @@
     const bool belongs =
         contains(known.members, options_.self) || contains(known.outgoing_members, options_.self);
     if (!belongs) {
-        become_learner(known, out);
+        become_learner(known);
         if (role_ == Role::non_member && !response.leader.empty())
-            out.sends.push_back({response.leader, JoinRequest{}});
+            output_.messages.push_back({response.leader, JoinRequest{}});
         return;
     }
     if (role_ == Role::non_member)
@@ -67,14 +68,14 @@
 }
 
 // Left out, or never in: from here on nothing is promised before it is let in again.
-void Consensus::become_learner(const RecoveryResponse& newest, Output& out) {
+void Consensus::become_learner(const RecoveryResponse& newest) {
     if (role_ != Role::non_member) {
         const bool newer = newest.held > state_.entry.position;
         const bool left_out = newer || !is_voter(state_.entry, options_.self);
         if (!left_out || role_ == Role::leader) return;
         role_ = Role::non_member;
         state_.promise.member = false;
-        out.write = true;
+        output_.must_persist = true;
     }
     joining_ = true;
     awaited_state_.reset();
@@ -102,7 +103,7 @@
 }
 
 // A non-member has got an entry: if that makes it a voter, it is one from here on.
-void Consensus::become_member(Output& out) {
+void Consensus::become_member() {
     if (!is_voter(state_.entry, options_.self)) return;
     if (awaited_state_ && state_.entry.position < *awaited_state_) return;
     Promise& promise = state_.promise;
@@ -116,7 +117,7 @@
     awaited_no_vote_through_ = 0;
     recovery_responses_.clear();
     nonce_ = 0;
-    out.write = true;
+    output_.must_persist = true;
     set_election_timer();
 }
 
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -42,8 +42,8 @@
     return sent == round_sent_at_.end() ? 0 : sent->second;
 }
 
-bool Consensus::leads(Micros now) const {
-    if (!holds()) return false;
+bool Consensus::has_lease(Micros now) const {
+    if (!is_established_leader()) return false;
     const Micros start = lease_start();
     return start > 0 && now < start + options_.lease_duration;
 }
@@ -72,37 +72,39 @@
     }
 }
 
-void Consensus::append(LogEntry entry, Output& out) {
-    entry.position = {term(), state_.entry.position.index + 1};
+void Consensus::append(LogEntry entry) {
+    entry.position = {current_term(), state_.entry.position.index + 1};
     state_.entry = std::move(entry);
     payloads_.clear();
     remember_body();
-    out.write = true;
-    send_heartbeats(out);
-    advance_commit(out);  // alone it is a quorum
+    output_.must_persist = true;
+    send_heartbeats();
+    advance_commit();  // alone it is a quorum
 }
 
-void Consensus::send_heartbeats(Output& out) {
+void Consensus::send_heartbeats() {
     round_sent_at_[++round_] = now_;
     while (round_sent_at_.size() > kRoundsKept) round_sent_at_.erase(round_sent_at_.begin());
     next_heartbeat_ = now_ + options_.heartbeat_interval;
     for (const std::string& voter : all_voters(state_.entry))
-        if (!is_self(voter)) send_append(voter, out);
-    for (const std::string& learner : learners_) send_append(learner, out);
+        if (!is_self(voter)) send_append(voter);
+    for (const std::string& learner : learners_) send_append(learner);
 }
 
 // A heartbeat, and where the member lacks the newest entry and nothing of it is under way, its first chunk.
-void Consensus::send_append(const std::string& to, Output& out) {
+void Consensus::send_append(const std::string& to) {
     Peer& peer = peers_[to];
-    out.sends.push_back({to, AppendRequest{term(), round_, state_.entry.position, committed_.position}});
+    output_.messages.push_back(
+        {to, AppendRequest{current_term(), round_, state_.entry.position, committed_.position}});
     const bool lacks = peer.held != state_.entry.position;
-    if (lacks && planted(PlantedFault::resend_whole_entry)) return resend_whole_entry(to, out);
+    if (lacks && planted(PlantedFault::resend_whole_entry)) return resend_whole_entry(to);
     if (!lacks || peer.sender.active()) return;
-    if (start_transfer(peer)) out.sends.push_back({to, peer.sender.chunk(term(), round_, now_)});
+    if (start_transfer(peer))
+        output_.messages.push_back({to, peer.sender.chunk(current_term(), round_, now_)});
 }
 
 // The planted fault, as the code before had it.
-void Consensus::resend_whole_entry(const std::string& to, Output& out) {
+void Consensus::resend_whole_entry(const std::string& to) {
     constexpr Micros kInterval = 400'000;
     Peer& peer = peers_[to];
     if (peer.sender.active() && now_ < peer.resent + kInterval) return;
@@ -111,13 +113,13 @@
     const std::shared_ptr<const std::string> payload = payload_against({});
     const LogPosition& head = state_.entry.position;
     for (Number offset = 0; offset < payload->size(); offset += kMostChunkBytes)
-        out.sends.push_back({to, EntryChunk{term(),
-                                            round_,
-                                            head,
-                                            {},
-                                            offset,
-                                            payload->size(),
-                                            payload->substr(offset, kMostChunkBytes)}});
+        output_.messages.push_back({to, EntryChunk{current_term(),
+                                                   round_,
+                                                   head,
+                                                   {},
+                                                   offset,
+                                                   payload->size(),
+                                                   payload->substr(offset, kMostChunkBytes)}});
 }
 
 std::size_t Consensus::large_transfers() const {
@@ -155,9 +157,9 @@
     return payload;
 }
 
-void Consensus::handle(const std::string& from, const AppendResponse& response, Output& out) {
-    if (response.term > term()) return become_follower(response.term, out);
-    if (role_ != Role::leader || response.term != term()) return;
+void Consensus::handle(const std::string& from, const AppendResponse& response) {
+    if (response.term > current_term()) return become_follower(response.term);
+    if (role_ != Role::leader || response.term != current_term()) return;
     Peer& peer = peers_[from];
     peer.answered = now_;
     if (response.leaving)
@@ -169,11 +171,11 @@
     const LogPosition& head = state_.entry.position;
     if (peer.held == head) {
         peer.sender.stop();
-        return advance_commit(out);
+        return advance_commit();
     }
     if (!peer.sender.active()) return;  // the next heartbeat begins
     if (!continue_transfer(peer, response)) return;
-    out.sends.push_back({from, peer.sender.chunk(term(), round_, now_)});
+    output_.messages.push_back({from, peer.sender.chunk(current_term(), round_, now_)});
 }
 
 // What an answer says about the entry under way to that member; whether a chunk is to be sent. An older entry
@@ -196,7 +198,7 @@
     return true;
 }
 
-void Consensus::advance_commit(Output& out) {
+void Consensus::advance_commit() {
     const LogPosition& head = state_.entry.position;
     if (role_ != Role::leader || committed_.position == head) return;
     const auto holds_head = [&](const std::string& voter) {
@@ -205,8 +207,8 @@
     };
     if (!quorum_agrees(holds_head)) return;
     committed_ = state_.entry;
-    resolve_proposals(out);
-    append_next_change(out);
+    resolve_proposals();
+    append_next_change();
     // Followers learn soon that it is committed.
     next_heartbeat_ = std::min(next_heartbeat_, now_ + options_.heartbeat_interval / 4);
 }
@@ -214,46 +216,46 @@
 // ---- a follower ----
 
 // Whether what that leader says is to be followed; the answer is sent where it is not.
-bool Consensus::accept_leader(const std::string& from, Number term, Output& out) {
+bool Consensus::accept_leader(const std::string& from, Number term) {
     if (role_ == Role::non_member && !accepts_state()) return false;
     if (term < state_.promise.term) {
-        answer_leader(from, 0, out);  // no round of this term is answered
+        answer_leader(from, 0);  // no round of this term is answered
         return false;
     }
     const bool other_role = role_ != Role::follower && role_ != Role::non_member;
-    if (role_ != Role::non_member && (term > state_.promise.term || other_role)) become_follower(term, out);
+    if (role_ != Role::non_member && (term > state_.promise.term || other_role)) become_follower(term);
     if (role_ == Role::non_member && term > state_.promise.term) {
         state_.promise.term = term;
         state_.promise.voted_for.clear();
-        out.write = true;
+        output_.must_persist = true;
     }
     leader_ = from;
     heard_leader_ = now_;
     if (state_.promise.last_leader != from) {
         state_.promise.last_leader = from;  // before the answer that grants the lease
-        out.write = true;
+        output_.must_persist = true;
     }
     set_election_timer();
     return true;
 }
 
-void Consensus::answer_leader(const std::string& from, Number round, Output& out) {
-    out.sends.push_back({from, AppendResponse{term(), round, state_.entry.position, receiver_.position(),
-                                              receiver_.received(), leaving_}});
+void Consensus::answer_leader(const std::string& from, Number round) {
+    output_.messages.push_back({from, AppendResponse{current_term(), round, state_.entry.position,
+                                                     receiver_.position(), receiver_.received(), leaving_}});
 }
 
-void Consensus::handle(const std::string& from, const AppendRequest& request, Output& out) {
-    if (!accept_leader(from, request.term, out)) return;
+void Consensus::handle(const std::string& from, const AppendRequest& request) {
+    if (!accept_leader(from, request.term)) return;
     const bool holds_committed = request.committed == state_.entry.position;
     if (holds_committed && committed_.position != request.committed) committed_ = state_.entry;
-    answer_leader(from, request.round, out);
+    answer_leader(from, request.round);
 }
 
-void Consensus::handle(const std::string& from, const EntryChunk& chunk, Output& out) {
-    if (!accept_leader(from, chunk.term, out)) return;
+void Consensus::handle(const std::string& from, const EntryChunk& chunk) {
+    if (!accept_leader(from, chunk.term)) return;
     const bool whole = chunk.base == LogPosition{};
     const bool fits = whole || chunk.base == state_.entry.position;
-    if (chunk.position <= state_.entry.position || !fits) return answer_leader(from, chunk.round, out);
+    if (chunk.position <= state_.entry.position || !fits) return answer_leader(from, chunk.round);
     if (const std::optional<std::string> bytes = receiver_.add(chunk)) {
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
@@ -266,21 +268,20 @@
                 for (const ConfirmedVersion& record : payload.confirmed) add_confirmed(confirmed, record);
                 if (whole) bodies_.clear();  // what was held before need not be an ancestor
                 install({chunk.position, payload.version, std::move(payload.members),
-                         std::move(payload.outgoing_members), std::move(confirmed), std::move(body)},
-                        out);
+                         std::move(payload.outgoing_members), std::move(confirmed), std::move(body)});
                 return {};
             },
             [] {});  // what does not fit is sent again after the answer
     }
-    answer_leader(from, chunk.round, out);
+    answer_leader(from, chunk.round);
 }
 
-void Consensus::install(LogEntry entry, Output& out) {
+void Consensus::install(LogEntry entry) {
     state_.entry = std::move(entry);
     payloads_.clear();
-    out.write = true;
+    output_.must_persist = true;
     remember_body();
-    if (role_ == Role::non_member) become_member(out);
+    if (role_ == Role::non_member) become_member();
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -94,13 +94,12 @@
                 BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
                 Consensus::Options options = consensus_options(settings_);
                 options.first_start = settings_.initial_start && !state.promise.member;
-                Output out;
                 Event("disk_opened")
                     .with("member", state.promise.member)
                     .with("term", state.promise.term)
                     .with("version", state.entry.version);
-                consensus_.emplace(std::move(options), std::move(state), now, out);
-                carry_out(out);
+                consensus_.emplace(std::move(options), std::move(state), now);
+                carry_out(consensus_->start());
                 return {};
             },
             [&](ErrorCode kind, const ErrorDetail& detail) {
@@ -112,8 +111,8 @@
     }
 
     // First what is written, then what follows from it.
-    void carry_out(Output& out) {
-        if (out.write) {
+    void carry_out(const ConsensusOutput& out) {
+        if (out.must_persist) {
             const bool done = leaf::try_handle_all(
                 [&]() -> leaf::result<bool> {
                     BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
@@ -133,12 +132,12 @@
                 return;
             }
         }
-        for (const Output::Envelope& mail : out.sends) send(mail.to, mail.message);
-        for (const Output::ProposalResult& result : out.results) answer_operator(result);
+        for (const ConsensusOutput::Envelope& mail : out.messages) send(mail.to, mail.message);
+        for (const ConsensusOutput::ProposalResult& result : out.proposal_results) answer_operator(result);
         look();
     }
 
-    void answer_operator(const Output::ProposalResult& result) {
+    void answer_operator(const ConsensusOutput::ProposalResult& result) {
         const auto at = std::find_if(puts_.begin(), puts_.end(),
                                      [&](const auto& put) { return put.second == result.ticket; });
         if (at == puts_.end()) return;
@@ -171,17 +170,18 @@
         // A lease that runs out while this machine is short of time comes back with the next round: until
         // then nothing is said and nothing taken, but the coordinator stays. To close it would make all
         // fronts greet anew at the worst moment.
-        if (coordinator_ && (!consensus_->holds() || leaving_ || coordinator_->term() != consensus_->term()))
+        if (coordinator_ && (!consensus_->is_established_leader() || leaving_ ||
+                             coordinator_->term() != consensus_->current_term()))
             close_coordinator();
         if (leads && !coordinator_) {
-            coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->term(),
+            coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->current_term(),
                                                          [this](Session s, const Message& m) { tell(s, m); });
             for (auto& [key, inbound_peer] : inbound_peers_)
                 if (inbound_peer->front && inbound_peer->line->open())
                     coordinator_->came(inbound_peer->session, inbound_peer->registration);
         }
         if (!coordinator_ || !leads) return;
-        if (const LogEntry* const entry = consensus_->committed()) {
+        if (const LogEntry* const entry = consensus_->committed_entry()) {
             const bool same = read_ && read_->version() == entry->version && read_body_ == entry->body;
             coordinator_->committed(*entry, same ? read_ : nullptr);
         }
@@ -189,7 +189,7 @@
         for (const auto& [session, message] : std::exchange(held_in_, {})) take(session, message);
     }
 
-    bool acts(Micros now) const { return consensus_ && !leaving_ && consensus_->leads(now); }
+    bool acts(Micros now) const { return consensus_ && !leaving_ && consensus_->has_lease(now); }
 
     // What a front says to the coordinator.
     void take(Session session, const Message& message) {
@@ -265,9 +265,7 @@
             inbound_peer.member = message_received.from;
             peers_[message_received.from].heard = now;
             if (!consensus_) return;
-            Output out;
-            consensus_->receive(now, message_received.from, message_received.message, out);
-            carry_out(out);
+            carry_out(consensus_->on_message(now, message_received.from, message_received.message));
             set_timer();
             return;
         }
@@ -302,7 +300,7 @@
         if (m.method != "PUT" && m.method != "GET")
             return control_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
         const Micros now = net::Loop::now();
-        if (leaving_ || !consensus_ || !consensus_->leads(now)) {
+        if (leaving_ || !consensus_ || !consensus_->has_lease(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
             if (leader.empty() || leader == settings_.control_plane)
                 return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
@@ -312,7 +310,7 @@
             return control_.answer(exchange, answer);
         }
         if (m.method == "GET") {
-            const LogEntry* const entry = consensus_->committed();
+            const LogEntry* const entry = consensus_->committed_entry();
             if (!entry || entry->version == 0)
                 return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
             HttpMessage answer;
@@ -328,9 +326,7 @@
                 read_body_ = m.body;
                 const Number ticket = ++last_ticket_;
                 puts_[exchange] = ticket;
-                Output out;
-                consensus_->propose(now, ticket, configuration->version(), std::move(m.body), out);
-                carry_out(out);
+                carry_out(consensus_->propose(now, ticket, configuration->version(), std::move(m.body)));
                 set_timer();
                 return {};
             },
@@ -358,18 +354,18 @@
             all["state"] = told(std::string("its disk can not be used"));
             return json::Value(std::move(all));
         }
-        all["term"] = told(static_cast<double>(consensus_->term()));
+        all["term"] = told(static_cast<double>(consensus_->current_term()));
         all["leader"] = told(consensus_->leader());
-        all["leads"] = json::Value(consensus_->leads(now));
-        all["recovering"] = json::Value(consensus_->recovering());
+        all["leads"] = json::Value(consensus_->has_lease(now));
+        all["recovering"] = json::Value(consensus_->is_recovering());
         all["fence"] = told(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
-        all["version"] =
-            told(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
+        all["version"] = told(
+            consensus_->committed_entry() ? static_cast<double>(consensus_->committed_entry()->version) : 0);
         all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed()));
         json::List core;
         if (what.empty() || what == "core")
-            for (const std::string& m : consensus_->members()) {
-                const Micros heard = consensus_->heard_from(m);
+            for (const std::string& m : consensus_->voters()) {
+                const Micros heard = consensus_->last_contact(m);
                 core.emplace_back(
                     json::Object{{"member", told(m)},
                                  {"itself", json::Value(m == settings_.control_plane)},
@@ -386,9 +382,7 @@
         const Micros now = net::Loop::now();
         if (!consensus_ && now >= reopen_at_) open();
         if (consensus_) {
-            Output out;
-            consensus_->tick(now, out);
-            carry_out(out);
+            carry_out(consensus_->on_timer(now));
         }
         if (coordinator_ && acts(now)) coordinator_->tick(now);
         if (now >= next_sweep_) sweep(now);
@@ -429,7 +423,7 @@
     void set_timer() {
         Micros next = next_sweep_;
         if (consensus_)
-            next = std::min(next, consensus_->next_tick());
+            next = std::min(next, consensus_->next_timer());
         else
             next = std::min(next, reopen_at_);
         if (coordinator_ && acts(net::Loop::now())) next = std::min(next, coordinator_->next_tick());
@@ -447,9 +441,7 @@
         leaving_ = true;
         Event("leaving").with("open", puts_.size());
         if (consensus_) {
-            Output out;
-            consensus_->leave(net::Loop::now(), out);
-            carry_out(out);
+            carry_out(consensus_->begin_leaving(net::Loop::now()));
         }
         close_coordinator();
         control_.say_goodbye();
@@ -462,7 +454,7 @@
     // Ends once the others hold all that is committed here, and what was still to be answered has been.
     void end_if_done(Micros now) {
         if (!leaving_ || now < leave_no_sooner_) return;
-        const bool may_end = !consensus_ || consensus_->may_end();
+        const bool may_end = !consensus_ || consensus_->may_stop();
         if (may_end || now >= leave_by_) loop_.stop();
     }
 
--- a/tests/system/consensus/consensus_test.cpp
+++ b/tests/system/consensus/consensus_test.cpp
@@ -15,17 +15,17 @@
     options.self = "a";
     options.seeds = {"a", "b", "c"};
     options.first_start = true;
-    Output out;
-    Consensus consensus(options, {}, 1'000'000, out);
-    consensus.tick(kNow, out);
-    consensus.receive(kNow, "b", VoteResponse{1, true, true, 0}, out);
-    consensus.receive(kNow, "b", VoteResponse{1, true, false, 0}, out);
+    Consensus consensus(options, {}, 1'000'000);
+    static_cast<void>(consensus.start());
+    static_cast<void>(consensus.on_timer(kNow));
+    static_cast<void>(consensus.on_message(kNow, "b", VoteResponse{1, true, true, 0}));
+    static_cast<void>(consensus.on_message(kNow, "b", VoteResponse{1, true, false, 0}));
     const LogPosition first = consensus.persistent_state().entry.position;
-    consensus.receive(kNow, "b", AppendResponse{1, 1000, first, {}, 0, false}, out);
-    BOOST_TEST(consensus.holds());
-    BOOST_TEST(!consensus.leads(kNow));
-    consensus.receive(kNow, "b", AppendResponse{1, 1, first, {}, 0, false}, out);
-    BOOST_TEST(consensus.leads(kNow));
+    static_cast<void>(consensus.on_message(kNow, "b", AppendResponse{1, 1000, first, {}, 0, false}));
+    BOOST_TEST(consensus.is_established_leader());
+    BOOST_TEST(!consensus.has_lease(kNow));
+    static_cast<void>(consensus.on_message(kNow, "b", AppendResponse{1, 1, first, {}, 0, false}));
+    BOOST_TEST(consensus.has_lease(kNow));
 }
 
 }  // namespace
--- a/tests/system/world.hpp
+++ b/tests/system/world.hpp
@@ -161,11 +161,11 @@
         Micros asked_at = 0;
     };
 
-    void carry_out(Core& core, Output& out);
+    void carry_out(Core& core, const ConsensusOutput& out);
     void deliver(std::size_t from, std::size_t to, const Message& message);
     void arrive(std::size_t from, std::size_t to, const Message& message, Number life);
     static BodyHash hash_of(const std::string& body) { return std::hash<std::string>{}(body); }
-    void answered(Core& core, const Output::ProposalResult& result);
+    void answered(Core& core, const ConsensusOutput::ProposalResult& result);
     void confirmed(Core& core, const Order& order);
     void refused(const Order& order);
     void check_committed(Core& core);
@@ -200,7 +200,7 @@
         (digest_.add(parts), ...);
     }
     void digest_message(std::uint64_t from, std::uint64_t to, const Message& message);
-    void digest_consensus_output(std::size_t core, const Output& out);
+    void digest_consensus_output(std::size_t core, const ConsensusOutput& out);
     void digest_actions(std::size_t front, const Actions& actions);
     bool joined(std::size_t a, std::size_t b) const { return !cuts_.contains({a, b}); }
     Micros hop();
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -7,34 +7,35 @@
 
 void World::look(Core& core) {
     if (!core.up || !core.consensus || now_ < core.stalled_until) return;
-    const bool leads = core.consensus->leads(now_);
+    const bool leads = core.consensus->has_lease(now_);
     if (leads) {
         const auto i = static_cast<std::size_t>(
             std::find_if(cores_.begin(), cores_.end(), [&](const auto& c) { return c.get() == &core; }) -
             cores_.begin());
-        const auto [known, fresh] = term_leader_.emplace(core.consensus->term(), i);
+        const auto [known, fresh] = term_leader_.emplace(core.consensus->current_term(), i);
         if (!fresh && known->second != i)
-            breach("two leaders in term " + std::to_string(core.consensus->term()));
+            breach("two leaders in term " + std::to_string(core.consensus->current_term()));
         if (leaders() > 1) breach("two act as leader at once: " + told());
     }
-    if (core.coordinator && (!core.consensus->holds() || core.coordinator->term != core.consensus->term()))
+    if (core.coordinator && (!core.consensus->is_established_leader() ||
+                             core.coordinator->term != core.consensus->current_term()))
         close_coordinator(core);
     if (leads && !core.coordinator && !fronts_.empty()) {
         SlotTable::Options b;
         b.budget_slack = 20;
         Planner::Options p;
-        p.nonce_prefix = core.name + "-" + std::to_string(core.consensus->term()) + "-";
+        p.nonce_prefix = core.name + "-" + std::to_string(core.consensus->current_term()) + "-";
         p.duty_per_s = 100;
-        p.settle = core.consensus->term() <= 1 ? 200'000 : 1'500'000;
+        p.settle = core.consensus->current_term() <= 1 ? 200'000 : 1'500'000;
         for (const char* z : {"z0", "z1", "z2"}) p.region_of[z] = "r";
-        core.coordinator = std::make_unique<Core::Coordinator>(core.consensus->term(), b, p, now_);
+        core.coordinator = std::make_unique<Core::Coordinator>(core.consensus->current_term(), b, p, now_);
     }
-    if (leads && core.coordinator && core.consensus->committed() &&
-        core.consensus->committed()->version > core.coordinator->version) {
-        core.coordinator->version = core.consensus->committed()->version;
+    if (leads && core.coordinator && core.consensus->committed_entry() &&
+        core.consensus->committed_entry()->version > core.coordinator->version) {
+        core.coordinator->version = core.consensus->committed_entry()->version;
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(c, Configuration::read(core.consensus->committed()->body));
+                BOOST_LEAF_AUTO(c, Configuration::read(core.consensus->committed_entry()->body));
                 core.coordinator->slot_table.configure(c);
                 for (const std::size_t f : core.coordinator->fronts) {
                     const Number version = core.coordinator->version;
@@ -188,7 +189,7 @@
         if (lost) answer = StartResult::silent;
         at(now_ + (lost ? kCallLimit : hop()), [this, core, life, b, answer, begun] {
             Core& c = *cores_[core];
-            if (c.life != life || !c.coordinator || !c.consensus || !c.consensus->leads(now_)) return;
+            if (c.life != life || !c.coordinator || !c.consensus || !c.consensus->has_lease(now_)) return;
             std::vector<ProxyMessage> mail;
             if (answer == StartResult::begun) c.coordinator->slot_table.began(now_, begun, mail);
             c.coordinator->planner.on_start_result(now_, b.nonce, answer);
--- a/tests/system/world_cores.cpp
+++ b/tests/system/world_cores.cpp
@@ -44,9 +44,8 @@
         core.disk.entry.members = seeds_;
     }
     options.planted_fault = planted_fault(shape_.sabotage);
-    Output out;
-    core.consensus.emplace(std::move(options), core.disk, now_, out);
-    carry_out(core, out);
+    core.consensus.emplace(std::move(options), core.disk, now_);
+    carry_out(core, core.consensus->start());
 }
 
 void World::start_core(std::size_t i) {
@@ -103,9 +102,7 @@
 void World::leave_core(std::size_t i) {
     Core& core = *cores_[i];
     if (!core.up || !core.consensus) return;
-    Output out;
-    core.consensus->leave(now_, out);
-    carry_out(core, out);
+    carry_out(core, core.consensus->begin_leaving(now_));
 }
 
 void World::tick_core(std::size_t i) {
@@ -118,16 +115,14 @@
     } else {
         if (!core.consensus && now_ >= core.reopen_at && core.disk_works) open_core(core);
         if (core.up && core.consensus) {
-            Output out;
-            core.consensus->tick(now_, out);
-            carry_out(core, out);
+            carry_out(core, core.consensus->on_timer(now_));
         }
         if (core.up && core.consensus) look(core);
         if (core.up && core.ends_by > 0) end_if_it_may(core);
-        if (core.up && core.coordinator && now_ >= core.coordinator->next && core.consensus->leads(now_))
+        if (core.up && core.coordinator && now_ >= core.coordinator->next && core.consensus->has_lease(now_))
             coordinator_step(core);
         if (core.up && core.consensus)
-            next = std::min(next, std::max(now_ + 1'000, core.consensus->next_tick()));
+            next = std::min(next, std::max(now_ + 1'000, core.consensus->next_timer()));
     }
     if (!core.up || core.life != life) return;
     at(next, [this, i, life] {
@@ -135,19 +130,19 @@
     });
 }
 
-void World::carry_out(Core& core, Output& out) {
+void World::carry_out(Core& core, const ConsensusOutput& out) {
     const std::size_t i = static_cast<std::size_t>(
         std::find_if(cores_.begin(), cores_.end(), [&](const auto& c) { return c.get() == &core; }) -
         cores_.begin());
     digest_consensus_output(i, out);
     const auto send = [&] {
-        for (const auto& mail : out.sends)
+        for (const auto& mail : out.messages)
             for (std::size_t to = 0; to < cores_.size(); ++to)
                 if (cores_[to]->name == mail.to) deliver(i, to, mail.message);
-        for (const auto& result : out.results) answered(core, result);
+        for (const auto& result : out.proposal_results) answered(core, result);
     };
-    if (out.write && shape_.sabotage == Sabotage::send_before_sync) send();
-    if (out.write) {
+    if (out.must_persist && shape_.sabotage == Sabotage::send_before_sync) send();
+    if (out.must_persist) {
         if (core.crash) {
             core.crash = false;
             // The power went while it was written: there whole, or not at all; nothing was said.
@@ -167,13 +162,13 @@
         core.disk = core.consensus->persistent_state();
         core.synced = std::max(core.synced, core.disk.entry.position);
     }
-    if (!(out.write && shape_.sabotage == Sabotage::send_before_sync)) send();
+    if (!(out.must_persist && shape_.sabotage == Sabotage::send_before_sync)) send();
     check_committed(core);
     look(core);
 }
 
 void World::check_committed(Core& core) {
-    const LogEntry* const entry = core.consensus ? core.consensus->committed() : nullptr;
+    const LogEntry* const entry = core.consensus ? core.consensus->committed_entry() : nullptr;
     if (!entry || entry->version == 0 || entry->position == core.checked) return;
     core.checked = entry->position;
     const BodyHash body = hash_of(entry->body);
@@ -210,9 +205,7 @@
         at(core.stalled_until, [this, from, to, message, life] { arrive(from, to, message, life); });
         return;
     }
-    Output out;
-    core.consensus->receive(now_, cores_[from]->name, message, out);
-    carry_out(core, out);
+    carry_out(core, core.consensus->on_message(now_, cores_[from]->name, message));
 }
 
 }  // namespace gannethold::cluster::played
--- a/tests/system/world_digest.cpp
+++ b/tests/system/world_digest.cpp
@@ -9,18 +9,18 @@
     if (records_digest_) digest_output(from, to, std::string_view(encode(message)));
 }
 
-void World::digest_consensus_output(std::size_t core, const Output& out) {
+void World::digest_consensus_output(std::size_t core, const ConsensusOutput& out) {
     if (!records_digest_) return;
-    if (out.write) {
+    if (out.must_persist) {
         const PersistentState& state = cores_[core]->consensus->persistent_state();
         digest_output(std::uint64_t{core}, std::string_view(encode_promise(state.promise)),
                       std::string_view(encode_entry(state.entry)));
     }
-    for (const Output::Envelope& envelope : out.sends) {
+    for (const ConsensusOutput::Envelope& envelope : out.messages) {
         digest_output(std::string_view(envelope.to));
         digest_message(core, 0, envelope.message);
     }
-    for (const Output::ProposalResult& result : out.results)
+    for (const ConsensusOutput::ProposalResult& result : out.proposal_results)
         digest_output(std::uint64_t{core}, result.ticket, static_cast<std::uint64_t>(result.outcome));
 }
 
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -20,7 +20,7 @@
                  const Message& message) {
     Core& c = *cores_[core];
     if (!c.up || c.life != life || !c.coordinator || c.coordinator->term != term || fronts_[f]->off) return;
-    if (now_ < c.stalled_until || !c.consensus || !c.consensus->leads(now_)) {
+    if (now_ < c.stalled_until || !c.consensus || !c.consensus->has_lease(now_)) {
         // Held by the connection until it wakes, and by the coordinator until the lease is back.
         at(std::max(now_, c.stalled_until) + 2'000,
            [=, this] { take(f, core, life, term, session, message); });
@@ -81,13 +81,14 @@
                      Registered{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}}});
                 next.coordinator->slot_table.on_proxy_registered(now_, front.session,
                                                                  front.handler->registration(), mail);
-                if (next.consensus && next.consensus->committed() &&
-                    (next.consensus->leads(now_) || shape_.sabotage == Sabotage::configure_without_lease) &&
-                    next.consensus->committed()->version > front.handler->version())
+                if (next.consensus && next.consensus->committed_entry() &&
+                    (next.consensus->has_lease(now_) ||
+                     shape_.sabotage == Sabotage::configure_without_lease) &&
+                    next.consensus->committed_entry()->version > front.handler->version())
                     leaf::try_handle_all(
                         [&]() -> leaf::result<void> {
                             BOOST_LEAF_AUTO(configuration,
-                                            Configuration::read(next.consensus->committed()->body));
+                                            Configuration::read(next.consensus->committed_entry()->body));
                             front.handler->configure(configuration);
                             front.best_version = std::max(front.best_version, front.handler->version());
                             return {};
--- a/tests/system/world_looks.cpp
+++ b/tests/system/world_looks.cpp
@@ -9,23 +9,24 @@
 std::size_t World::leaders() const {
     std::size_t n = 0;
     for (const auto& c : cores_)
-        n += c->up && c->consensus && now_ >= c->stalled_until && c->consensus->leads(now_);
+        n += c->up && c->consensus && now_ >= c->stalled_until && c->consensus->has_lease(now_);
     return n;
 }
 std::optional<std::size_t> World::leader() const {
     for (std::size_t i = 0; i < cores_.size(); ++i)
         if (cores_[i]->up && cores_[i]->consensus && now_ >= cores_[i]->stalled_until &&
-            cores_[i]->consensus->leads(now_))
+            cores_[i]->consensus->has_lease(now_))
             return i;
     return {};
 }
 Number World::committed() const {
     const auto l = leader();
-    return l && cores_[*l]->consensus->committed() ? cores_[*l]->consensus->committed()->version : 0;
+    return l && cores_[*l]->consensus->committed_entry() ? cores_[*l]->consensus->committed_entry()->version
+                                                         : 0;
 }
 std::size_t World::members() const {
     const auto l = leader();
-    return l ? cores_[*l]->consensus->members().size() : 0;
+    return l ? cores_[*l]->consensus->voters().size() : 0;
 }
 std::size_t World::learners() const {
     const auto at = leader();
@@ -55,7 +56,7 @@
 Number World::term() const {
     Number highest = 0;
     for (const auto& core : cores_)
-        if (core->consensus) highest = std::max(highest, core->consensus->term());
+        if (core->consensus) highest = std::max(highest, core->consensus->current_term());
     return highest;
 }
 Number World::held(std::size_t i) const { return cores_[i]->disk.entry.version; }
@@ -63,7 +64,7 @@
 bool World::voters_live() const {
     const auto at = leader();
     if (!at) return false;
-    const auto& voters = cores_[*at]->consensus->members();
+    const auto& voters = cores_[*at]->consensus->voters();
     return std::all_of(voters.begin(), voters.end(), [&](const std::string& voter) {
         return std::any_of(cores_.begin(), cores_.end(),
                            [&](const auto& core) { return core->name == voter && !core->retired; });
@@ -71,7 +72,7 @@
 }
 bool World::core_up(std::size_t i) const { return cores_[i]->up; }
 bool World::core_recovering(std::size_t i) const {
-    return !cores_[i]->consensus || cores_[i]->consensus->recovering();
+    return !cores_[i]->consensus || cores_[i]->consensus->is_recovering();
 }
 std::string World::told() const {
     std::ostringstream text;
--- a/tests/system/world_operators.cpp
+++ b/tests/system/world_operators.cpp
@@ -23,12 +23,12 @@
 std::optional<std::size_t> World::serving(std::size_t core) const {
     const Core& asked = *cores_[core];
     if (!asked.up || !asked.consensus || now_ < asked.stalled_until) return {};
-    if (asked.consensus->leads(now_)) return core;
+    if (asked.consensus->has_lease(now_)) return core;
     // The caller follows a redirection once.
     for (std::size_t i = 0; i < cores_.size(); ++i) {
         const Core& named = *cores_[i];
         const bool answers = i != core && named.up && named.consensus && now_ >= named.stalled_until;
-        if (answers && named.name == asked.consensus->leader() && named.consensus->leads(now_)) return i;
+        if (answers && named.name == asked.consensus->leader() && named.consensus->has_lease(now_)) return i;
     }
     return {};
 }
@@ -41,18 +41,16 @@
     std::string sent = body(version, mark);
     const Order order{version, *at, hash_of(sent), now_};
     sent_bodies_[version].insert(order.body);
-    const LogEntry* const held = server.consensus->committed();
+    const LogEntry* const held = server.consensus->committed_entry();
     if (shape_.sabotage == Sabotage::compare_no_bodies && held && version <= held->version)
         return confirmed(server, order);
     tickets_[ticket] = order;
-    Output out;
-    server.consensus->propose(now_, ticket, version, std::move(sent), out);
-    carry_out(server, out);
+    carry_out(server, server.consensus->propose(now_, ticket, version, std::move(sent)));
 }
 
 // ---- answers to orders
 
-void World::answered(Core& core, const Output::ProposalResult& result) {
+void World::answered(Core& core, const ConsensusOutput::ProposalResult& result) {
     const auto ticket = tickets_.find(result.ticket);
     if (ticket == tickets_.end()) return;
     const Order order = ticket->second;
@@ -70,7 +68,7 @@
     if (refused_bodies_[order.version].count(order.body) > 0) breach("refused, then acknowledged: " + named);
     check_contact(index_of(core), order.asked_at, "acknowledged " + named);
     // What is acknowledged under its number is the one that is held, or a higher one is.
-    const LogEntry* const entry = core.consensus ? core.consensus->committed() : nullptr;
+    const LogEntry* const entry = core.consensus ? core.consensus->committed_entry() : nullptr;
     if (!entry || entry->version < order.version)
         return breach("acknowledged " + named + " is not committed");
     if (entry->version == order.version && hash_of(entry->body) != order.body)
@@ -125,8 +123,8 @@
 const LogEntry* World::read(std::size_t core, bool without_lease) const {
     const Core& asked = *cores_[core];
     if (!asked.up || !asked.consensus || now_ < asked.stalled_until) return nullptr;
-    if (!without_lease && !asked.consensus->leads(now_)) return nullptr;
-    return asked.consensus->committed();
+    if (!without_lease && !asked.consensus->has_lease(now_)) return nullptr;
+    return asked.consensus->committed_entry();
 }
 
 void World::get(std::size_t core) {
--- a/tests/system/world_replacement.cpp
+++ b/tests/system/world_replacement.cpp
@@ -34,7 +34,7 @@
 }
 
 void World::end_if_it_may(Core& core) {
-    const bool may_end = core.consensus && core.consensus->may_end();
+    const bool may_end = core.consensus && core.consensus->may_stop();
     if (!may_end && now_ < core.ends_by) return;
     if (!may_end) ++ends_after_grace;
     const std::size_t i = index_of(core);
