--- a/src/cluster/consensus/confirmed_versions.cpp
+++ b/src/cluster/consensus/confirmed_versions.cpp
@@ -4,18 +4,20 @@
 
 namespace gannethold::cluster {
 
-const ConfirmedVersion* find_confirmed(const std::vector<ConfirmedVersion>& records, Number version) {
-    const auto at = std::find_if(records.rbegin(), records.rend(),
-                                 [&](const ConfirmedVersion& record) { return record.version == version; });
-    return at == records.rend() ? nullptr : &*at;
+const ConfirmedVersion* find_confirmed(const std::vector<ConfirmedVersion>& records,
+                                       ConfigurationVersion version) {
+    const auto found = std::find_if(records.rbegin(), records.rend(), [&](const ConfirmedVersion& record) {
+        return record.version == version;
+    });
+    return found == records.rend() ? nullptr : &*found;
 }
 
 void add_confirmed(std::vector<ConfirmedVersion>& records, const ConfirmedVersion& record) {
     records.push_back(record);
-    if (records.size() > kMostConfirmedVersions) records.erase(records.begin());
+    if (records.size() > kMaxConfirmedVersions) records.erase(records.begin());
 }
 
-std::vector<ConfirmedVersion> confirmed_after(const std::vector<ConfirmedVersion>& records, Number index) {
+std::vector<ConfirmedVersion> confirmed_after(const std::vector<ConfirmedVersion>& records, LogIndex index) {
     std::vector<ConfirmedVersion> later;
     std::copy_if(records.begin(), records.end(), std::back_inserter(later),
                  [&](const ConfirmedVersion& record) { return record.index > index; });
@@ -23,7 +25,7 @@
 }
 
 bool may_be_forgotten(const std::vector<ConfirmedVersion>& records) {
-    return records.size() >= kMostConfirmedVersions;
+    return records.size() >= kMaxConfirmedVersions;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/confirmed_versions.hpp
+++ b/src/cluster/consensus/confirmed_versions.hpp
@@ -1,6 +1,6 @@
-// The memory of which body was confirmed under which configuration number. It is part of the replicated
-// state, so that any later leader answers an order that is sent again as the earlier one did, and never
-// confirms two bodies under one number. Bounded: the records of the oldest log entries are forgotten first.
+// Which configuration was committed under which version. These records are part of the replicated state, so
+// that any later leader answers a repeated proposal as the earlier one did, and no two configurations are
+// ever committed under one version. Their number is bounded: those of the oldest log entries are dropped.
 #pragma once
 
 #include <vector>
@@ -9,19 +9,20 @@
 
 namespace gannethold::cluster {
 
-// Records kept: about 100 KB of memory at 24 bytes each.
-constexpr std::size_t kMostConfirmedVersions = 4096;
+// About 100 KB of memory at 24 bytes a record.
+constexpr std::size_t kMaxConfirmedVersions = 4096;
 
-// The record of that number; nullptr: none is kept.
-const ConfirmedVersion* find_confirmed(const std::vector<ConfirmedVersion>& records, Number version);
+// The record of that version; nullptr: none is kept.
+const ConfirmedVersion* find_confirmed(const std::vector<ConfirmedVersion>& records,
+                                       ConfigurationVersion version);
 
-// Appends a record and forgets the oldest where there are too many.
+// Appends a record, and drops the oldest one where there are too many.
 void add_confirmed(std::vector<ConfirmedVersion>& records, const ConfirmedVersion& record);
 
 // The records of log entries after that index.
-std::vector<ConfirmedVersion> confirmed_after(const std::vector<ConfirmedVersion>& records, Number index);
+std::vector<ConfirmedVersion> confirmed_after(const std::vector<ConfirmedVersion>& records, LogIndex index);
 
-// Whether a number not above the newest one may have been confirmed and forgotten.
+// Whether the record of a version that is not above the newest one may have been dropped.
 bool may_be_forgotten(const std::vector<ConfirmedVersion>& records);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -1,58 +1,84 @@
+// Calls from outside: time and messages.
 #include "cluster/consensus/consensus.hpp"
 
 #include <algorithm>
 #include <utility>
-
-#include "cluster/consensus/quorum.hpp"
+#include <variant>
 
 namespace gannethold::cluster {
+namespace {
+
+// A follower that has heard no leader for so many election timeouts asks whether it was left out: the members
+// that went on without it answer no vote request of it.
+constexpr int kTimeoutsUntilRecovery = 4;
+
+template <class... Handlers>
+struct Overloaded : Handlers... {
+    using Handlers::operator()...;
+};
+template <class... Handlers>
+Overloaded(Handlers...) -> Overloaded<Handlers...>;
+
+}  // namespace
 
 Consensus::Consensus(Options options, PersistentState state, Micros now)
     : options_(std::move(options)),
       state_(std::move(state)),
       now_(now),
-      started_(now),
-      heard_leader_(now),
-      random_(options_.random_seed * 2 + 1) {
-    if (!state_.promise.member && options_.first_start && contains(options_.seeds, options_.self)) {
-        // All founders were told the same seeds, so all found the same core; whoever is no founder asks to be
-        // let in.
-        state_.promise.member = true;
-        state_.entry.position = {0, 1};
-        state_.entry.members = options_.seeds;
-        output_.must_persist = true;
-    }
+      started_at_(now),
+      election_timer_(options_.election_timeout, options_.random_seed),
+      heard_leader_at_(now),
+      lease_(options_.lease_duration),
+      recovery_(now) {}
+
+ConsensusOutput Consensus::start() {
+    if (!state_.promise.member && options_.first_start) found_core();
     if (state_.promise.member) {
         role_ = Role::follower;
-        remember_body();
+        remember_head();
     }
-    next_recovery_request_ = now;
-    set_election_timer();
-}
-
-ConsensusOutput Consensus::start() {
+    restart_election_timer();
     run_due_work();
     return take_output();
 }
 
-Micros Consensus::last_contact(const std::string& member) const {
-    const auto at = peers_.find(member);
-    return at == peers_.end() ? 0 : at->second.heard;
+// All founders have the same seeds, so all found the same core. A machine that is no founder asks to be let
+// in.
+void Consensus::found_core() {
+    if (!contains(options_.seeds, options_.self)) return;
+    state_.promise.member = true;
+    state_.entry.position = {0, 1};
+    state_.entry.members = options_.seeds;
+    output_.must_persist = true;
 }
 
 ConsensusOutput Consensus::on_message(Micros now, const std::string& from, const Message& message) {
     now_ = now;
     if (is_self(from)) return {};
-    peers_[from].heard = now;
-    std::visit(
-        [&](const auto& typed) {
-            if constexpr (requires { handle(from, typed); }) handle(from, typed);
-        },
-        message);
+    peers_[from].last_contact = now;
+    dispatch(from, message);
     run_due_work();
     return take_output();
 }
 
+void Consensus::dispatch(const std::string& from, const Message& message) {
+    std::visit(Overloaded{
+                   [&](const VoteRequest& request) { handle_request_vote(from, request); },
+                   [&](const VoteResponse& response) { handle_vote_response(from, response); },
+                   [&](const TimeoutNow& request) { handle_timeout_now(from, request); },
+                   [&](const AppendRequest& request) { handle_append_request(from, request); },
+                   [&](const EntryChunk& chunk) { handle_entry_chunk(from, chunk); },
+                   [&](const AppendResponse& response) { handle_append_response(from, response); },
+                   [&](const JoinRequest&) { handle_join_request(from); },
+                   [&](const LeaveRequest&) { handle_leave_request(from); },
+                   [&](const LeaveResponse& response) { handle_leave_response(response); },
+                   [&](const RecoveryRequest& request) { handle_recovery_request(from, request); },
+                   [&](const RecoveryResponse& response) { handle_recovery_response(from, response); },
+                   [](const auto&) {},  // between proxies and the coordinator
+               },
+               message);
+}
+
 ConsensusOutput Consensus::on_timer(Micros now) {
     now_ = now;
     run_due_work();
@@ -60,31 +86,56 @@
 }
 
 void Consensus::run_due_work() {
-    constexpr int kTimeoutsUntilAsking = 4;
-    if (role_ == Role::leader && !hears_quorum()) become_follower(current_term());
+    if (role_ == Role::leader && !hears_quorum()) step_down(current_term());
     if (role_ == Role::leader) {
         drop_silent_learners();
         append_next_change();
         if (now_ >= next_heartbeat_) send_heartbeats();
     }
+    campaign_if_due();
+    if (role_ == Role::non_member && !(accepts_state() && hears_leader())) send_recovery_requests();
+    continue_leaving();
+    next_timer_ = compute_next_timer();
+}
+
+void Consensus::campaign_if_due() {
     const bool may_campaign = role_ != Role::leader && role_ != Role::non_member;
-    if (may_campaign && now_ >= election_at_) {
-        // One that was left out is told so by nobody's votes: it asks how things stand.
-        if (now_ > heard_leader_ + kTimeoutsUntilAsking * options_.election_timeout) send_recovery_requests();
-        handed_over_ = false;
-        campaign(true);
-    }
-    const bool hears_leader = now_ < heard_leader_ + options_.election_timeout;
-    if (role_ == Role::non_member && !(accepts_state() && hears_leader)) send_recovery_requests();
-    if (leaving_) continue_leaving();
-
-    if (role_ == Role::leader)
-        next_tick_ = next_heartbeat_;
-    else if (role_ == Role::non_member)
-        next_tick_ = std::max(next_recovery_request_, now_ + options_.heartbeat_interval);
-    else
-        next_tick_ = election_at_;
-    if (leaving_ && !may_end_) next_tick_ = std::min(next_tick_, next_leave_request_);
+    if (!may_campaign || now_ < election_timer_.due_at()) return;
+    if (now_ > heard_leader_at_ + kTimeoutsUntilRecovery * options_.election_timeout)
+        send_recovery_requests();
+    leader_handed_over_ = false;
+    start_candidacy(Role::pre_candidate);
+}
+
+Micros Consensus::compute_next_timer() const {
+    Micros next = election_timer_.due_at();
+    if (role_ == Role::leader) next = next_heartbeat_;
+    if (role_ == Role::non_member)
+        next = std::max(recovery_.next_request_at(), now_ + options_.heartbeat_interval);
+    if (leave_.is_begun() && !leave_.may_stop()) next = std::min(next, leave_.next_request_at());
+    return next;
+}
+
+void Consensus::send(const std::string& to, Message message) {
+    output_.messages.push_back({to, std::move(message)});
+}
+
+const Peer* Consensus::find_peer(const std::string& member) const {
+    const auto found = peers_.find(member);
+    return found == peers_.end() ? nullptr : &found->second;
+}
+
+bool Consensus::is_established_leader() const {
+    return role_ == Role::leader && committed_entry_.position.term == current_term() && !handed_over_;
+}
+
+const LogEntry* Consensus::committed_entry() const {
+    return committed_entry_.position > LogPosition{} ? &committed_entry_ : nullptr;
+}
+
+Micros Consensus::last_contact(const std::string& member) const {
+    const Peer* const peer = find_peer(member);
+    return peer ? peer->last_contact : 0;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -1,266 +1,263 @@
-// Consensus of the core on one small register: the newest configuration, which numbers were confirmed, and
+// Consensus of the core on one small register: the configuration in force, which versions were committed, and
 // who votes.
 //
-// A leader is elected by a quorum for a term; every change is a new LogEntry with the leader's term and the
-// next index, and is committed once a quorum has it on disk (Raft's rules, with a log of which only the last
-// entry is kept: each entry holds the whole state, so an older one is never needed). Sources: elections,
-// terms, joint consensus and pre-votes, Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", and Ongaro's thesis, sections 4 and 9.6; the recovery of a member that lost its disk, Liskov
-// and Cowling, "Viewstamped Replication Revisited", section 4.3.
+// A leader is elected by a quorum for a term. Every change is a new LogEntry with the leader's term and the
+// next index, and is committed once a quorum has it on disk. These are Raft's rules with a log of which only
+// the last entry is kept: each entry holds the complete state, so an earlier one is never needed.
 //
-// No I/O and no clock: each call takes the time of a steady clock and fills an ConsensusOutput. The caller
-// first writes persistent_state() to disk and syncs it where ConsensusOutput::write is set, and only then
-// sends; if the write fails nothing of the ConsensusOutput may be used and the machine is made anew from what
-// is on disk.
+// Sources. "Raft" in comments: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
+// (extended version). "Thesis": Ongaro, "Consensus: Bridging Theory and Practice", which adds pre-votes
+// (9.6), leadership transfer (3.10) and leases (6.4.1). Recovery of a member that lost its disk: Liskov and
+// Cowling, "Viewstamped Replication Revisited", section 4.3.
 //
-// Files: consensus.cpp (time, messages in), election.cpp, replication.cpp, proposals.cpp, membership.cpp,
-// recovery.cpp. docs/control-plane.md says what holds and why.
+// Files: consensus.cpp (calls from outside), election.cpp, replication.cpp (the leader), follower.cpp,
+// proposals.cpp, membership.cpp, recovery.cpp. The parts have headers of their own. docs/control-plane.md
+// says what holds and why.
 #pragma once
 
 #include <map>
 #include <memory>
-#include <optional>
 #include <set>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "cluster/consensus/election_timer.hpp"
+#include "cluster/consensus/entry_history.hpp"
 #include "cluster/consensus/entry_transfer.hpp"
+#include "cluster/consensus/leader_lease.hpp"
+#include "cluster/consensus/membership_plan.hpp"
+#include "cluster/consensus/peer.hpp"
+#include "cluster/consensus/persistent_state.hpp"
+#include "cluster/consensus/planned_leave.hpp"
+#include "cluster/consensus/proposal_queue.hpp"
 #include "cluster/consensus/quorum.hpp"
+#include "cluster/consensus/recovery_state.hpp"
+#include "cluster/consensus/rules.hpp"
 #include "cluster/wire/messages.hpp"
 #include "types.hpp"
 
 namespace gannethold::cluster {
 
-// What must survive: on disk before anything that follows from it is said.
-struct PersistentState {
-    Promise promise;
-    LogEntry entry;
-};
-
-// What became of a proposed configuration.
-enum class ProposalOutcome {
-    committed,  // this body is confirmed under its number, now or earlier
-    conflict,   // another body is
-    unknown,    // not known; the same may be proposed again
-};
-
-// What a call of Consensus asks of its caller.
+// What a call of Consensus asks of its caller, who does it in this order:
+//   1. If must_persist, write persistent_state() to disk and sync it. If that fails, drop the rest and the
+//      Consensus: the member is made anew from what is on disk.
+//   2. Send the messages and pass on the results. A message that is lost needs no handling.
 struct ConsensusOutput {
     struct Envelope {
         std::string to;  // a core machine's control_plane address
         Message message;
     };
-    struct ProposalResult {
-        Number ticket = 0;
-        ProposalOutcome outcome = ProposalOutcome::unknown;
-    };
-    bool must_persist = false;  // persistent_state() changed
+    bool must_persist = false;
     std::vector<Envelope> messages;
     std::vector<ProposalResult> proposal_results;
 };
 
-// Faults that tests plant to show that their checks find them; nothing else sets one.
-enum class PlantedFault {
-    none,
-    count_new_voters_only,      // while membership changes, the voters before have no say
-    learner_votes_at_once,      // before it holds the state
-    change_without_joint_step,  // of members
-    resend_whole_entry,         // on a timer, whatever was confirmed
-};
-
+// One member of the core, as a state machine without I/O.
+//
+// Thread safety: none; all calls come from one thread. Clock: `now` is any steady clock in microseconds, the
+// same one in all calls, and never goes back.
 class Consensus {
   public:
     struct Options {
-        std::string self;                // control_plane address
-        std::vector<std::string> seeds;  // the founders, where this is the first start
-        bool first_start = false;
+        std::string self;                // the own control_plane address, by which others know this member
+        std::vector<std::string> seeds;  // addresses to ask; at the first start: the founders
+        bool first_start = false;        // the core is founded with this start
         Micros heartbeat_interval = 90'000;
-        Micros election_timeout =
-            450'000;  // least silence of a leader before a vote against it; a lease lasts less
-        Micros lease_duration = 330'000;   // shorter than that by more than clocks drift in that time
-        Micros replace_after = 1'000'000;  // silence of a voter before a learner takes its place
-        Micros remove_after = 2'000'000;   // silence of voters before the core goes on without them
-        std::uint64_t random_seed = 1;
-        PlantedFault planted_fault = PlantedFault::none;
+        // How long a leader is silent, at least, before a vote is given against it.
+        Micros election_timeout = 450'000;
+        // Shorter than the election timeout by more than clocks drift apart in that time.
+        Micros lease_duration = 330'000;
+        Micros replace_after = 1'000'000;  // silence of a voter until a learner takes its place
+        Micros remove_after = 2'000'000;   // silence of voters until the core goes on without them
+        std::uint64_t random_seed = 1;     // another one on each member
+        const ConsensusRules* rules = &ConsensusRules::standard();  // not owned; outlives the member
     };
 
-    // now: any steady clock. A member that starts waits for a whole election timeout before it votes against
-    // the leader whose heartbeat it answered last: it does not know how long ago that was. That leader
-    // itself, if it asks for the vote, has a new life and no lease, so it gets it at once; and it asks at
-    // once, many times, as it starts.
+    // state: as the disk has it; default values if it has none.
+    //
+    // A member that starts lets one election timeout pass before it votes against the leader whose heartbeat
+    // it answered last, since it doesn't know how long ago that was. It votes for that leader at once: a
+    // leader that asks for votes has started anew and has no lease.
     Consensus(Options options, PersistentState state, Micros now);
 
-    // To be called once, before anything else.
+    // REQUIRES: called once, before all other calls below.
     [[nodiscard]] ConsensusOutput start();
+    // Messages that are not for the core are ignored.
     [[nodiscard]] ConsensusOutput on_message(Micros now, const std::string& from, const Message& message);
-    // At next_timer() or sooner.
+    // To be called at next_timer(); more often does no harm.
     [[nodiscard]] ConsensusOutput on_timer(Micros now);
+    Micros next_timer() const { return next_timer_; }
 
-    // A checked configuration, at the leader. The result comes with this or a later ConsensusOutput. Under
-    // one number one body is committed, ever; the same body proposed again is committed again. A number below
-    // the newest is recorded and alters nothing else.
-    [[nodiscard]] ConsensusOutput propose(Micros now, Number ticket, Number version, std::string body);
+    // Proposes a configuration, at the leader. Its result comes with this output or a later one. Under one
+    // version one body is committed, ever; the same body proposed again is committed again. A version below
+    // the newest is recorded and changes nothing else.
+    [[nodiscard]] ConsensusOutput propose(Micros now, Proposal proposal);
 
-    // Before a planned end: a leader hands over, a member asks the leader whether it may go.
+    // Before a planned end: a leader hands over, another member asks the leader whether it may stop.
     [[nodiscard]] ConsensusOutput begin_leaving(Micros now);
-    // A quorum without this member holds all that is committed; only after leave().
-    bool may_stop() const { return may_end_; }
+    // After begin_leaving(): whether a quorum without this member holds all that is committed.
+    bool may_stop() const { return leave_.may_stop(); }
+
     void set_seeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
+    // Good until the next call that is not const.
     const PersistentState& persistent_state() const { return state_; }
-    // Elected for the term, its first entry committed. It may act only while it leads, too.
-    bool is_established_leader() const {
-        return role_ == Role::leader && committed_.position.term == current_term() && !resigned_;
-    }
-    // Holds, and the lease of a quorum has not run out. A lease that ran out for a while and came back in the
-    // same term was nobody else's meanwhile: who has voted for another answers this term no more.
+    // Whether it is the leader of its term, has committed an entry in it (Raft, section 8) and has not handed
+    // over. It may act for the core only while it has_lease(), too.
+    bool is_established_leader() const;
+    // Whether it is the established leader, and no other can have been elected. A lease that ran out and
+    // came back in the same term was nobody else's meanwhile: a voter that has voted for another member
+    // answers this term no more.
     bool has_lease(Micros now) const;
-    // The newest entry that is known to be committed; nullptr: none yet.
-    const LogEntry* committed_entry() const {
-        return committed_.position > LogPosition{} ? &committed_ : nullptr;
-    }
-    const std::string& leader() const { return leader_; }  // empty: not known
-    Number current_term() const { return state_.promise.term; }
+    // The newest entry known to be committed; nullptr: none yet. Good until the next call that is not const.
+    const LogEntry* committed_entry() const;
+    // Of the current term, as far as known; else empty.
+    const std::string& leader() const { return leader_; }
+    Term current_term() const { return state_.promise.term; }
+    // Of the newest entry, committed or not.
     const std::vector<std::string>& voters() const { return state_.entry.members; }
-    const std::set<std::string>& learners() const { return learners_; }  // at the leader
-    Micros next_timer() const { return next_tick_; }
+    // Known at the leader only.
+    const std::set<std::string>& learners() const { return learners_; }
+    // Whether it is no member: its disk is lost, or it was left out.
     bool is_recovering() const { return !state_.promise.member; }
-    Micros last_contact(const std::string& member) const;  // 0: never
+    // When the last message from that machine came; 0: never.
+    Micros last_contact(const std::string& member) const;
 
   private:
+    // non_member: promises nothing and answers no vote request. pre_candidate: thesis, section 9.6.
     enum class Role { non_member, follower, pre_candidate, candidate, leader };
-    struct Peer {
-        Micros heard = 0;     // any message
-        Micros answered = 0;  // a heartbeat of this term
-        Number round = 0;     // the newest it has answered
-        LogPosition held;
-        EntrySender sender;
-        Micros resent = 0;  // for the planted fault
-    };
-    struct PendingProposal {
-        Number ticket = 0, version = 0, digest = 0;
-        std::string body;
-        Number index = 0;  // of the entry that decides it; 0: not yet appended
-    };
 
-    // consensus.cpp
+    // ---- consensus.cpp ----
+    void found_core();
     void run_due_work();
+    void campaign_if_due();
+    Micros compute_next_timer() const;
     [[nodiscard]] ConsensusOutput take_output() { return std::exchange(output_, {}); }
+    void dispatch(const std::string& from, const Message& message);
+    void send(const std::string& to, Message message);
+    bool is_self(const std::string& member) const { return member == options_.self; }
+    // The peer if anything came from it or was sent to it; else nullptr.
+    const Peer* find_peer(const std::string& member) const;
+    // Whether a quorum of the newest entry's voters agrees.
+    template <class Agrees>
+    bool quorum_agrees(const Agrees& agrees) const;
 
-    // election.cpp
-    void set_election_timer();
-    void campaign(bool pre_vote);
-    void count_votes();
-    void become_follower(Number term);
+    // ---- election.cpp ----
+    void restart_election_timer();
+    void start_candidacy(Role role);
+    void tally_votes();
+    bool adopt_term(Term term);
+    void step_down(Term term);
     void become_leader();
-    void handle(const std::string& from, const VoteRequest& request);
-    void handle(const std::string& from, const VoteResponse& response);
-    void handle(const std::string& from, const TimeoutNow& request);
-    bool hears_other_leader(const std::string& candidate) const;
-    Number next_term() const;
+    bool hears_leader() const { return now_ < heard_leader_at_ + options_.election_timeout; }
+    bool may_owe_lease_to_other_than(const std::string& candidate) const;
+    Term next_term() const;
+    void handle_request_vote(const std::string& from, const VoteRequest& request);
+    VoteResponse decide_pre_vote(const VoteRequest& request, bool owes_lease);
+    VoteResponse decide_vote(const std::string& from, const VoteRequest& request);
+    void handle_vote_response(const std::string& from, const VoteResponse& response);
+    void handle_timeout_now(const std::string& from, const TimeoutNow& request);
 
-    // replication.cpp
+    // ---- replication.cpp: the leader ----
     void append(LogEntry entry);
+    void remember_head();
     void send_heartbeats();
-    void send_append(const std::string& to);
-    bool start_transfer(Peer& peer);
-    bool continue_transfer(Peer& peer, const AppendResponse& response);
-    void resend_whole_entry(const std::string& to);
-    LogPosition base_for(const Peer& peer) const;
-    std::shared_ptr<const std::string> payload_against(const LogPosition& base);
-    std::size_t large_transfers() const;
-    void remember_body();
+    void send_heartbeat(const std::string& to);
+    void start_transfer(Peer& peer);
+    void continue_transfer(const std::string& to, Peer& peer, const AppendResponse& response);
+    void send_chunk(const std::string& to, Peer& peer);
+    LogPosition transfer_base(const Peer& peer) const;
+    std::size_t count_large_transfers() const;
+    void handle_append_response(const std::string& from, const AppendResponse& response);
     void advance_commit();
-    bool accept_leader(const std::string& from, Number term);
-    void install(LogEntry entry);
-    void answer_leader(const std::string& from, Number round);
-    void handle(const std::string& from, const AppendRequest& request);
-    void handle(const std::string& from, const EntryChunk& chunk);
-    void handle(const std::string& from, const AppendResponse& response);
-    Micros lease_start() const;
-    Micros lease_start(const std::vector<std::string>& group) const;
+    bool has_head(const std::string& voter) const;
     bool hears_quorum() const;
+    Micros lease_granted_at() const;
+    Micros lease_granted_by(const std::vector<std::string>& group) const;
+
+    // ---- follower.cpp ----
+    bool accept_leader(const std::string& from, Term term);
+    void respond_to_leader(const std::string& from, Round round);
+    void handle_append_request(const std::string& from, const AppendRequest& request);
+    void handle_entry_chunk(const std::string& from, const EntryChunk& chunk);
+    void install_payload(const EntryChunk& last_chunk, const std::string& bytes);
+    void install(LogEntry entry);
 
-    // proposals.cpp
+    // ---- proposals.cpp ----
     void append_next_change();
     bool append_proposals();
-    void resolve_proposals();
-    void fail_proposals();
+    void report(const std::vector<ProposalResult>& results);
 
-    // membership.cpp
-    bool append_membership_change();
-    bool silent(const std::string& voter, Micros span) const;
+    // ---- membership.cpp ----
+    void append_membership_change();
+    bool is_silent(const std::string& voter, Micros span) const;
+    std::vector<VoterStatus> voter_statuses() const;
     std::vector<std::string> ready_learners() const;
-    std::vector<std::string> wanted_members() const;
-    void remove_gone(std::vector<std::string>& members, std::size_t count) const;
     void drop_silent_learners();
-    void hand_over();
+    bool is_safe_without(const std::string& member) const;
     void continue_leaving();
-    bool safe_without(const std::string& member) const;
-    void handle(const std::string& from, const JoinRequest& request);
-    void handle(const std::string& from, const LeaveRequest& request);
-    void handle(const std::string& from, const LeaveResponse& response);
+    void hand_over();
+    void handle_join_request(const std::string& from);
+    void handle_leave_request(const std::string& from);
+    void handle_leave_response(const LeaveResponse& response);
 
-    // recovery.cpp
+    // ---- recovery.cpp ----
     void send_recovery_requests();
-    void handle(const std::string& from, const RecoveryRequest& request);
-    void handle(const std::string& from, const RecoveryResponse& response);
+    void handle_recovery_request(const std::string& from, const RecoveryRequest& request);
+    void handle_recovery_response(const std::string& from, const RecoveryResponse& response);
     void become_learner(const RecoveryResponse& newest);
-    void await_state(const RecoveryResponse& newest);
     bool accepts_state() const;
-    void become_member();
-
-    bool planted(PlantedFault fault) const { return options_.planted_fault == fault; }
-    // Whether a quorum of the newest entry's voters agrees.
-    template <class Agrees>
-    bool quorum_agrees(const Agrees& agrees) const {
-        const bool joint = !planted(PlantedFault::count_new_voters_only);
-        return has_quorum(state_.entry.members,
-                          joint ? state_.entry.outgoing_members : std::vector<std::string>{}, agrees);
-    }
-    bool is_self(const std::string& member) const { return member == options_.self; }
+    void become_member_if_voter();
 
     Options options_;
+    // Terms and the head's position never go back while promise.member. Changes are persisted before the
+    // messages of the same output are sent.
     PersistentState state_;
-    ConsensusOutput output_;  // of the call that runs
-    LogEntry committed_;
-    Role role_ = Role::non_member;
-    std::string leader_;
-    Micros now_ = 0, started_ = 0, heard_leader_ = 0;
-    Micros election_at_ = 0, next_tick_ = 0, next_heartbeat_ = 0;
-    std::uint64_t random_;
+    // The newest entry known to be committed (Raft's commitIndex); at most as new as state_.entry while this
+    // is a member. Not persisted: a member that starts learns it from its leader.
+    LogEntry committed_entry_;
+    Role role_ = Role::non_member;  // non_member exactly while !state_.promise.member
+    std::string leader_;            // of the current term; empty: not known
 
-    // Elections.
-    std::set<std::string> votes_;
-    bool handed_over_ = false;  // the leader asked for this election: no lease stands against it
-    Number term_floor_ = 0;     // others vote in no term below this one
+    ConsensusOutput output_;  // of the call that is being carried out; empty between calls
+    Micros now_ = 0;          // the time of that call
+    Micros started_at_ = 0;
+    Micros next_timer_ = 0;
 
-    // The leader's.
-    std::map<std::string, Peer> peers_;
-    std::map<Number, Micros> round_sent_at_;
-    Number round_ = 0;
-    std::map<LogPosition, std::string> bodies_;  // of the newest entries, as bases of differences
-    std::map<LogPosition, std::shared_ptr<const std::string>> payloads_;  // of the head, by base
-    std::vector<PendingProposal> pending_;
-    std::set<std::string> learners_;
-    std::set<std::string> leaving_members_;  // who said so and has not answered since as one that stays
-    bool resigned_ = false;
+    // ---- elections (Raft, section 5.2) ----
+    ElectionTimer election_timer_;
+    Micros heard_leader_at_ = 0;   // when a leader's message was accepted last, or this member started
+    std::set<std::string> votes_;  // of this candidacy, the own one included
+    // The leader asked for this election (thesis, section 3.10): no lease stands against it.
+    bool leader_handed_over_ = false;
+    // Others vote in no term below this one, as far as their refusals have told.
+    Term min_next_term_ = 0;
 
-    // A follower's.
-    EntryReceiver receiver_;
+    // ---- the leader's; meaningless in other roles ----
+    std::map<std::string, Peer> peers_;  // whoever sent a message; last_contact counts in all roles
+    LeaderLease lease_;
+    Micros next_heartbeat_ = 0;
+    EntryHistory history_;  // a follower's, too: it may lead next
+    ProposalQueue proposals_;
+    std::set<std::string> learners_;  // never voters of the newest entry
+    // Members that announced their end and have not answered since without announcing it.
+    std::set<std::string> leaving_members_;
+    // It handed over: it begins nothing more in this term.
+    bool handed_over_ = false;
 
-    // Recovery and joining.
-    Micros next_recovery_request_ = 0;
-    Number nonce_ = 0;
-    std::map<std::string, RecoveryResponse> recovery_responses_;
-    bool joining_ = false;
-    std::optional<LogPosition> awaited_state_;  // a member again once it holds this entry or a newer one
-    Number awaited_no_vote_through_ = 0;
+    // ---- a follower's ----
+    EntryReceiver receiver_;
 
-    // A planned end.
-    bool leaving_ = false, may_end_ = false;
-    Micros next_leave_request_ = 0;
+    RecoveryState recovery_;
+    PlannedLeave leave_;
 };
 
+template <class Agrees>
+bool Consensus::quorum_agrees(const Agrees& agrees) const {
+    const LogEntry& head = state_.entry;
+    return has_majority(head.members, agrees) &&
+           (!options_.rules->needs_outgoing_majority(head) || has_majority(head.outgoing_members, agrees));
+}
+
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/election.cpp
+++ b/src/cluster/consensus/election.cpp
@@ -1,169 +1,171 @@
-// Elections: who asks for votes, who gets them, and what a new leader begins with.
+// Elections (Raft, section 5.2; pre-votes: thesis, section 9.6): who stands, who gets votes, and what a new
+// leader begins with.
 #include <algorithm>
+#include <utility>
 
 #include "cluster/consensus/consensus.hpp"
-#include "cluster/consensus/quorum.hpp"
 
 namespace gannethold::cluster {
 namespace {
 
-// After a start, who led before asks so often for votes, for so long.
+// How long after its start a member that led when it went down campaigns eagerly: whoever is up again may
+// vote for it at once.
 constexpr Micros kEagerSpan = 1'200'000;
-constexpr Micros kEagerInterval = 40'000;
 
 }  // namespace
 
-void Consensus::set_election_timer() {
-    random_ ^= random_ << 13;
-    random_ ^= random_ >> 7;
-    random_ ^= random_ << 17;
+void Consensus::restart_election_timer() {
     const bool led_before = state_.promise.last_leader == options_.self && role_ != Role::leader;
-    if (led_before && now_ < started_ + kEagerSpan) {
-        // It led when it went down: whoever is up again may vote for it at once.
-        election_at_ = now_ + kEagerInterval + static_cast<Micros>(random_ % kEagerInterval);
-        return;
-    }
-    const auto spread = static_cast<std::uint64_t>(options_.election_timeout * 2 / 3);
-    election_at_ = now_ + options_.election_timeout + static_cast<Micros>(random_ % spread);
+    if (led_before && now_ < started_at_ + kEagerSpan)
+        election_timer_.restart_eagerly(now_);
+    else
+        election_timer_.restart(now_);
 }
 
-// Whether a lease may be owed to another than the candidate.
-bool Consensus::hears_other_leader(const std::string& candidate) const {
+// Whether this member may owe its vote to the lease of a leader that is not the candidate.
+bool Consensus::may_owe_lease_to_other_than(const std::string& candidate) const {
     if (role_ == Role::leader) return has_lease(now_);
-    const bool recent = now_ < heard_leader_ + options_.election_timeout;
-    return recent && state_.promise.last_leader != candidate;
+    return hears_leader() && state_.promise.last_leader != candidate;
 }
 
-// The next term in which this member may stand: not one in which it, or a member that was asked, gives no
-// vote.
-Number Consensus::next_term() const {
-    return std::max({current_term() + 1, state_.promise.no_vote_through + 1, term_floor_});
+// The next term in which this member may stand: none in which it gives no vote, or for which a voter has
+// refused its vote.
+Term Consensus::next_term() const {
+    return std::max({current_term() + 1, state_.promise.no_vote_through + 1, min_next_term_});
 }
 
-void Consensus::campaign(bool pre_vote) {
-    set_election_timer();
+// role: pre_candidate or candidate. Only a candidate enters the new term.
+void Consensus::start_candidacy(Role role) {
+    restart_election_timer();
     leader_.clear();
     if (!is_voter(state_.entry, options_.self)) return;
-    if (leaving_) return;  // whoever ends soon is no leader
-    const Number target = next_term();
-    votes_.clear();
-    votes_.insert(options_.self);
-    if (pre_vote) {
-        role_ = Role::pre_candidate;
-    } else {
-        role_ = Role::candidate;
-        state_.promise.term = target;
+    if (leave_.is_begun()) return;  // it would not lead for long
+    const Term term = next_term();
+    votes_ = {options_.self};
+    role_ = role;
+    if (role == Role::candidate) {
+        state_.promise.term = term;
         state_.promise.voted_for = options_.self;
         output_.must_persist = true;
     }
-    for (const std::string& voter : all_voters(state_.entry)) {
-        if (is_self(voter)) continue;
-        output_.messages.push_back(
-            {voter, VoteRequest{target, state_.entry.position, pre_vote, handed_over_}});
-    }
-    count_votes();
+    const bool pre_vote = role == Role::pre_candidate;
+    for (const std::string& voter : all_voters(state_.entry))
+        if (!is_self(voter))
+            send(voter, VoteRequest{term, state_.entry.position, pre_vote, leader_handed_over_});
+    tally_votes();
 }
 
-void Consensus::handle(const std::string& from, const VoteRequest& request) {
-    if (role_ == Role::non_member) return;  // a new disk may have promised anything before
+void Consensus::handle_request_vote(const std::string& from, const VoteRequest& request) {
+    if (role_ == Role::non_member) return;  // its lost disk may have promised anything
+    const bool owes_lease = may_owe_lease_to_other_than(from) && !request.leader_hands_over;
+    if (request.pre_vote) return send(from, decide_pre_vote(request, owes_lease));
+    // No answer while a lease may be owed: the candidate does not hear what all others hear (Raft, section
+    // 6, on disruptive servers). A leader that hands over has given up its lease itself.
+    if (!owes_lease) send(from, decide_vote(from, request));
+}
+
+VoteResponse Consensus::decide_pre_vote(const VoteRequest& request, bool owes_lease) {
     Promise& promise = state_.promise;
-    const bool owes_lease = hears_other_leader(from) && !request.leader_hands_over;
-    const bool up_to_date = request.held >= state_.entry.position;
+    const bool is_up_to_date = request.held >= state_.entry.position;
     const bool may_vote = request.term > promise.no_vote_through;
-    if (request.pre_vote) {
-        const bool granted = request.term > promise.term && up_to_date && !owes_lease && may_vote;
-        if (granted && request.term > promise.pre_voted_through) {
-            // On disk: a member that loses its disk learns from a quorum in which terms it may have voted,
-            // and no candidate had a vote in a term that a quorum had not pre-granted.
-            promise.pre_voted_through = request.term;
-            output_.must_persist = true;
-        }
-        // A candidate whose term is behind learns the first one in which it may get this vote.
-        const Number newest = std::max(promise.no_vote_through, promise.term);
-        output_.messages.push_back({from, VoteResponse{request.term, granted, true, newest}});
-        return;
+    const bool granted = request.term > promise.term && is_up_to_date && !owes_lease && may_vote;
+    if (granted && request.term > promise.pre_voted_through) {
+        // On disk: a member that loses its disk learns from a quorum in which terms it may have voted, since
+        // no candidate had a vote in a term that a quorum had not pre-granted.
+        promise.pre_voted_through = request.term;
+        output_.must_persist = true;
     }
-    // Against one that did not hear what all others hear. A leader that hands over has given up its lease
-    // itself.
-    if (owes_lease) return;
-    if (request.term > promise.term) become_follower(request.term);
-    const bool not_given = promise.voted_for.empty() || promise.voted_for == from;
-    const bool current = request.term == promise.term && role_ == Role::follower;
-    const bool granted = current && up_to_date && may_vote && not_given;
+    // A candidate whose term is behind learns the first one in which it may get this vote.
+    return {request.term, granted, true, std::max(promise.no_vote_through, promise.term)};
+}
+
+// Raft, sections 5.2 and 5.4.1: one vote a term, for a candidate that is as up to date as this member.
+VoteResponse Consensus::decide_vote(const std::string& from, const VoteRequest& request) {
+    Promise& promise = state_.promise;
+    const bool is_up_to_date = request.held >= state_.entry.position;
+    const bool may_vote = request.term > promise.no_vote_through;
+    if (request.term > promise.term) step_down(request.term);
+    const bool is_vote_free = promise.voted_for.empty() || promise.voted_for == from;
+    const bool is_current = request.term == promise.term && role_ == Role::follower;
+    const bool granted = is_current && is_up_to_date && may_vote && is_vote_free;
     if (granted) {
-        output_.must_persist = output_.must_persist || promise.voted_for.empty();
+        if (promise.voted_for.empty()) output_.must_persist = true;
         promise.voted_for = from;
-        set_election_timer();
+        restart_election_timer();
     }
-    output_.messages.push_back({from, VoteResponse{promise.term, granted, false, promise.no_vote_through}});
+    return {promise.term, granted, false, promise.no_vote_through};
 }
 
-void Consensus::handle(const std::string& from, const VoteResponse& response) {
+void Consensus::handle_vote_response(const std::string& from, const VoteResponse& response) {
     if (response.pre_vote) {
         if (role_ != Role::pre_candidate || response.term != next_term()) return;
         if (!response.granted && response.no_vote_through >= response.term) {
-            // That voter has a newer term or lost its disk: a term in which it may vote is asked for at once.
-            term_floor_ = response.no_vote_through + 1;
-            return campaign(true);
+            // The voter has a newer term or has lost its disk: the vote is asked for at once in a term in
+            // which it may be given.
+            min_next_term_ = response.no_vote_through + 1;
+            return start_candidacy(Role::pre_candidate);
         }
     } else {
-        if (response.term > current_term()) return become_follower(response.term);
+        if (response.term > current_term()) return step_down(response.term);
         if (role_ != Role::candidate || response.term != current_term()) return;
     }
     if (response.granted) votes_.insert(from);
-    count_votes();
+    tally_votes();
 }
 
-void Consensus::count_votes() {
-    const auto voted = [&](const std::string& voter) { return votes_.contains(voter); };
-    if (!quorum_agrees(voted)) return;
+void Consensus::tally_votes() {
+    if (!quorum_agrees([&](const std::string& voter) { return votes_.contains(voter); })) return;
     if (role_ == Role::pre_candidate)
-        campaign(false);
+        start_candidacy(Role::candidate);
     else if (role_ == Role::candidate)
         become_leader();
 }
 
-void Consensus::handle(const std::string& from, const TimeoutNow& request) {
+// Leadership transfer (thesis, section 3.10): stands for election without waiting for a silence.
+void Consensus::handle_timeout_now(const std::string& from, const TimeoutNow& request) {
     if (role_ != Role::follower || request.term != current_term() || from != leader_) return;
-    heard_leader_ = 0;
-    handed_over_ = true;
-    campaign(true);
+    heard_leader_at_ = 0;
+    leader_handed_over_ = true;
+    start_candidacy(Role::pre_candidate);
 }
 
-void Consensus::become_follower(Number term) {
-    if (term > state_.promise.term) {
-        state_.promise.term = term;
-        state_.promise.voted_for.clear();
-        output_.must_persist = true;
-    }
+// Enters a term in which no vote is given yet, if it is newer than the current one; whether it is. To be
+// persisted by the caller.
+bool Consensus::adopt_term(Term term) {
+    if (term <= state_.promise.term) return false;
+    state_.promise.term = term;
+    state_.promise.voted_for.clear();
+    return true;
+}
+
+// Becomes a follower, in that term if it is newer. REQUIRES: this is a member.
+void Consensus::step_down(Term term) {
+    if (adopt_term(term)) output_.must_persist = true;
     if (role_ == Role::leader) {
-        fail_proposals();
+        report(proposals_.abandon());
         leader_.clear();
-        resigned_ = false;
+        handed_over_ = false;
     }
     role_ = Role::follower;
-    handed_over_ = false;
+    leader_handed_over_ = false;
     votes_.clear();
-    set_election_timer();
+    restart_election_timer();
 }
 
 void Consensus::become_leader() {
     role_ = Role::leader;
     leader_ = options_.self;
+    leader_handed_over_ = false;
     handed_over_ = false;
-    resigned_ = false;
-    round_sent_at_.clear();
+    lease_.reset();
     learners_.clear();
     leaving_members_.clear();
-    for (auto& [member, peer] : peers_) {
-        peer.round = 0;
-        peer.held = {};
-        peer.sender.stop();
-    }
-    // From here on each has the whole time to answer.
-    for (const std::string& voter : all_voters(state_.entry)) peers_[voter].answered = now_;
-    state_.promise.last_leader = options_.self;  // written with the first entry
-    // What an earlier term left half done is committed, or not, with the first entry of this one.
+    for (auto& [member, peer] : peers_) peer.reset_progress();
+    // From here on each has the full time to answer.
+    for (const std::string& voter : all_voters(state_.entry)) peers_[voter].last_response = now_;
+    state_.promise.last_leader = options_.self;  // persisted with the entry below
+    // What an earlier term may have committed is committed with the first entry of this one (Raft, sections
+    // 5.4.2 and 8).
     append(state_.entry);
 }
 
--- /dev/null
+++ b/src/cluster/consensus/election_timer.hpp
@@ -0,0 +1,35 @@
+// When a member that hears no leader stands for election (Raft, section 5.2): after a random time, so that
+// few elections end without a leader.
+#pragma once
+
+#include <cstdint>
+
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+class ElectionTimer {
+  public:
+    ElectionTimer(Micros election_timeout, std::uint64_t random_seed);
+
+    // Due one to five thirds of the election timeout from now.
+    void restart(Micros now);
+    // Due after 40 to 80 ms: for who may count on votes at once.
+    void restart_eagerly(Micros now);
+    Micros due_at() const { return due_at_; }
+    // How long a candidacy lasts at most: after it the candidate has won, has given up, or begins another
+    // one.
+    Micros max_candidacy() const { return election_timeout_ + spread_; }
+    // The number that was drawn for the last restart.
+    std::uint64_t last_random() const { return random_; }
+
+  private:
+    std::uint64_t draw();
+
+    Micros election_timeout_;
+    Micros spread_;
+    std::uint64_t random_;  // never 0: xorshift would stay there
+    Micros due_at_ = 0;
+};
+
+}  // namespace gannethold::cluster
--- a/src/cluster/consensus/entry_transfer.cpp
+++ b/src/cluster/consensus/entry_transfer.cpp
@@ -5,10 +5,12 @@
 
 namespace gannethold::cluster {
 
-void EntrySender::start(LogPosition position, LogPosition base, std::shared_ptr<const std::string> payload) {
+void EntrySender::start(LogPosition position, LogPosition base, std::shared_ptr<const std::string> payload,
+                        Micros now) {
     position_ = position;
     base_ = base;
     payload_ = std::move(payload);
+    started_at_ = now;
     offset_ = 0;
     sent_in_round_ = 0;
 }
@@ -19,35 +21,42 @@
     offset_ = 0;
 }
 
-void EntrySender::confirmed(Number received, Micros now) {
+void EntrySender::on_confirmed(ByteCount received, Micros now) {
     offset_ = received;
-    const Micros took = now - sent_at_;
-    if (took <= kSoonConfirmed) chunk_bytes_ = std::min(2 * chunk_bytes_, kMostChunkBytes);
-    if (took > kLateConfirmed) chunk_bytes_ = std::max(chunk_bytes_ / 2, kLeastChunkBytes);
+    const Micros elapsed = now - sent_at_;
+    if (elapsed <= kFastConfirmation) chunk_bytes_ = std::min(2 * chunk_bytes_, kMaxChunkBytes);
+    if (elapsed > kSlowConfirmation) chunk_bytes_ = std::max(chunk_bytes_ / 2, kMinChunkBytes);
 }
 
-EntryChunk EntrySender::chunk(Number term, Number round, Micros now) {
+EntryChunk EntrySender::chunk(Term term, Round round, Micros now) {
     sent_in_round_ = round;
     sent_at_ = now;
     if (offset_ > payload_->size()) offset_ = 0;
-    return {
-        term, round, position_, base_, offset_, payload_->size(), payload_->substr(offset_, chunk_bytes_)};
+    EntryChunk chunk;
+    chunk.term = term;
+    chunk.round = round;
+    chunk.position = position_;
+    chunk.base = base_;
+    chunk.offset = offset_;
+    chunk.total = payload_->size();
+    chunk.bytes = payload_->substr(offset_, chunk_bytes_);
+    return chunk;
 }
 
 std::optional<std::string> EntryReceiver::add(const EntryChunk& chunk) {
-    if (chunk.total > kMostPayloadBytes) return {};
+    if (chunk.total > kMaxPayloadBytes) return {};
     if (position_ != chunk.position || base_ != chunk.base || total_ != chunk.total) {
         reset();
         position_ = chunk.position;
         base_ = chunk.base;
         total_ = chunk.total;
     }
-    if (chunk.offset != payload_.size()) return {};  // a chunk sent twice, or one whose predecessor was lost
+    if (chunk.offset != payload_.size()) return {};
     payload_ += chunk.bytes;
     if (payload_.size() != total_) return {};
-    std::string whole = std::move(payload_);
+    std::string complete = std::move(payload_);
     reset();
-    return whole;
+    return complete;
 }
 
 void EntryReceiver::reset() {
--- /dev/null
+++ b/src/cluster/consensus/follower.cpp
@@ -0,0 +1,86 @@
+// What a follower, or a member that recovers, does with its leader's heartbeats and entries (Raft, section
+// 5.3).
+#include <algorithm>
+#include <utility>
+
+#include "cluster/configuration/delta.hpp"
+#include "cluster/consensus/confirmed_versions.hpp"
+#include "cluster/consensus/consensus.hpp"
+#include "cluster/wire/codec.hpp"
+
+namespace gannethold::cluster {
+
+// Whether the sender is followed as the leader of that term. A sender of an older term gets the newer one as
+// its answer.
+bool Consensus::accept_leader(const std::string& from, Term term) {
+    const bool is_member = role_ != Role::non_member;
+    if (!is_member && !accepts_state()) return false;
+    if (term < current_term()) {
+        respond_to_leader(from, 0);  // names no round: nothing is granted in that term
+        return false;
+    }
+    if (is_member && (term > current_term() || role_ != Role::follower)) step_down(term);
+    if (!is_member && adopt_term(term)) output_.must_persist = true;
+    leader_ = from;
+    heard_leader_at_ = now_;
+    if (state_.promise.last_leader != from) {
+        // Persisted before the response that grants the lease: it is owed after a restart, too.
+        state_.promise.last_leader = from;
+        output_.must_persist = true;
+    }
+    restart_election_timer();
+    return true;
+}
+
+void Consensus::respond_to_leader(const std::string& from, Round round) {
+    send(from, AppendResponse{current_term(), round, state_.entry.position, receiver_.position(),
+                              receiver_.received(), leave_.is_begun()});
+}
+
+void Consensus::handle_append_request(const std::string& from, const AppendRequest& request) {
+    if (!accept_leader(from, request.term)) return;
+    const bool is_head_committed = request.committed == state_.entry.position;
+    if (is_head_committed && committed_entry_.position != request.committed) committed_entry_ = state_.entry;
+    respond_to_leader(from, request.round);
+}
+
+void Consensus::handle_entry_chunk(const std::string& from, const EntryChunk& chunk) {
+    if (!accept_leader(from, chunk.term)) return;
+    const bool is_newer = chunk.position > state_.entry.position;
+    const bool has_base = chunk.base == LogPosition{} || chunk.base == state_.entry.position;
+    if (is_newer && has_base)
+        if (const std::optional<std::string> payload = receiver_.add(chunk)) install_payload(chunk, *payload);
+    respond_to_leader(from, chunk.round);
+}
+
+// A payload that can't be read is dropped: the response shows that the entry is missing, and it is sent anew.
+void Consensus::install_payload(const EntryChunk& last_chunk, const std::string& bytes) {
+    const bool is_complete = last_chunk.base == LogPosition{};
+    leaf::try_handle_all(
+        [&]() -> leaf::result<void> {
+            BOOST_LEAF_AUTO(payload, decode_payload(bytes));
+            const std::string_view base_body =
+                is_complete ? std::string_view() : std::string_view(state_.entry.body);
+            LogEntry entry;
+            BOOST_LEAF_ASSIGN(entry.body, apply_delta(base_body, payload.body_delta));
+            entry.position = last_chunk.position;
+            entry.version = payload.version;
+            entry.members = std::move(payload.members);
+            entry.outgoing_members = std::move(payload.outgoing_members);
+            if (!is_complete) entry.confirmed = state_.entry.confirmed;
+            for (const ConfirmedVersion& record : payload.confirmed) add_confirmed(entry.confirmed, record);
+            if (is_complete) history_.clear();  // what was held before need not be an ancestor
+            install(std::move(entry));
+            return {};
+        },
+        [] {});
+}
+
+void Consensus::install(LogEntry entry) {
+    state_.entry = std::move(entry);
+    output_.must_persist = true;
+    remember_head();
+    if (role_ == Role::non_member) become_member_if_voter();
+}
+
+}  // namespace gannethold::cluster
--- a/src/cluster/consensus/quorum.hpp
+++ b/src/cluster/consensus/quorum.hpp
@@ -1,5 +1,5 @@
-// Quorums under joint consensus: while membership changes, what is decided needs a majority of the voters
-// before and a majority of the voters after (Ongaro and Ousterhout, section 6).
+// Quorums under joint consensus: while membership changes, a decision needs a majority of the voters before
+// the change and a majority of those after it (Raft, section 6).
 #pragma once
 
 #include <algorithm>
@@ -16,26 +16,21 @@
     return std::find(group.begin(), group.end(), member) != group.end();
 }
 
-// Whether those of the group for whom agrees is true are a majority of it.
+// Whether those of the group for which agrees(member) is true are a majority of it.
 template <class Agrees>
 bool has_majority(const std::vector<std::string>& group, const Agrees& agrees) {
     const auto count = static_cast<std::size_t>(std::count_if(group.begin(), group.end(), agrees));
     return count >= majority_of(group);
 }
 
-// Likewise of the voters of an entry, before and after a change of membership.
+// Whether they are a quorum of the voters. outgoing: the voters before a change under way; else empty.
 template <class Agrees>
 bool has_quorum(const std::vector<std::string>& members, const std::vector<std::string>& outgoing,
                 const Agrees& agrees) {
     return has_majority(members, agrees) && (outgoing.empty() || has_majority(outgoing, agrees));
 }
 
-template <class Agrees>
-bool has_quorum(const LogEntry& entry, const Agrees& agrees) {
-    return has_quorum(entry.members, entry.outgoing_members, agrees);
-}
-
-// A voter of that entry, before or after the change.
+// Whether it is a voter of that entry, before or after the change.
 inline bool is_voter(const LogEntry& entry, const std::string& member) {
     return contains(entry.members, member) || contains(entry.outgoing_members, member);
 }
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -1,124 +1,77 @@
-// A machine whose disk is empty, or that was left out, asks the others how things stand. If it is a voter
-// still, it is a member again once it holds the newest state that a quorum knew of; in terms in which its
-// lost disk may have voted it gives no vote. If it is none, it asks the leader to be a learner.
+// Recovery of a member that lost its disk or was left out, and machines that come anew (recovery_state.hpp).
 #include <algorithm>
 
 #include "cluster/consensus/consensus.hpp"
-#include "cluster/consensus/quorum.hpp"
 
 namespace gannethold::cluster {
-namespace {
-
-constexpr Micros kRecoveryRequestInterval = 250'000;
-
-}  // namespace
 
 void Consensus::send_recovery_requests() {
-    if (now_ < next_recovery_request_) return;
-    next_recovery_request_ = now_ + kRecoveryRequestInterval;
-    if (nonce_ == 0) {
-        nonce_ = random_ | 1;
-        recovery_responses_.clear();
-    }
-    std::set<std::string> all(options_.seeds.begin(), options_.seeds.end());
+    if (!recovery_.is_request_due(now_)) return;
+    const RecoveryRequest request = recovery_.make_request(now_, election_timer_.last_random() | 1);
+    std::set<std::string> recipients = recovery_.reported_voters();
+    recipients.insert(options_.seeds.begin(), options_.seeds.end());
     const std::vector<std::string> voters = all_voters(state_.entry);
-    all.insert(voters.begin(), voters.end());
-    for (const auto& [from, response] : recovery_responses_) {
-        all.insert(response.members.begin(), response.members.end());
-        all.insert(response.outgoing_members.begin(), response.outgoing_members.end());
-    }
-    all.erase(options_.self);
-    for (const std::string& member : all) output_.messages.push_back({member, RecoveryRequest{nonce_}});
+    recipients.insert(voters.begin(), voters.end());
+    recipients.erase(options_.self);
+    for (const std::string& recipient : recipients) send(recipient, request);
 }
 
-void Consensus::handle(const std::string& from, const RecoveryRequest& request) {
+void Consensus::handle_recovery_request(const std::string& from, const RecoveryRequest& request) {
     if (role_ == Role::non_member) return;
-    const bool knows_leader = role_ == Role::leader || now_ < heard_leader_ + options_.election_timeout;
-    output_.messages.push_back(
-        {from, RecoveryResponse{request.nonce, current_term(), state_.promise.pre_voted_through,
-                                knows_leader ? leader_ : "", state_.entry.position, state_.entry.members,
-                                state_.entry.outgoing_members}});
+    const bool is_leader_known = role_ == Role::leader || hears_leader();
+    const LogEntry& head = state_.entry;
+    send(from, RecoveryResponse{request.nonce, current_term(), state_.promise.pre_voted_through,
+                                is_leader_known ? leader_ : "", head.position, head.members,
+                                head.outgoing_members});
 }
 
-void Consensus::handle(const std::string& from, const RecoveryResponse& response) {
-    if (response.nonce != nonce_ || nonce_ == 0) return;
-    recovery_responses_[from] = response;
-    const auto newest =
-        std::max_element(recovery_responses_.begin(), recovery_responses_.end(),
-                         [](const auto& a, const auto& b) { return a.second.held < b.second.held; });
-    // As many of the others as a quorum: one of them at least has whatever was committed, even if we had the
-    // other copy of it, and has pre-voted in any term in which we may have voted.
-    const RecoveryResponse& known = newest->second;
-    const auto answered = [&](const std::string& member) {
-        return !is_self(member) && recovery_responses_.contains(member);
-    };
-    if (known.members.empty() || !has_quorum(known.members, known.outgoing_members, answered)) return;
+void Consensus::handle_recovery_response(const std::string& from, const RecoveryResponse& response) {
+    if (!recovery_.add_response(from, response) || !recovery_.has_quorum_without(options_.self)) return;
+    const RecoveryResponse& newest = recovery_.newest_response();
     const bool belongs =
-        contains(known.members, options_.self) || contains(known.outgoing_members, options_.self);
+        contains(newest.members, options_.self) || contains(newest.outgoing_members, options_.self);
     if (!belongs) {
-        become_learner(known);
-        if (role_ == Role::non_member && !response.leader.empty())
-            output_.messages.push_back({response.leader, JoinRequest{}});
-        return;
+        become_learner(newest);
+        if (role_ == Role::non_member && !response.leader.empty()) send(response.leader, JoinRequest{});
+    } else if (role_ == Role::non_member) {
+        // No heartbeat of an earlier leader is answered: before its disk was lost, this member may have voted
+        // for a later one.
+        adopt_term(recovery_.newest_term());
+        recovery_.await_state(current_term());
+    } else {
+        recovery_.forget_responses();
     }
-    if (role_ == Role::non_member)
-        await_state(known);
-    else
-        recovery_responses_.clear();
 }
 
-// Left out, or never in: from here on nothing is promised before it is let in again.
+// It was left out, or never in: from here on it promises nothing before it is let in again.
 void Consensus::become_learner(const RecoveryResponse& newest) {
     if (role_ != Role::non_member) {
-        const bool newer = newest.held > state_.entry.position;
-        const bool left_out = newer || !is_voter(state_.entry, options_.self);
-        if (!left_out || role_ == Role::leader) return;
+        const bool is_newer = newest.held > state_.entry.position;
+        const bool is_left_out = is_newer || !is_voter(state_.entry, options_.self);
+        if (!is_left_out || role_ == Role::leader) return;
         role_ = Role::non_member;
         state_.promise.member = false;
         output_.must_persist = true;
     }
-    joining_ = true;
-    awaited_state_.reset();
-}
-
-void Consensus::await_state(const RecoveryResponse& newest) {
-    joining_ = false;
-    Number& term = state_.promise.term;
-    for (const auto& [from, response] : recovery_responses_) {
-        // No heartbeat of an earlier leader is answered: before, it may have voted for a later one.
-        if (response.term > term) state_.promise.voted_for.clear();
-        term = std::max(term, response.term);
-        awaited_no_vote_through_ = std::max(awaited_no_vote_through_, response.pre_voted_through);
-    }
-    awaited_no_vote_through_ = std::max(awaited_no_vote_through_, term);
-    awaited_state_ = newest.held;
+    recovery_.await_invitation();
 }
 
-// Whether the leader may bring this non-member the state: it knows whether it belonged here before. If it
-// did, a candidate may still count the vote that it gave before its disk was lost, for as long as candidacies
-// last.
 bool Consensus::accepts_state() const {
-    const Micros longest_candidacy = options_.election_timeout * 5 / 3;
-    return joining_ || (awaited_state_ && now_ >= started_ + longest_candidacy);
+    return recovery_.accepts_state(now_ >= started_at_ + election_timer_.max_candidacy());
 }
 
-// A non-member has got an entry: if that makes it a voter, it is one from here on.
-void Consensus::become_member() {
+// A non-member holds a new entry: if that makes it a voter, it is a member from here on.
+void Consensus::become_member_if_voter() {
     if (!is_voter(state_.entry, options_.self)) return;
-    if (awaited_state_ && state_.entry.position < *awaited_state_) return;
+    if (!recovery_.is_satisfied_by(state_.entry.position)) return;
     Promise& promise = state_.promise;
     promise.member = true;
-    // In these terms its lost disk may have voted.
-    promise.no_vote_through = std::max({promise.no_vote_through, awaited_no_vote_through_, promise.term});
-    promise.voted_for = options_.self;
+    promise.no_vote_through = std::max({promise.no_vote_through, recovery_.no_vote_through(), promise.term});
+    promise.voted_for = options_.self;  // nobody else gets its vote in this term
     role_ = Role::follower;
-    joining_ = false;
-    awaited_state_.reset();
-    awaited_no_vote_through_ = 0;
-    recovery_responses_.clear();
-    nonce_ = 0;
+    recovery_.finish();
     output_.must_persist = true;
-    set_election_timer();
+    restart_election_timer();
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -1,287 +1,179 @@
-// The leader's heartbeats and entries, its lease, and what a follower does with them.
+// The leader: its heartbeats, its entries on their way to the other members, and its lease (Raft, sections
+// 5.3, 5.4 and 8).
 #include <algorithm>
 #include <utility>
 
-#include "cluster/configuration/delta.hpp"
-#include "cluster/consensus/confirmed_versions.hpp"
 #include "cluster/consensus/consensus.hpp"
-#include "cluster/consensus/quorum.hpp"
-#include "cluster/wire/codec.hpp"
 
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kBodiesKept = 6;          // as bases of differences
-constexpr std::size_t kRoundsKept = 64;         // of heartbeats that may still be answered
-constexpr std::size_t kMostLargeTransfers = 3;  // at once: they share the leader's link
-constexpr int kTimeoutsUntilStepDown = 2;       // without answers of a quorum
+constexpr std::size_t kMaxLargeTransfers = 3;  // at once: they share the leader's uplink
+// A leader that no quorum has answered for so many election timeouts steps down: whoever asks it should look
+// for another one.
+constexpr int kTimeoutsUntilStepDown = 2;
+// Followers learn by the next heartbeat that an entry is committed; after a commit it comes sooner.
+constexpr int kHeartbeatSpeedUp = 4;
 
 }  // namespace
 
-// ---- lease ----
+// ---- lease and contact ----
 
-// When the newest heartbeat round was sent that a quorum has answered: until then nobody could have voted
-// against us.
-Micros Consensus::lease_start() const {
-    const Micros incoming = lease_start(state_.entry.members);
-    if (state_.entry.outgoing_members.empty() || planted(PlantedFault::count_new_voters_only))
-        return incoming;
-    return std::min(incoming, lease_start(state_.entry.outgoing_members));
+Micros Consensus::lease_granted_at() const {
+    const Micros incoming = lease_granted_by(state_.entry.members);
+    if (!options_.rules->needs_outgoing_majority(state_.entry)) return incoming;
+    return std::min(incoming, lease_granted_by(state_.entry.outgoing_members));
 }
 
-Micros Consensus::lease_start(const std::vector<std::string>& group) const {
-    std::vector<Number> answered;
+Micros Consensus::lease_granted_by(const std::vector<std::string>& group) const {
+    std::vector<Round> answered;
+    answered.reserve(group.size());
     for (const std::string& member : group) {
-        const auto peer = peers_.find(member);
-        const Number round = peer == peers_.end() ? 0 : peer->second.round;
-        answered.push_back(is_self(member) ? round_ : round);
+        const Peer* const peer = find_peer(member);
+        const Round round = peer ? peer->answered_round : 0;
+        answered.push_back(is_self(member) ? lease_.newest_round() : round);
     }
-    if (answered.empty()) return 0;
-    std::sort(answered.rbegin(), answered.rend());
-    const auto sent = round_sent_at_.find(answered[group.size() / 2]);
-    return sent == round_sent_at_.end() ? 0 : sent->second;
+    return lease_.granted_at(std::move(answered));
 }
 
 bool Consensus::has_lease(Micros now) const {
-    if (!is_established_leader()) return false;
-    const Micros start = lease_start();
-    return start > 0 && now < start + options_.lease_duration;
+    return is_established_leader() && lease_.is_valid(lease_granted_at(), now);
 }
 
-// A leader that no quorum answers is none: who asks it should look for another.
 bool Consensus::hears_quorum() const {
     const Micros since = now_ - kTimeoutsUntilStepDown * options_.election_timeout;
     return quorum_agrees([&](const std::string& voter) {
-        const auto peer = peers_.find(voter);
-        return is_self(voter) || (peer != peers_.end() && peer->second.answered >= since);
+        const Peer* const peer = find_peer(voter);
+        return is_self(voter) || (peer && peer->last_response >= since);
     });
 }
 
-// ---- the leader's entries ----
-
-// The newest entries' bodies, and of older ones those that a member is being sent: the next it gets is a
-// difference to it.
-void Consensus::remember_body() {
-    bodies_[state_.entry.position] = state_.entry.body;
-    std::size_t surplus = bodies_.size() > kBodiesKept ? bodies_.size() - kBodiesKept : 0;
-    for (auto body = bodies_.begin(); surplus > 0; --surplus) {
-        const bool needed = std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-            return peer.second.sender.active() && peer.second.sender.position() == body->first;
-        });
-        body = needed ? std::next(body) : bodies_.erase(body);
-    }
-}
+// ---- entries and heartbeats ----
 
+// Makes the content the newest entry, of this term. REQUIRES: this is the leader.
 void Consensus::append(LogEntry entry) {
     entry.position = {current_term(), state_.entry.position.index + 1};
     state_.entry = std::move(entry);
-    payloads_.clear();
-    remember_body();
+    remember_head();
     output_.must_persist = true;
     send_heartbeats();
-    advance_commit();  // alone it is a quorum
+    advance_commit();  // a leader without other voters is a quorum
+}
+
+// Bodies that a member is being sent are kept, too: what it gets next is a difference to them.
+void Consensus::remember_head() {
+    history_.add(state_.entry, [&](const LogPosition& position) {
+        return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+            return peer.second.sender.active() && peer.second.sender.position() == position;
+        });
+    });
 }
 
 void Consensus::send_heartbeats() {
-    round_sent_at_[++round_] = now_;
-    while (round_sent_at_.size() > kRoundsKept) round_sent_at_.erase(round_sent_at_.begin());
+    lease_.begin_round(now_);
     next_heartbeat_ = now_ + options_.heartbeat_interval;
     for (const std::string& voter : all_voters(state_.entry))
-        if (!is_self(voter)) send_append(voter);
-    for (const std::string& learner : learners_) send_append(learner);
+        if (!is_self(voter)) send_heartbeat(voter);
+    for (const std::string& learner : learners_) send_heartbeat(learner);
 }
 
-// A heartbeat, and where the member lacks the newest entry and nothing of it is under way, its first chunk.
-void Consensus::send_append(const std::string& to) {
+// A heartbeat, and the start of a transfer where one is due.
+void Consensus::send_heartbeat(const std::string& to) {
     Peer& peer = peers_[to];
-    output_.messages.push_back(
-        {to, AppendRequest{current_term(), round_, state_.entry.position, committed_.position}});
-    const bool lacks = peer.held != state_.entry.position;
-    if (lacks && planted(PlantedFault::resend_whole_entry)) return resend_whole_entry(to);
-    if (!lacks || peer.sender.active()) return;
-    if (start_transfer(peer))
-        output_.messages.push_back({to, peer.sender.chunk(current_term(), round_, now_)});
-}
-
-// The planted fault, as the code before had it.
-void Consensus::resend_whole_entry(const std::string& to) {
-    constexpr Micros kInterval = 400'000;
-    Peer& peer = peers_[to];
-    if (peer.sender.active() && now_ < peer.resent + kInterval) return;
-    peer.resent = now_;
-    peer.sender.start(state_.entry.position, {}, payload_against({}));
-    const std::shared_ptr<const std::string> payload = payload_against({});
     const LogPosition& head = state_.entry.position;
-    for (Number offset = 0; offset < payload->size(); offset += kMostChunkBytes)
-        output_.messages.push_back({to, EntryChunk{current_term(),
-                                                   round_,
-                                                   head,
-                                                   {},
-                                                   offset,
-                                                   payload->size(),
-                                                   payload->substr(offset, kMostChunkBytes)}});
+    const Round round = lease_.newest_round();
+    send(to, AppendRequest{current_term(), round, head, committed_entry_.position});
+    if (peer.match_position == head || !options_.rules->is_transfer_due(peer.sender, now_)) return;
+    start_transfer(peer);
+    if (!peer.sender.active()) return;
+    for (EntryChunk& chunk : options_.rules->first_chunks(peer.sender, current_term(), round, now_))
+        send(to, std::move(chunk));
 }
 
-std::size_t Consensus::large_transfers() const {
+std::size_t Consensus::count_large_transfers() const {
     const Micros since = now_ - options_.election_timeout;
-    return static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& one) {
-        const Peer& peer = one.second;
-        return peer.answered >= since && peer.sender.large();
+    return static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
+        const Peer& peer = entry.second;
+        return peer.last_response >= since && peer.sender.large();
     }));
 }
 
-bool Consensus::start_transfer(Peer& peer) {
-    const LogPosition base = base_for(peer);
-    std::shared_ptr<const std::string> payload = payload_against(base);
-    if (payload->size() > peer.sender.chunk_bytes() && large_transfers() >= kMostLargeTransfers) return false;
-    peer.sender.start(state_.entry.position, base, std::move(payload));
-    return true;
+// Starts the transfer of the head, unless it is large and too many large ones are under way: then the next
+// heartbeat tries again.
+void Consensus::start_transfer(Peer& peer) {
+    const LogPosition base = options_.rules->transfer_base(transfer_base(peer));
+    std::shared_ptr<const std::string> payload = history_.payload(state_.entry, base);
+    const bool is_large = payload->size() > peer.sender.chunk_bytes();
+    if (is_large && count_large_transfers() >= kMaxLargeTransfers) return;
+    peer.sender.start(state_.entry.position, base, std::move(payload), now_);
 }
 
-// Not heard yet: most likely it holds what stood here before.
-LogPosition Consensus::base_for(const Peer& peer) const {
-    if (peer.round == 0 && bodies_.size() > 1) return std::prev(bodies_.end(), 2)->first;
-    return bodies_.contains(peer.held) ? peer.held : LogPosition{};
+LogPosition Consensus::transfer_base(const Peer& peer) const {
+    // A peer that has not answered in this term most likely holds what was the head before.
+    if (peer.answered_round == 0)
+        if (const std::optional<LogPosition> previous = history_.previous()) return *previous;
+    return history_.contains(peer.match_position) ? peer.match_position : LogPosition{};
 }
 
-std::shared_ptr<const std::string> Consensus::payload_against(const LogPosition& base) {
-    std::shared_ptr<const std::string>& payload = payloads_[base];
-    if (payload) return payload;
-    const LogEntry& entry = state_.entry;
-    const auto known = bodies_.find(base);
-    const std::string_view base_body =
-        known == bodies_.end() ? std::string_view() : std::string_view{known->second};
-    EntryPayload made{entry.version, entry.members, entry.outgoing_members,
-                      confirmed_after(entry.confirmed, base.index), make_delta(base_body, entry.body)};
-    payload = std::make_shared<const std::string>(encode_payload(made));
-    return payload;
+void Consensus::send_chunk(const std::string& to, Peer& peer) {
+    send(to, peer.sender.chunk(current_term(), lease_.newest_round(), now_));
 }
 
-void Consensus::handle(const std::string& from, const AppendResponse& response) {
-    if (response.term > current_term()) return become_follower(response.term);
+void Consensus::handle_append_response(const std::string& from, const AppendResponse& response) {
+    if (response.term > current_term()) return step_down(response.term);
     if (role_ != Role::leader || response.term != current_term()) return;
     Peer& peer = peers_[from];
-    peer.answered = now_;
+    peer.last_response = now_;
     if (response.leaving)
         leaving_members_.insert(from);
     else
         leaving_members_.erase(from);  // it has started anew
-    if (response.round <= round_) peer.round = std::max(peer.round, response.round);
-    peer.held = response.held;
-    const LogPosition& head = state_.entry.position;
-    if (peer.held == head) {
+    // A round that was not sent yet grants nothing: it is of an earlier incarnation of this leader, answered
+    // by a member that stood still meanwhile.
+    if (response.round <= lease_.newest_round())
+        peer.answered_round = std::max(peer.answered_round, response.round);
+    peer.match_position = response.held;
+    if (peer.match_position == state_.entry.position) {
         peer.sender.stop();
         return advance_commit();
     }
-    if (!peer.sender.active()) return;  // the next heartbeat begins
-    if (!continue_transfer(peer, response)) return;
-    output_.messages.push_back({from, peer.sender.chunk(current_term(), round_, now_)});
+    if (peer.sender.active()) continue_transfer(from, peer, response);
 }
 
-// What an answer says about the entry under way to that member; whether a chunk is to be sent. An older entry
-// than the newest is sent to its end, so that a member comes on however often the configuration changes.
-bool Consensus::continue_transfer(Peer& peer, const AppendResponse& response) {
+// An entry that is under way is sent to its end even if it is not the head any more, so that a member makes
+// progress however often the configuration changes.
+void Consensus::continue_transfer(const std::string& to, Peer& peer, const AppendResponse& response) {
     EntrySender& sender = peer.sender;
-    const bool whole = peer.held == sender.position();
-    const bool receives = response.receiving == sender.position();
-    const bool wrong_base = !receives && sender.base() != LogPosition{} && peer.held != sender.base();
-    if (whole || wrong_base) {
+    const bool is_complete = peer.match_position == sender.position();
+    const bool is_receiving = response.receiving == sender.position();
+    const bool has_other_base =
+        !is_receiving && sender.base() != LogPosition{} && peer.match_position != sender.base();
+    if (is_complete || has_other_base) {
         sender.stop();
-        return start_transfer(peer);
-    }
-    if (receives && response.received > sender.offset()) {
-        sender.confirmed(response.received, now_);
-        return true;
+        start_transfer(peer);
+        if (sender.active()) send_chunk(to, peer);
+    } else if (is_receiving && response.received > sender.offset()) {
+        sender.on_confirmed(response.received, now_);
+        send_chunk(to, peer);
+    } else if (response.round > sender.sent_in_round()) {
+        sender.restart_at(is_receiving ? response.received : 0);  // the chunk was lost
+        send_chunk(to, peer);
     }
-    if (response.round <= sender.sent_in_round()) return false;
-    sender.restart_at(receives ? response.received : 0);  // the chunk was lost
-    return true;
 }
 
-void Consensus::advance_commit() {
-    const LogPosition& head = state_.entry.position;
-    if (role_ != Role::leader || committed_.position == head) return;
-    const auto holds_head = [&](const std::string& voter) {
-        const auto peer = peers_.find(voter);
-        return is_self(voter) || (peer != peers_.end() && peer->second.held == head);
-    };
-    if (!quorum_agrees(holds_head)) return;
-    committed_ = state_.entry;
-    resolve_proposals();
-    append_next_change();
-    // Followers learn soon that it is committed.
-    next_heartbeat_ = std::min(next_heartbeat_, now_ + options_.heartbeat_interval / 4);
+bool Consensus::has_head(const std::string& voter) const {
+    const Peer* const peer = find_peer(voter);
+    return is_self(voter) || (peer && peer->match_position == state_.entry.position);
 }
 
-// ---- a follower ----
-
-// Whether what that leader says is to be followed; the answer is sent where it is not.
-bool Consensus::accept_leader(const std::string& from, Number term) {
-    if (role_ == Role::non_member && !accepts_state()) return false;
-    if (term < state_.promise.term) {
-        answer_leader(from, 0);  // no round of this term is answered
-        return false;
-    }
-    const bool other_role = role_ != Role::follower && role_ != Role::non_member;
-    if (role_ != Role::non_member && (term > state_.promise.term || other_role)) become_follower(term);
-    if (role_ == Role::non_member && term > state_.promise.term) {
-        state_.promise.term = term;
-        state_.promise.voted_for.clear();
-        output_.must_persist = true;
-    }
-    leader_ = from;
-    heard_leader_ = now_;
-    if (state_.promise.last_leader != from) {
-        state_.promise.last_leader = from;  // before the answer that grants the lease
-        output_.must_persist = true;
-    }
-    set_election_timer();
-    return true;
-}
-
-void Consensus::answer_leader(const std::string& from, Number round) {
-    output_.messages.push_back({from, AppendResponse{current_term(), round, state_.entry.position,
-                                                     receiver_.position(), receiver_.received(), leaving_}});
-}
-
-void Consensus::handle(const std::string& from, const AppendRequest& request) {
-    if (!accept_leader(from, request.term)) return;
-    const bool holds_committed = request.committed == state_.entry.position;
-    if (holds_committed && committed_.position != request.committed) committed_ = state_.entry;
-    answer_leader(from, request.round);
-}
-
-void Consensus::handle(const std::string& from, const EntryChunk& chunk) {
-    if (!accept_leader(from, chunk.term)) return;
-    const bool whole = chunk.base == LogPosition{};
-    const bool fits = whole || chunk.base == state_.entry.position;
-    if (chunk.position <= state_.entry.position || !fits) return answer_leader(from, chunk.round);
-    if (const std::optional<std::string> bytes = receiver_.add(chunk)) {
-        leaf::try_handle_all(
-            [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(payload, decode_payload(*bytes));
-                const std::string_view base =
-                    whole ? std::string_view() : std::string_view{state_.entry.body};
-                BOOST_LEAF_AUTO(body, apply_delta(base, payload.body_delta));
-                std::vector<ConfirmedVersion> confirmed;
-                if (!whole) confirmed = state_.entry.confirmed;
-                for (const ConfirmedVersion& record : payload.confirmed) add_confirmed(confirmed, record);
-                if (whole) bodies_.clear();  // what was held before need not be an ancestor
-                install({chunk.position, payload.version, std::move(payload.members),
-                         std::move(payload.outgoing_members), std::move(confirmed), std::move(body)});
-                return {};
-            },
-            [] {});  // what does not fit is sent again after the answer
-    }
-    answer_leader(from, chunk.round);
-}
-
-void Consensus::install(LogEntry entry) {
-    state_.entry = std::move(entry);
-    payloads_.clear();
-    output_.must_persist = true;
-    remember_body();
-    if (role_ == Role::non_member) become_member();
+// Raft, section 5.4.2: the head is always of the leader's own term, so counting its replicas is enough.
+void Consensus::advance_commit() {
+    if (role_ != Role::leader || committed_entry_.position == state_.entry.position) return;
+    if (!quorum_agrees([&](const std::string& voter) { return has_head(voter); })) return;
+    committed_entry_ = state_.entry;
+    report(proposals_.take_decided(committed_entry_));
+    append_next_change();
+    next_heartbeat_ = std::min(next_heartbeat_, now_ + options_.heartbeat_interval / kHeartbeatSpeedUp);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -133,11 +133,11 @@
             }
         }
         for (const ConsensusOutput::Envelope& mail : out.messages) send(mail.to, mail.message);
-        for (const ConsensusOutput::ProposalResult& result : out.proposal_results) answer_operator(result);
+        for (const ProposalResult& result : out.proposal_results) answer_operator(result);
         look();
     }
 
-    void answer_operator(const ConsensusOutput::ProposalResult& result) {
+    void answer_operator(const ProposalResult& result) {
         const auto at = std::find_if(puts_.begin(), puts_.end(),
                                      [&](const auto& put) { return put.second == result.ticket; });
         if (at == puts_.end()) return;
@@ -326,7 +326,7 @@
                 read_body_ = m.body;
                 const Number ticket = ++last_ticket_;
                 puts_[exchange] = ticket;
-                carry_out(consensus_->propose(now, ticket, configuration->version(), std::move(m.body)));
+                carry_out(consensus_->propose(now, {ticket, configuration->version(), std::move(m.body)}));
                 set_timer();
                 return {};
             },
--- a/tests/system/world.hpp
+++ b/tests/system/world.hpp
@@ -165,7 +165,7 @@
     void deliver(std::size_t from, std::size_t to, const Message& message);
     void arrive(std::size_t from, std::size_t to, const Message& message, Number life);
     static BodyHash hash_of(const std::string& body) { return std::hash<std::string>{}(body); }
-    void answered(Core& core, const ConsensusOutput::ProposalResult& result);
+    void answered(Core& core, const ProposalResult& result);
     void confirmed(Core& core, const Order& order);
     void refused(const Order& order);
     void check_committed(Core& core);
--- a/tests/system/world_cores.cpp
+++ b/tests/system/world_cores.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "cluster/wire/codec.hpp"
+#include "consensus/faulty_rules.hpp"
 #include "world_parts.hpp"
 
 namespace gannethold::cluster::played {
@@ -12,18 +13,22 @@
 constexpr std::size_t kMostQueued = 256 * 1024;  // bytes to one member, before one more message
 
 // Those faults that only the code under test itself can have.
-PlantedFault planted_fault(Sabotage sabotage) {
+const ConsensusRules& consensus_rules(Sabotage sabotage) {
+    static const tests::IncomingMajorityOnly kIncomingMajorityOnly;
+    static const tests::LearnersVoteAtOnce kLearnersVoteAtOnce;
+    static const tests::NoJointConsensus kNoJointConsensus;
+    static const tests::ResendsWholeEntry kResendsWholeEntry;
     switch (sabotage) {
         case Sabotage::quorum_of_new_voters:
-            return PlantedFault::count_new_voters_only;
+            return kIncomingMajorityOnly;
         case Sabotage::learner_votes_at_once:
-            return PlantedFault::learner_votes_at_once;
+            return kLearnersVoteAtOnce;
         case Sabotage::change_without_joint_step:
-            return PlantedFault::change_without_joint_step;
+            return kNoJointConsensus;
         case Sabotage::resend_whole_entry:
-            return PlantedFault::resend_whole_entry;
+            return kResendsWholeEntry;
         default:
-            return PlantedFault::none;
+            return ConsensusRules::standard();
     }
 }
 
@@ -43,7 +48,7 @@
         core.disk.entry.position = {0, 1};
         core.disk.entry.members = seeds_;
     }
-    options.planted_fault = planted_fault(shape_.sabotage);
+    options.rules = &consensus_rules(shape_.sabotage);
     core.consensus.emplace(std::move(options), core.disk, now_);
     carry_out(core, core.consensus->start());
 }
--- a/tests/system/world_digest.cpp
+++ b/tests/system/world_digest.cpp
@@ -20,7 +20,7 @@
         digest_output(std::string_view(envelope.to));
         digest_message(core, 0, envelope.message);
     }
-    for (const ConsensusOutput::ProposalResult& result : out.proposal_results)
+    for (const ProposalResult& result : out.proposal_results)
         digest_output(std::uint64_t{core}, result.ticket, static_cast<std::uint64_t>(result.outcome));
 }
 
--- a/tests/system/world_operators.cpp
+++ b/tests/system/world_operators.cpp
@@ -45,12 +45,12 @@
     if (shape_.sabotage == Sabotage::compare_no_bodies && held && version <= held->version)
         return confirmed(server, order);
     tickets_[ticket] = order;
-    carry_out(server, server.consensus->propose(now_, ticket, version, std::move(sent)));
+    carry_out(server, server.consensus->propose(now_, {ticket, version, std::move(sent)}));
 }
 
 // ---- answers to orders
 
-void World::answered(Core& core, const ConsensusOutput::ProposalResult& result) {
+void World::answered(Core& core, const ProposalResult& result) {
     const auto ticket = tickets_.find(result.ticket);
     if (ticket == tickets_.end()) return;
     const Order order = ticket->second;
@@ -88,7 +88,7 @@
 
 // A quorum has it, or had it on a disk that was lost since.
 void World::check_disks(const LogEntry& entry) {
-    const bool held = has_quorum(entry, [&](const std::string& voter) {
+    const bool held = has_quorum(entry.members, entry.outgoing_members, [&](const std::string& voter) {
         return std::any_of(cores_.begin(), cores_.end(), [&](const auto& core) {
             return core->name == voter && core->synced >= entry.position;
         });
