--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -4,151 +4,142 @@
 #include <leveldb/write_batch.h>
 
 #include <algorithm>
-#include <cstdio>
+#include <utility>
 
+#include "cluster/store/confirmed_record.hpp"
 #include "cluster/wire/codec.hpp"
 
 namespace gannethold::cluster {
 namespace {
 
+constexpr char kDatabaseName[] = "/state";
 constexpr char kPromiseKey[] = "promise";
 constexpr char kEntryKey[] = "entry";
-constexpr char kConfirmedPrefix[] = "confirmed/";
-
-// Keys sort as the records do: by the index of their log entry, then by version.
-std::string confirmed_key(const ConfirmedVersion& record) {
-    char key[64];
-    std::snprintf(key, sizeof key, "%s%020llu/%020llu", kConfirmedPrefix,
-                  static_cast<unsigned long long>(record.index),
-                  static_cast<unsigned long long>(record.version));
-    return key;
-}
+// LevelDB's buffer and table size. Small, so that what was overwritten is soon dropped: the files stay under
+// a few bodies of a configuration.
+constexpr std::size_t kBufferBytes = 1U << 20;
 
-std::string digest_text(Number digest) {
-    char text[20];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(digest));
-    return text;
-}
+leveldb::Slice slice(std::string_view text) { return {text.data(), text.size()}; }
 
-leaf::result<ConfirmedVersion> confirmed_from(const std::string& key, const std::string& value) {
-    unsigned long long index = 0;
-    unsigned long long version = 0;
-    unsigned long long digest = 0;
-    const bool key_read =
-        std::sscanf(key.c_str() + sizeof kConfirmedPrefix - 1, "%20llu/%20llu", &index, &version) == 2;
-    if (!key_read || std::sscanf(value.c_str(), "%16llx", &digest) != 1)
-        return failure(ErrorCode::disk_failed, "a confirmed version can not be read");
-    return ConfirmedVersion{version, digest, index};
-}
-
-bool before(const ConfirmedVersion& a, const ConfirmedVersion& b) {
-    return std::pair(a.index, a.version) < std::pair(b.index, b.version);
+bool is_before(const ConfirmedVersion& left, const ConfirmedVersion& right) {
+    return std::pair(left.index, left.version) < std::pair(right.index, right.version);
 }
 
 std::vector<ConfirmedVersion> sorted(std::vector<ConfirmedVersion> records) {
-    std::sort(records.begin(), records.end(), before);
+    std::sort(records.begin(), records.end(), is_before);
     return records;
 }
 
 leveldb::Options database_options() {
     leveldb::Options options;
     options.create_if_missing = true;
-    options.write_buffer_size = Store::kBuffer;
-    options.max_file_size = Store::kBuffer;
+    options.write_buffer_size = kBufferBytes;
+    options.max_file_size = kBufferBytes;
     options.compression = leveldb::kNoCompression;
     return options;
 }
 
-leveldb::ReadOptions reading() {
+leveldb::ReadOptions read_options() {
     leveldb::ReadOptions options;
     options.verify_checksums = true;
     return options;
 }
 
+struct OpenResult {
+    leveldb::Status status;
+    std::unique_ptr<leveldb::DB> database;  // nullptr unless status.ok()
+};
+
+OpenResult open_database(const std::string& path) {
+    leveldb::DB* database = nullptr;
+    const leveldb::Status status = leveldb::DB::Open(database_options(), path, &database);
+    return {status, std::unique_ptr<leveldb::DB>(database)};
+}
+
 }  // namespace
 
 Store::Store() = default;
 Store::~Store() = default;
 
 leaf::result<PersistentState> Store::open(const std::string& folder) {
-    base_.reset();
-    has_entry_ = false;
-    written_confirmed_.clear();
-    const leveldb::Options options = database_options();
-    leveldb::DB* opened = nullptr;
-    leveldb::Status status = leveldb::DB::Open(options, folder + "/state", &opened);
-    if (status.IsCorruption() || status.IsInvalidArgument()) {
-        // Never guessed at: the whole is laid aside, and the machine learns anew from the others.
-        leveldb::DestroyDB(folder + "/state", options);
-        status = leveldb::DB::Open(options, folder + "/state", &opened);
+    database_.reset();
+    persisted_position_.reset();
+    persisted_confirmed_.clear();
+    const std::string path = folder + kDatabaseName;
+    OpenResult opened = open_database(path);
+    if (opened.status.IsCorruption() || opened.status.IsInvalidArgument()) {
+        // A lost disk: the member learns its state anew from the others.
+        leveldb::DestroyDB(path, database_options());
+        opened = open_database(path);
     }
-    if (!status.ok()) return failure(ErrorCode::disk_failed, status.ToString());
-    base_.reset(opened);
+    if (!opened.status.ok()) return failure(ErrorCode::disk_failed, opened.status.ToString());
+    database_ = std::move(opened.database);
     return leaf::try_handle_all([&] { return read(); }, [] { return PersistentState{}; });
 }
 
 leaf::result<PersistentState> Store::read() {
     std::string promise;
     std::string entry;
-    const bool found =
-        base_->Get(reading(), kPromiseKey, &promise).ok() && base_->Get(reading(), kEntryKey, &entry).ok();
-    if (!found) return PersistentState{};
+    const bool is_found = database_->Get(read_options(), kPromiseKey, &promise).ok() &&
+                          database_->Get(read_options(), kEntryKey, &entry).ok();
+    if (!is_found) return PersistentState{};
     PersistentState state;
     BOOST_LEAF_ASSIGN(state.promise, decode_promise(promise));
     BOOST_LEAF_ASSIGN(state.entry, decode_entry(entry));
     BOOST_LEAF_ASSIGN(state.entry.confirmed, read_confirmed());
-    written_ = state.entry.position;
-    written_confirmed_ = state.entry.confirmed;
-    has_entry_ = true;
+    remember_persisted(state.entry);
     return state;
 }
 
 leaf::result<std::vector<ConfirmedVersion>> Store::read_confirmed() {
     std::vector<ConfirmedVersion> records;
-    const std::unique_ptr<leveldb::Iterator> at(base_->NewIterator(reading()));
-    for (at->Seek(kConfirmedPrefix); at->Valid() && at->key().starts_with(kConfirmedPrefix); at->Next()) {
-        BOOST_LEAF_AUTO(record, confirmed_from(at->key().ToString(), at->value().ToString()));
+    const leveldb::Slice prefix = slice(kConfirmedPrefix);
+    const std::unique_ptr<leveldb::Iterator> pair(database_->NewIterator(read_options()));
+    for (pair->Seek(prefix); pair->Valid() && pair->key().starts_with(prefix); pair->Next()) {
+        BOOST_LEAF_AUTO(record, decode_confirmed(pair->key().ToString(), pair->value().ToString()));
         records.push_back(record);
     }
-    if (!at->status().ok()) return failure(ErrorCode::disk_failed, at->status().ToString());
+    if (!pair->status().ok()) return failure(ErrorCode::disk_failed, pair->status().ToString());
     return records;
 }
 
-// Only what changed of the confirmed versions is written.
+// Of the confirmed versions only what changed is written: most entries add one record to thousands.
 void Store::put_entry(leveldb::WriteBatch& batch, const LogEntry& entry) const {
-    LogEntry alone{entry.position, entry.version, entry.members, entry.outgoing_members, {}, entry.body};
-    batch.Put(kEntryKey, encode_entry(alone));
-    const std::vector<ConfirmedVersion> old_records = sorted(written_confirmed_);
-    const std::vector<ConfirmedVersion> new_records = sorted(entry.confirmed);
-    for (const ConfirmedVersion& record : old_records)
-        if (!std::binary_search(new_records.begin(), new_records.end(), record, before))
+    LogEntry without_records = entry;
+    without_records.confirmed.clear();
+    batch.Put(kEntryKey, encode_entry(without_records));
+    const std::vector<ConfirmedVersion> persisted = sorted(persisted_confirmed_);
+    const std::vector<ConfirmedVersion> current = sorted(entry.confirmed);
+    for (const ConfirmedVersion& record : persisted)
+        if (!std::binary_search(current.begin(), current.end(), record, is_before))
             batch.Delete(confirmed_key(record));
-    for (const ConfirmedVersion& record : new_records) {
-        const auto known = std::lower_bound(old_records.begin(), old_records.end(), record, before);
-        if (known == old_records.end() || !(*known == record))
-            batch.Put(confirmed_key(record), digest_text(record.digest));
+    for (const ConfirmedVersion& record : current) {
+        const auto known = std::lower_bound(persisted.begin(), persisted.end(), record, is_before);
+        const bool is_persisted = known != persisted.end() && *known == record;
+        if (!is_persisted) batch.Put(confirmed_key(record), confirmed_value(record));
     }
 }
 
 leaf::result<void> Store::write(const PersistentState& state) {
-    if (!base_) return failure(ErrorCode::disk_failed, "not open");
+    if (!database_) return failure(ErrorCode::disk_failed, "not open");
     leveldb::WriteBatch batch;
     batch.Put(kPromiseKey, encode_promise(state.promise));
-    const bool entry_changed = !has_entry_ || written_ != state.entry.position;
-    if (entry_changed) put_entry(batch, state.entry);
-    leveldb::WriteOptions writing;
-    writing.sync = true;
-    const leveldb::Status status = base_->Write(writing, &batch);
+    const bool has_new_entry = persisted_position_ != state.entry.position;
+    if (has_new_entry) put_entry(batch, state.entry);
+    leveldb::WriteOptions options;
+    options.sync = true;
+    const leveldb::Status status = database_->Write(options, &batch);
     if (!status.ok()) {
-        base_.reset();
+        database_.reset();
         return failure(ErrorCode::disk_failed, status.ToString());
     }
-    if (entry_changed) {
-        written_ = state.entry.position;
-        written_confirmed_ = state.entry.confirmed;
-        has_entry_ = true;
-    }
+    if (has_new_entry) remember_persisted(state.entry);
     return {};
 }
 
+void Store::remember_persisted(const LogEntry& entry) {
+    persisted_position_ = entry.position;
+    persisted_confirmed_ = entry.confirmed;
+}
+
 }  // namespace gannethold::cluster
--- a/tests/system/formats_store.cpp
+++ b/tests/system/formats_store.cpp
@@ -1,9 +1,8 @@
 // The data directory of a core machine, the one role with a disk, as LevelDB files in fixtures/. The store
-// keeps a member's promises, its newest log entry and the confirmed configuration numbers; an entry that is
-// being received in chunks is in memory alone.
+// keeps a member's promises, its newest log entry and the confirmed configuration versions; an entry that is
+// being received in chunks is in memory only.
 #include <leveldb/db.h>
 
-#include <cstdlib>
 #include <map>
 #include <memory>
 #include <vector>
@@ -11,12 +10,13 @@
 #include "cluster/store/store.hpp"
 #include "field_values.hpp"
 #include "formats.hpp"
+#include "store/store_fixture.hpp"
 
 namespace gannethold::cluster::tests {
 namespace {
 
 namespace filesystem = std::filesystem;
-using RawPairs = std::map<std::string, std::string>;
+using KeyValues = std::map<std::string, std::string>;
 
 const std::string kFirst = "10.1.0.41:8263";
 const std::string kSecond = "10.2.0.35:8263";
@@ -24,9 +24,12 @@
 const std::string kFourth = "10.3.0.37:8263";
 constexpr char kDatabase[] = "state";  // the store's folder within the data directory
 
-// What a member writes in one life after another: several configurations, one vote given in between, a
-// confirmed number that is forgotten, and at the end a change of members in its joint phase.
-std::vector<std::vector<PersistentState>> lives_of_member() {
+// What a process writes between its start and its end.
+using Incarnation = std::vector<PersistentState>;
+
+// A member, in two incarnations: several configurations, one vote given in between, a confirmed version that
+// is forgotten, and at the end a change of members in its joint phase.
+std::vector<Incarnation> incarnations_of_member() {
     const std::vector<std::string> before{kFirst, kSecond, kThird};
     const std::vector<std::string> after{kFirst, kSecond, kFourth};
     const ConfirmedVersion third{3, 0x1111222233334444ULL, 1};
@@ -41,71 +44,42 @@
           {{4, 4}, 9, after, before, {seventh, ninth}, R"({"version":9})"}}}};
 }
 
-// The change of members is over, and an older number was confirmed.
-PersistentState further_step_of_member() {
+// The change of members has ended, and an older version was confirmed.
+PersistentState next_state_of_member() {
     const std::vector<std::string> members{kFirst, kSecond, kFourth};
     const ConfirmedVersion eighth{8, 0x0123456789abcdefULL, 5};
-    PersistentState state = lives_of_member().back().back();
+    PersistentState state = incarnations_of_member().back().back();
     state.promise.term = 6;
     state.promise.voted_for = kFourth;
     state.entry = {{6, 5}, 9, members, {}, {state.entry.confirmed[1], eighth}, R"({"version":9})"};
     return state;
 }
 
-// A machine that lost its disk, while it asks the others: it is no member and votes in no term up to one.
-std::vector<std::vector<PersistentState>> lives_of_recovering() {
-    return {{{{false, 5, {}, 5, 4, kSecond}, {}}}};
-}
+// A machine that lost its disk and still recovers: it is no member, and votes in no term up to one.
+std::vector<Incarnation> incarnations_of_recovering() { return {{{{false, 5, {}, 5, 4, kSecond}, {}}}}; }
 
-PersistentState further_step_of_recovering() {
+PersistentState next_state_of_recovering() {
     return {{true, 7, kThird, 5, 7, kThird},
             {{7, 12}, 9, {kFirst, kSecond}, {}, {{9, 0xfedcba9876543210ULL, 11}}, R"({"version":9})"}};
 }
 
 struct StoreExample {
     std::string folder;
-    std::vector<std::vector<PersistentState>> lives;
-    PersistentState further_step;
+    std::vector<Incarnation> incarnations;
+    PersistentState next_state;
 };
 
 std::vector<StoreExample> store_examples() {
-    return {{"store_member", lives_of_member(), further_step_of_member()},
-            {"store_recovering", lives_of_recovering(), further_step_of_recovering()}};
-}
-
-class TemporaryFolder {
-  public:
-    TemporaryFolder() {
-        std::string name = (filesystem::temp_directory_path() / "gannethold-formats-XXXXXX").string();
-        BOOST_REQUIRE(mkdtemp(name.data()) != nullptr);
-        path_ = name;
-    }
-    ~TemporaryFolder() { filesystem::remove_all(path_); }
-    TemporaryFolder(const TemporaryFolder&) = delete;
-    TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-    const filesystem::path& path() const { return path_; }
-
-  private:
-    filesystem::path path_;
-};
-
-PersistentState opened(Store& store, const filesystem::path& folder) {
-    return required<PersistentState>([&] { return store.open(folder.string()); });
-}
-
-void write(Store& store, const PersistentState& state) {
-    required<bool>([&]() -> leaf::result<bool> {
-        BOOST_LEAF_CHECK(store.write(state));
-        return true;
-    });
+    return {{"store_member", incarnations_of_member(), next_state_of_member()},
+            {"store_recovering", incarnations_of_recovering(), next_state_of_recovering()}};
 }
 
-void play(const filesystem::path& folder, const std::vector<std::vector<PersistentState>>& lives) {
+void write_incarnations(const filesystem::path& folder, const std::vector<Incarnation>& incarnations) {
     filesystem::create_directories(folder);
-    for (const auto& life : lives) {
+    for (const auto& incarnation : incarnations) {
         Store store;
         opened(store, folder);
-        for (const PersistentState& state : life) write(store, state);
+        for (const PersistentState& state : incarnation) write(store, state);
     }
 }
 
@@ -114,19 +88,20 @@
     return opened(store, folder);
 }
 
-// All keys and values, read past the store. No other process may have the folder open.
-RawPairs raw_pairs(const filesystem::path& folder) {
+// All keys and values, read without the store. REQUIRES: nothing has the database open.
+KeyValues read_key_values(const filesystem::path& folder) {
     leveldb::Options options;
     options.create_if_missing = false;
     options.paranoid_checks = true;
-    leveldb::DB* opened_database = nullptr;
-    const auto status = leveldb::DB::Open(options, (folder / kDatabase).string(), &opened_database);
+    leveldb::DB* handle = nullptr;
+    const auto status = leveldb::DB::Open(options, (folder / kDatabase).string(), &handle);
     BOOST_REQUIRE_MESSAGE(status.ok(), status.ToString());
-    const std::unique_ptr<leveldb::DB> database(opened_database);
-    RawPairs pairs;
-    const std::unique_ptr<leveldb::Iterator> at(database->NewIterator({}));
-    for (at->SeekToFirst(); at->Valid(); at->Next()) pairs[at->key().ToString()] = at->value().ToString();
-    BOOST_REQUIRE(at->status().ok());
+    const std::unique_ptr<leveldb::DB> database(handle);
+    KeyValues pairs;
+    const std::unique_ptr<leveldb::Iterator> pair(database->NewIterator({}));
+    for (pair->SeekToFirst(); pair->Valid(); pair->Next())
+        pairs[pair->key().ToString()] = pair->value().ToString();
+    BOOST_REQUIRE(pair->status().ok());
     return pairs;
 }
 
@@ -140,35 +115,35 @@
 
 void write_store_examples(const filesystem::path& folder) {
     for (const StoreExample& example : store_examples()) {
-        play(folder / example.folder, example.lives);
-        // LevelDB makes these anew; the first two tell of the machine.
+        write_incarnations(folder / example.folder, example.incarnations);
+        // LevelDB writes these anew; the first two name the machine.
         for (const char* name : {"LOG", "LOG.old", "LOCK"})
             filesystem::remove(folder / example.folder / kDatabase / name);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_data_directory_of_before_is_loaded_with_the_same_values) {
+BOOST_AUTO_TEST_CASE(a_stored_data_directory_is_read_with_the_same_values) {
     for (const StoreExample& example : store_examples()) {
         const TemporaryFolder folder;
         copy_fixture(example, folder.path());
-        BOOST_TEST(same(reopened(folder.path()), example.lives.back().back()), example.folder);
+        BOOST_TEST(same(reopened(folder.path()), example.incarnations.back().back()), example.folder);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_data_directory_of_before_takes_a_further_step) {
+BOOST_AUTO_TEST_CASE(a_stored_data_directory_can_be_written_on) {
     for (const StoreExample& example : store_examples()) {
         const TemporaryFolder folder;
         copy_fixture(example, folder.path());
         {
             Store store;
             opened(store, folder.path());
-            write(store, example.further_step);
+            write(store, example.next_state);
         }
-        BOOST_TEST(same(reopened(folder.path()), example.further_step), example.folder);
+        BOOST_TEST(same(reopened(folder.path()), example.next_state), example.folder);
         const TemporaryFolder fresh;
-        play(fresh.path(), example.lives);
-        play(fresh.path(), {{example.further_step}});
-        BOOST_TEST((raw_pairs(folder.path()) == raw_pairs(fresh.path())), example.folder);
+        write_incarnations(fresh.path(), example.incarnations);
+        write_incarnations(fresh.path(), {{example.next_state}});
+        BOOST_TEST((read_key_values(folder.path()) == read_key_values(fresh.path())), example.folder);
     }
 }
 
@@ -177,15 +152,15 @@
         const TemporaryFolder before;
         copy_fixture(example, before.path());
         const TemporaryFolder now;
-        play(now.path(), example.lives);
-        BOOST_TEST((raw_pairs(now.path()) == raw_pairs(before.path())), example.folder);
+        write_incarnations(now.path(), example.incarnations);
+        BOOST_TEST((read_key_values(now.path()) == read_key_values(before.path())), example.folder);
     }
 }
 
-BOOST_AUTO_TEST_CASE(keys_and_digests_stand_as_documented) {
+BOOST_AUTO_TEST_CASE(keys_and_digests_are_stored_as_documented) {
     const TemporaryFolder folder;
     copy_fixture(store_examples().front(), folder.path());
-    RawPairs pairs = raw_pairs(folder.path());
+    KeyValues pairs = read_key_values(folder.path());
     BOOST_TEST(pairs.size() == 4U);
     BOOST_TEST(pairs.contains("entry"));
     BOOST_TEST(pairs.contains("promise"));
--- a/tests/system/store/store_test.cpp
+++ b/tests/system/store/store_test.cpp
@@ -7,101 +7,129 @@
 #include <random>
 
 #include "cluster/store/store.hpp"
+#include "store_fixture.hpp"
 
-namespace gannethold::cluster {
+namespace gannethold::cluster::tests {
 namespace {
 
-PersistentState kept(std::uint64_t index, std::size_t bytes) {
-    PersistentState d;
-    d.promise = {true, index, "10.0.0.1:80", 0, 0, {}};
-    d.entry = {{index, index}, index, {"10.0.0.1:80"}, {}, {{index, index * 7, index}}, {}};
+namespace filesystem = std::filesystem;
+
+// The same state for the same index, with a body of random letters.
+PersistentState state_at(std::uint64_t index, std::size_t body_bytes) {
+    PersistentState state;
+    state.promise.member = true;
+    state.promise.term = index;
+    state.promise.voted_for = "10.0.0.1:80";
+    state.entry.position = {index, index};
+    state.entry.version = index;
+    state.entry.members = {"10.0.0.1:80"};
+    state.entry.confirmed = {{index, index * 7, index}};
     std::mt19937 random(static_cast<unsigned>(index));
-    for (std::size_t n = 0; n < bytes; ++n) d.entry.body += static_cast<char>('a' + random() % 26);
-    return d;
+    for (std::size_t n = 0; n < body_bytes; ++n) state.entry.body += static_cast<char>('a' + random() % 26);
+    return state;
 }
 
-struct Folder {
-    std::string path;
-    Folder() {
-        char name[] = "/tmp/gannethold-store-XXXXXX";
-        path = mkdtemp(name);
-    }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
-    ~Folder() { std::filesystem::remove_all(path); }
-    std::vector<std::filesystem::path> files() const {
-        std::vector<std::filesystem::path> all;
-        for (const auto& f : std::filesystem::directory_iterator(path + "/state")) all.push_back(f.path());
-        std::sort(all.begin(), all.end());
-        return all;
-    }
-};
-
-PersistentState opened(Store& store, const std::string& folder) {
-    return leaf::try_handle_all([&] { return store.open(folder); },
-                                []() -> PersistentState {
-                                    BOOST_FAIL("the store does not open");
-                                    return {};
-                                });
+std::vector<filesystem::path> database_files(const TemporaryFolder& folder) {
+    std::vector<filesystem::path> files;
+    for (const auto& file : filesystem::directory_iterator(folder.path() / "state"))
+        files.push_back(file.path());
+    std::sort(files.begin(), files.end());
+    return files;
 }
-void written(Store& store, const PersistentState& d) {
-    BOOST_TEST(leaf::try_handle_all(
+
+// All states are written by one store, which is closed then.
+void write_all(const TemporaryFolder& folder, const std::vector<PersistentState>& states) {
+    Store store;
+    opened(store, folder.path());
+    for (const PersistentState& state : states) write(store, state);
+}
+
+bool write_fails(Store& store, const PersistentState& state) {
+    return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-            BOOST_LEAF_CHECK(store.write(d));
-            return true;
+            BOOST_LEAF_CHECK(store.write(state));
+            return false;
         },
-        [] { return false; }));
+        [](ErrorCode code) { return code == ErrorCode::disk_failed; }, [] { return false; });
 }
 
+}  // namespace
+
 BOOST_AUTO_TEST_CASE(the_store_gives_back_what_was_written_and_stays_under_its_bound) {
-    Folder folder;
+    constexpr std::size_t kBodyBytes = 250'000;
+    constexpr std::uint64_t kWrites = 120;
+    const TemporaryFolder folder;
     {
         Store store;
-        BOOST_TEST(!opened(store, folder.path).promise.member);
-        for (std::uint64_t n = 1; n <= 120; ++n) written(store, kept(n, 250'000));
+        BOOST_TEST(!opened(store, folder.path()).promise.member);
+        for (std::uint64_t index = 1; index <= kWrites; ++index) write(store, state_at(index, kBodyBytes));
     }
     std::uintmax_t bytes = 0;
-    for (const auto& f : folder.files()) bytes += std::filesystem::file_size(f);
+    for (const auto& file : database_files(folder)) bytes += filesystem::file_size(file);
     BOOST_TEST(bytes < 24U << 20, bytes);  // 30 MB were written; the disk holds 128
     Store again;
-    const PersistentState back = opened(again, folder.path);
+    const PersistentState back = opened(again, folder.path());
     BOOST_TEST(back.promise.member);
-    BOOST_TEST(back.entry.version == 120U);
-    BOOST_TEST((back.entry.body == kept(120, 250'000).entry.body));
+    BOOST_TEST(back.entry.version == kWrites);
+    BOOST_TEST((back.entry.body == state_at(kWrites, kBodyBytes).entry.body));
+    BOOST_TEST((back.entry.confirmed == state_at(kWrites, 0).entry.confirmed));
 }
 
 BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_and_never_read_as_something_else) {
+    constexpr std::size_t kBodyBytes = 1000;
     for (const std::uintmax_t torn : {1U, 7U, 100U, 900U, 1500U}) {
-        Folder folder;
-        {
-            Store store;
-            opened(store, folder.path);
-            written(store, kept(1, 1000));
-            written(store, kept(2, 1000));
-        }
-        for (const auto& f : folder.files())
-            if (f.extension() == ".log" && std::filesystem::file_size(f) > torn)
-                std::filesystem::resize_file(f, std::filesystem::file_size(f) - torn);
+        const TemporaryFolder folder;
+        write_all(folder, {state_at(1, kBodyBytes), state_at(2, kBodyBytes)});
+        for (const auto& file : database_files(folder))
+            if (file.extension() == ".log" && filesystem::file_size(file) > torn)
+                filesystem::resize_file(file, filesystem::file_size(file) - torn);
         Store store;
-        const PersistentState back = opened(store, folder.path);
-        BOOST_TEST((!back.promise.member || back.entry.body == kept(back.entry.version, 1000).entry.body));
+        const PersistentState back = opened(store, folder.path());
+        const std::string expected = state_at(back.entry.version, kBodyBytes).entry.body;
+        BOOST_TEST((!back.promise.member || back.entry.body == expected));
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_store_that_can_not_be_read_is_a_lost_disk) {
-    Folder folder;
-    {
-        Store store;
-        opened(store, folder.path);
-        written(store, kept(1, 1000));
-    }
-    for (const auto& f : folder.files())
-        if (f.filename().string().starts_with("MANIFEST")) std::filesystem::resize_file(f, 3);
+    const TemporaryFolder folder;
+    write_all(folder, {state_at(1, 1000)});
+    for (const auto& file : database_files(folder))
+        if (file.filename().string().starts_with("MANIFEST")) filesystem::resize_file(file, 3);
     Store store;
-    BOOST_TEST(!opened(store, folder.path).promise.member);
-    written(store, kept(9, 10));
-    Store again;
+    BOOST_TEST(!opened(store, folder.path()).promise.member);
+    write(store, state_at(9, 10));
 }
 
-}  // namespace
-}  // namespace gannethold::cluster
+BOOST_AUTO_TEST_CASE(a_promise_is_durable_without_a_new_entry) {
+    const TemporaryFolder folder;
+    PersistentState state = state_at(1, 1000);
+    PersistentState promised = state;
+    promised.promise.term = 2;
+    promised.promise.voted_for = "10.0.0.2:80";
+    write_all(folder, {state, promised});
+    Store store;
+    const PersistentState back = opened(store, folder.path());
+    BOOST_TEST(back.promise.term == 2U);
+    BOOST_TEST(back.promise.voted_for == "10.0.0.2:80");
+    BOOST_TEST((back.entry.position == state.entry.position));
+}
+
+BOOST_AUTO_TEST_CASE(a_store_that_is_not_open_fails_to_write) {
+    Store store;
+    BOOST_TEST(write_fails(store, state_at(1, 10)));
+}
+
+BOOST_AUTO_TEST_CASE(a_folder_that_is_not_there_fails_to_open) {
+    const TemporaryFolder folder;
+    Store store;
+    const bool failed = leaf::try_handle_all(
+        [&]() -> leaf::result<bool> {
+            BOOST_LEAF_CHECK(store.open((folder.path() / "missing" / "folder").string()));
+            return false;
+        },
+        [](ErrorCode code) { return code == ErrorCode::disk_failed; }, [] { return false; });
+    BOOST_TEST(failed);
+    BOOST_TEST(write_fails(store, state_at(1, 10)));
+}
+
+}  // namespace gannethold::cluster::tests
