--- a/tests/system/simulation/coordinators.cpp
+++ b/tests/system/simulation/coordinators.cpp
@@ -34,16 +34,17 @@
     if (!cores_.is_responsive(core)) return;
     const Consensus& consensus = *cores_.at(core).consensus;
     const Coordinator* const before = find(core);
-    if (before && (!consensus.holds() || before->term != consensus.term())) close(core);
+    if (before && (!consensus.is_established_leader() || before->term != consensus.current_term()))
+        close(core);
     if (!cores_.is_leading(core)) return;
     if (!find(core) && environment_.shape.proxies > 0) open(core);
     const Coordinator* const coordinator = find(core);
-    const LogEntry* const entry = consensus.committed();
+    const LogEntry* const entry = consensus.committed_entry();
     if (coordinator && entry && entry->version > coordinator->version) configure(core, *entry);
 }
 
 void Coordinators::open(std::size_t core) {
-    const Number term = cores_.at(core).consensus->term();
+    const Number term = cores_.at(core).consensus->current_term();
     SlotTable::Options slots;
     slots.budget_slack = kBudgetSlack;
     Planner::Options placement;
@@ -191,7 +192,7 @@
         const CoreMachine& machine = cores_.at(core);
         const Micros now = environment_.now();
         // A stalled machine takes the answer all the same.
-        const bool leads = machine.consensus && machine.consensus->leads(now);
+        const bool leads = machine.consensus && machine.consensus->has_lease(now);
         if (machine.incarnation != incarnation || !coordinator || !leads) return;
         std::vector<ProxyMessage> messages;
         if (result == StartResult::begun) coordinator->slot_table.began(now, runner, messages);
--- a/tests/system/simulation/core_machines.cpp
+++ b/tests/system/simulation/core_machines.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "consensus/faulty_rules.hpp"
+
 namespace gannethold::cluster::simulation {
 namespace {
 
@@ -14,18 +16,22 @@
 constexpr double kWriteReachesDisk = 0.5;  // of a machine that crashes in it
 
 // Those faults that only the code under test itself can have.
-cluster::PlantedFault fault_of_consensus(PlantedFault fault) {
+const ConsensusRules& rules_with_fault(PlantedFault fault) {
+    static const tests::IncomingMajorityOnly kIncomingMajorityOnly;
+    static const tests::LearnersVoteAtOnce kLearnersVoteAtOnce;
+    static const tests::NoJointConsensus kNoJointConsensus;
+    static const tests::ResendsWholeEntry kResendsWholeEntry;
     switch (fault) {
         case PlantedFault::quorum_of_new_voters:
-            return cluster::PlantedFault::count_new_voters_only;
+            return kIncomingMajorityOnly;
         case PlantedFault::learner_votes_at_once:
-            return cluster::PlantedFault::learner_votes_at_once;
+            return kLearnersVoteAtOnce;
         case PlantedFault::change_without_joint_step:
-            return cluster::PlantedFault::change_without_joint_step;
+            return kNoJointConsensus;
         case PlantedFault::resend_full_entry:
-            return cluster::PlantedFault::resend_whole_entry;
+            return kResendsWholeEntry;
         default:
-            return cluster::PlantedFault::none;
+            return ConsensusRules::standard();
     }
 }
 
@@ -91,10 +97,9 @@
         opening.disk.entry.position = {0, 1};
         opening.disk.entry.members = seeds_;
     }
-    options.planted_fault = fault_of_consensus(environment_.shape.fault);
-    Output out;
-    opening.consensus.emplace(std::move(options), opening.disk, environment_.now(), out);
-    handle_output(core, out);
+    options.rules = &rules_with_fault(environment_.shape.fault);
+    opening.consensus.emplace(std::move(options), opening.disk, environment_.now());
+    handle_output(core, opening.consensus->start());
 }
 
 void CoreMachines::kill(std::size_t core, bool lose_disk) {
@@ -125,7 +130,7 @@
 
 void CoreMachines::end_if_allowed(std::size_t core) {
     CoreMachine& ending = machine(core);
-    const bool may_end = ending.consensus && ending.consensus->may_end();
+    const bool may_end = ending.consensus && ending.consensus->may_stop();
     if (!may_end && environment_.now() < ending.shutdown_deadline) return;
     if (!may_end) ++overdue_shutdowns_;
     ending.shutdown_deadline = 0;
@@ -153,15 +158,12 @@
 void CoreMachines::leave(std::size_t core) {
     CoreMachine& leaving = machine(core);
     if (!leaving.up || !leaving.consensus) return;
-    Output out;
-    leaving.consensus->leave(environment_.now(), out);
-    handle_output(core, out);
+    handle_output(core, leaving.consensus->begin_leaving(environment_.now()));
 }
 
 void CoreMachines::propose(std::size_t core, Number ticket, Number version, std::string body) {
-    Output out;
-    machine(core).consensus->propose(environment_.now(), ticket, version, std::move(body), out);
-    handle_output(core, out);
+    Consensus& consensus = *machine(core).consensus;
+    handle_output(core, consensus.propose(environment_.now(), {ticket, version, std::move(body)}));
 }
 
 void CoreMachines::tick(std::size_t core) {
@@ -174,16 +176,12 @@
         next = ticking.stalled_until;
     } else {
         if (!ticking.consensus && now >= ticking.reopen_at && ticking.disk_works) open(core);
-        if (ticking.up && ticking.consensus) {
-            Output out;
-            ticking.consensus->tick(now, out);
-            handle_output(core, out);
-        }
+        if (ticking.up && ticking.consensus) handle_output(core, ticking.consensus->on_timer(now));
         if (ticking.up && ticking.consensus) observer_.on_core_step(core);
         if (ticking.up && ticking.shutdown_deadline > 0) end_if_allowed(core);
         if (ticking.up) observer_.on_core_tick(core);
         if (ticking.up && ticking.consensus)
-            next = std::min(next, std::max(now + kMinTickInterval, ticking.consensus->next_tick()));
+            next = std::min(next, std::max(now + kMinTickInterval, ticking.consensus->next_timer()));
     }
     if (!ticking.up || ticking.incarnation != incarnation) return;
     environment_.events.at(next, [this, core, incarnation] {
@@ -191,11 +189,11 @@
     });
 }
 
-void CoreMachines::handle_output(std::size_t core, Output& out) {
+void CoreMachines::handle_output(std::size_t core, const ConsensusOutput& out) {
     environment_.recorder.add_consensus_output(core, at(core).consensus->persistent_state(), out);
-    const bool sends_first = out.write && environment_.has_fault(PlantedFault::send_before_sync);
+    const bool sends_first = out.must_persist && environment_.has_fault(PlantedFault::send_before_sync);
     if (sends_first) send(core, out);
-    if (out.write && !write_disk(core)) return;
+    if (out.must_persist && !write_disk(core)) return;
     if (!sends_first) send(core, out);
     observer_.on_core_step(core);
 }
@@ -218,8 +216,8 @@
     return false;
 }
 
-void CoreMachines::send(std::size_t core, const Output& out) {
-    for (const Output::Envelope& envelope : out.sends)
+void CoreMachines::send(std::size_t core, const ConsensusOutput& out) {
+    for (const ConsensusOutput::Envelope& envelope : out.messages)
         for (std::size_t to = 0; to < size(); ++to) {
             if (at(to).address != envelope.to) continue;
             network_.send(core, to, envelope.message,
@@ -227,7 +225,7 @@
                               receive(core, to, message, incarnation);
                           });
         }
-    for (const Output::ProposalResult& result : out.results) observer_.on_proposal_result(core, result);
+    for (const ProposalResult& result : out.proposal_results) observer_.on_proposal_result(core, result);
 }
 
 void CoreMachines::receive(std::size_t from, std::size_t to, const Message& message, Number incarnation) {
@@ -239,9 +237,7 @@
         });
         return;
     }
-    Output out;
-    receiver.consensus->receive(environment_.now(), at(from).address, message, out);
-    handle_output(to, out);
+    handle_output(to, receiver.consensus->on_message(environment_.now(), at(from).address, message));
 }
 
 }  // namespace gannethold::cluster::simulation
--- a/tests/system/simulation/core_machines.hpp
+++ b/tests/system/simulation/core_machines.hpp
@@ -38,7 +38,7 @@
     CoreObserver& operator=(const CoreObserver&) = delete;
     virtual ~CoreObserver() = default;
 
-    virtual void on_proposal_result(std::size_t core, const Output::ProposalResult& result) = 0;
+    virtual void on_proposal_result(std::size_t core, const ProposalResult& result) = 0;
     /// The state machine took a step; its role or its committed entry may be another now.
     virtual void on_core_step(std::size_t core) = 0;
     /// Regularly, while the process runs and isn't stalled.
@@ -107,10 +107,10 @@
     void tick(std::size_t core);
     void end_if_allowed(std::size_t core);
     void close_consensus(std::size_t core);
-    void handle_output(std::size_t core, Output& out);
+    void handle_output(std::size_t core, const ConsensusOutput& out);
     /// False: the machine crashed or its disk failed, and nothing more may leave it.
     bool write_disk(std::size_t core);
-    void send(std::size_t core, const Output& out);
+    void send(std::size_t core, const ConsensusOutput& out);
     void receive(std::size_t from, std::size_t to, const Message& message, Number incarnation);
 
     Environment& environment_;
--- a/tests/system/simulation/core_machines_state.cpp
+++ b/tests/system/simulation/core_machines_state.cpp
@@ -12,11 +12,11 @@
 }
 
 bool CoreMachines::is_leading(std::size_t core) const {
-    return is_responsive(core) && at(core).consensus->leads(environment_.now());
+    return is_responsive(core) && at(core).consensus->has_lease(environment_.now());
 }
 
 bool CoreMachines::is_recovering(std::size_t core) const {
-    return !at(core).consensus || at(core).consensus->recovering();
+    return !at(core).consensus || at(core).consensus->is_recovering();
 }
 
 std::optional<std::size_t> CoreMachines::leader() const {
@@ -34,13 +34,13 @@
 
 Number CoreMachines::committed_version() const {
     const std::optional<std::size_t> leading = leader();
-    const LogEntry* const entry = leading ? at(*leading).consensus->committed() : nullptr;
+    const LogEntry* const entry = leading ? at(*leading).consensus->committed_entry() : nullptr;
     return entry ? entry->version : 0;
 }
 
 std::size_t CoreMachines::voter_count() const {
     const std::optional<std::size_t> leading = leader();
-    return leading ? at(*leading).consensus->members().size() : 0;
+    return leading ? at(*leading).consensus->voters().size() : 0;
 }
 
 std::size_t CoreMachines::learner_count() const {
@@ -51,7 +51,7 @@
 bool CoreMachines::has_only_live_voters() const {
     const std::optional<std::size_t> leading = leader();
     if (!leading) return false;
-    const auto& voters = at(*leading).consensus->members();
+    const auto& voters = at(*leading).consensus->voters();
     return std::all_of(voters.begin(), voters.end(), [&](const std::string& voter) {
         return std::any_of(machines_.begin(), machines_.end(), [&](const auto& candidate) {
             return candidate->address == voter && !candidate->retired;
@@ -62,7 +62,7 @@
 Number CoreMachines::term() const {
     Number highest = 0;
     for (const auto& each : machines_)
-        if (each->consensus) highest = std::max(highest, each->consensus->term());
+        if (each->consensus) highest = std::max(highest, each->consensus->current_term());
     return highest;
 }
 
--- a/tests/system/simulation/invariant_checker.cpp
+++ b/tests/system/simulation/invariant_checker.cpp
@@ -28,7 +28,7 @@
 
 void InvariantChecker::check_committed(std::size_t core) {
     const auto& consensus = cores_.at(core).consensus;
-    const LogEntry* const entry = consensus ? consensus->committed() : nullptr;
+    const LogEntry* const entry = consensus ? consensus->committed_entry() : nullptr;
     if (!entry || entry->version == 0 || entry->position == newest_checked_[core]) return;
     newest_checked_[core] = entry->position;
     const Proposal::BodyHash body = hash_of(entry->body);
@@ -38,7 +38,7 @@
 
 void InvariantChecker::check_leader(std::size_t core) {
     if (!cores_.is_leading(core)) return;
-    const Number term = cores_.at(core).consensus->term();
+    const Number term = cores_.at(core).consensus->current_term();
     const auto [known, is_new] = leader_of_term_.emplace(term, core);
     if (!is_new && known->second != core) report("two leaders in term " + std::to_string(term));
     if (cores_.leader_count() > 1) report("two act as leader at once: " + cores_.describe());
@@ -63,7 +63,7 @@
     check_contact(proposal.core, proposal.sent_at, "acknowledged " + name);
     // What is acknowledged is committed under its version, or a higher version is.
     const auto& consensus = cores_.at(proposal.core).consensus;
-    const LogEntry* const entry = consensus ? consensus->committed() : nullptr;
+    const LogEntry* const entry = consensus ? consensus->committed_entry() : nullptr;
     if (!entry || entry->version < proposal.version) {
         report("acknowledged " + name + " is not committed");
         return;
@@ -83,7 +83,7 @@
 }
 
 void InvariantChecker::check_disks(const LogEntry& entry) {
-    const bool synced = has_quorum(entry, [&](const std::string& voter) {
+    const bool synced = has_quorum(entry.members, entry.outgoing_members, [&](const std::string& voter) {
         for (std::size_t core = 0; core < cores_.size(); ++core)
             if (cores_.at(core).address == voter && cores_.at(core).newest_synced >= entry.position)
                 return true;
--- a/tests/system/simulation/operators.cpp
+++ b/tests/system/simulation/operators.cpp
@@ -22,7 +22,7 @@
     std::string body = configuration_.body(version, mark);
     const Proposal proposal{version, *server, hash_of(body), environment_.now()};
     checker_.on_proposed(proposal);
-    const LogEntry* const committed = cores_.at(*server).consensus->committed();
+    const LogEntry* const committed = cores_.at(*server).consensus->committed_entry();
     if (environment_.has_fault(PlantedFault::unchecked_body) && committed && version <= committed->version) {
         acknowledge(proposal);
         return;
@@ -31,7 +31,7 @@
     cores_.propose(*server, ticket, version, std::move(body));
 }
 
-void Operators::on_proposal_result(std::size_t core, const Output::ProposalResult& result) {
+void Operators::on_proposal_result(std::size_t core, const ProposalResult& result) {
     const auto ticket = pending_.find(result.ticket);
     if (ticket == pending_.end()) return;
     Proposal proposal = ticket->second;
@@ -52,7 +52,7 @@
 const LogEntry* Operators::readable_entry(std::size_t core, bool without_lease) const {
     if (!cores_.is_responsive(core)) return nullptr;
     if (!without_lease && !cores_.is_leading(core)) return nullptr;
-    return cores_.at(core).consensus->committed();
+    return cores_.at(core).consensus->committed_entry();
 }
 
 void Operators::read(std::size_t core) {
--- a/tests/system/simulation/operators.hpp
+++ b/tests/system/simulation/operators.hpp
@@ -33,7 +33,7 @@
     void read(std::size_t core);
     /// A proxy without a configuration registers at that core.
     void register_proxy(std::size_t core);
-    void on_proposal_result(std::size_t core, const Output::ProposalResult& result);
+    void on_proposal_result(std::size_t core, const ProposalResult& result);
     const Counts& counts() const { return counts_; }
 
   private:
--- a/tests/system/simulation/output_recorder.cpp
+++ b/tests/system/simulation/output_recorder.cpp
@@ -10,14 +10,14 @@
 }
 
 void OutputRecorder::add_consensus_output(std::uint64_t core, const PersistentState& state,
-                                          const Output& out) {
+                                          const ConsensusOutput& out) {
     if (!enabled_) return;
-    if (out.write) add(core, encode_promise(state.promise), encode_entry(state.entry));
-    for (const Output::Envelope& envelope : out.sends) {
+    if (out.must_persist) add(core, encode_promise(state.promise), encode_entry(state.entry));
+    for (const ConsensusOutput::Envelope& envelope : out.messages) {
         add(envelope.to);
         add_message(core, 0, envelope.message);
     }
-    for (const Output::ProposalResult& result : out.results)
+    for (const ProposalResult& result : out.proposal_results)
         add(core, result.ticket, static_cast<std::uint64_t>(result.outcome));
 }
 
--- a/tests/system/simulation/output_recorder.hpp
+++ b/tests/system/simulation/output_recorder.hpp
@@ -28,7 +28,7 @@
     }
     void add_message(std::uint64_t from, std::uint64_t to, const Message& message);
     /// `state` is what a write of this output puts on the core's disk.
-    void add_consensus_output(std::uint64_t core, const PersistentState& state, const Output& out);
+    void add_consensus_output(std::uint64_t core, const PersistentState& state, const ConsensusOutput& out);
     void add_actions(std::uint64_t proxy, const Actions& actions);
 
   private:
--- a/tests/system/simulation/proxy_sessions.cpp
+++ b/tests/system/simulation/proxy_sessions.cpp
@@ -57,9 +57,9 @@
 }
 
 void Proxies::configure_from(const CoreMachine& core, Proxy& proxy) {
-    const LogEntry* const entry = core.consensus ? core.consensus->committed() : nullptr;
+    const LogEntry* const entry = core.consensus ? core.consensus->committed_entry() : nullptr;
     if (!entry || entry->version <= proxy.handler->version()) return;
-    const bool may_answer = core.consensus->leads(environment_.now()) ||
+    const bool may_answer = core.consensus->has_lease(environment_.now()) ||
                             environment_.has_fault(PlantedFault::configure_without_lease);
     if (!may_answer) return;
     leaf::try_handle_all(
--- a/tests/system/simulation/simulated_cluster.cpp
+++ b/tests/system/simulation/simulated_cluster.cpp
@@ -17,7 +17,7 @@
     proxies_.start_all();
 }
 
-void SimulatedCluster::on_proposal_result(std::size_t core, const Output::ProposalResult& result) {
+void SimulatedCluster::on_proposal_result(std::size_t core, const ProposalResult& result) {
     operators_.on_proposal_result(core, result);
 }
 
--- a/tests/system/simulation/simulated_cluster.hpp
+++ b/tests/system/simulation/simulated_cluster.hpp
@@ -42,7 +42,7 @@
     Proxies& proxies() { return proxies_; }
 
   private:
-    void on_proposal_result(std::size_t core, const Output::ProposalResult& result) override;
+    void on_proposal_result(std::size_t core, const ProposalResult& result) override;
     void on_core_step(std::size_t core) override;
     void on_core_tick(std::size_t core) override;
     void on_core_closed(std::size_t core) override;
