--- a/rehearsal/scale/hollow_proxy.cpp
+++ b/rehearsal/scale/hollow_proxy.cpp
@@ -56,8 +56,9 @@
 void HollowProxy::keep_line(Micros now) {
     if (!line_) return;
     const Micros limit = registered_ ? kSilenceLimit : kAnswerLimit;
-    if (now > std::max(line_->heard(), dialed_at_) + limit) return drop();
-    if (registered_ && now >= std::max(line_->heard(), said_at_) + kHeartbeatEach) say(cluster::Heartbeat{});
+    if (now > std::max(line_->last_received_at(), dialed_at_) + limit) return drop();
+    if (registered_ && now >= std::max(line_->last_received_at(), said_at_) + kHeartbeatEach)
+        say(cluster::Heartbeat{});
 }
 
 void HollowProxy::dial(Micros now) {
@@ -66,13 +67,13 @@
     dialed_at_ = now;
     ground_.dials.fetch_add(1, std::memory_order_relaxed);
     MessageConnection::Events events;
-    events.up = [this] { say(registration()); };
-    events.message_received = [this](const cluster::ReceivedMessage& received) {
+    events.on_connected = [this] { say(registration()); };
+    events.on_message = [this](const cluster::ReceivedMessage& received) {
         if (cut_) return;
         ground_.received.add(received.message.index(), line_->message_bytes());
         got(received.message);
     };
-    events.ended = [this] { drop(); };
+    events.on_disconnected = [this] { drop(); };
     line_ = std::make_unique<MessageConnection>(ground_.loop,
                                                 *net::Address::read(ground_.addresses.internal(core_)),
                                                 kConnectLimit, std::move(events));
@@ -99,7 +100,7 @@
 }
 
 void HollowProxy::say(const cluster::Message& message) {
-    if (!line_ || !line_->open()) return;
+    if (!line_ || !line_->is_open()) return;
     said_at_ = net::Loop::now();
     const std::size_t bytes = line_->send(message);
     if (bytes > 0) ground_.sent.add(message.index(), bytes);
--- a/rehearsal/scale/operator.cpp
+++ b/rehearsal/scale/operator.cpp
@@ -3,8 +3,9 @@
 namespace gannethold::scale {
 namespace {
 
-using cluster::CallEnd;
-using cluster::HttpCaller;
+using cluster::CallId;
+using cluster::CallResult;
+using cluster::HttpClient;
 using cluster::HttpMessage;
 
 constexpr Micros kMilli = 1000, kSecond = 1'000'000;
@@ -15,7 +16,13 @@
 constexpr int kOk = 200, kElsewhere = 307, kUnavailable = 503;
 constexpr std::string_view kScheme = "http://";
 
-HttpCaller::Options caller_options() { return {kSecond, 4 * kSecond, 8, kMostAnswer, "X-Attempt-Id"}; }
+HttpClient::Options client_options() {
+    return {.connect_timeout = kSecond,
+            .idle_timeout = 4 * kSecond,
+            .max_idle_connections = 8,
+            .max_response_bytes = kMostAnswer,
+            .id_field = "X-Attempt-Id"};
+}
 
 }  // namespace
 
@@ -23,11 +30,9 @@
     : options_(options),
       addresses_(addresses),
       popularity_(options.functions, options.skew),
-      caller_(loop, caller_options(),
-              {[this](HttpCaller::Call call, CallEnd how, HttpMessage&& answer, bool) {
-                   ended(call, how, answer);
-               },
-               [](const std::string&) {}, [](const std::string&) {}}) {}
+      client_(loop, client_options(), {.on_call_completed = [this](cluster::CompletedCall&& completed) {
+                  on_call_completed(completed);
+              }}) {}
 
 void Operator::change(Micros now) {
     const auto version = static_cast<unsigned>(changes_.size()) + 1;
@@ -46,13 +51,13 @@
     put_call_ = ++last_call_;
     put_at_ = 0;
     put_until_ = now + kPutLimit;
-    caller_.call(put_call_, put_to_, message);
+    client_.call(CallId{put_call_}, put_to_, message);
 }
 
-void Operator::put_ended(CallEnd how, const HttpMessage& answer) {
+void Operator::put_ended(CallResult how, const HttpMessage& answer) {
     const Micros now = net::Loop::now();
     put_call_ = 0;
-    last_status_ = how == CallEnd::answered ? answer.status : 0;
+    last_status_ = how == CallResult::completed ? answer.status : 0;
     if (last_status_ == kOk) {
         changes_.back().acknowledged = now;
         return;
@@ -72,24 +77,26 @@
     HttpMessage message;
     message.method = "GET";
     message.target = "/" + function_name(popularity_.draw(random_)) + "/x";
-    const HttpCaller::Call call = ++last_call_;
+    const std::uint64_t call = ++last_call_;
     message.fields = {{"Host", "scale.example"},
                       {"X-Attempt-Id", "scale-" + std::to_string(call)},
                       {"X-Deadline-Remaining", "4000"}};
     requests_[call] = now;
-    caller_.call(call, addresses_.frontend(proxy), message);
+    client_.call(CallId{call}, addresses_.frontend(proxy), message);
 }
 
-void Operator::ended(HttpCaller::Call call, CallEnd how, const HttpMessage& answer) {
-    if (call == put_call_) return put_ended(how, answer);
+void Operator::on_call_completed(const cluster::CompletedCall& completed) {
+    const auto call = static_cast<std::uint64_t>(completed.id);
+    if (call == put_call_) return put_ended(completed.result, completed.response);
     const auto at = requests_.find(call);
     if (at == requests_.end()) return;
     const double took_ms = static_cast<double>(net::Loop::now() - at->second) / kMilli;
     requests_.erase(at);
-    if (how == CallEnd::answered && answer.status == kOk) {
+    const int status = completed.result == CallResult::completed ? completed.response.status : 0;
+    if (status == kOk) {
         ++answers_.ok;
         answers_.took_ms.push_back(took_ms);
-    } else if (how == CallEnd::answered && answer.status == kUnavailable) {
+    } else if (status == kUnavailable) {
         ++answers_.refused;
     } else {
         ++answers_.failed;
@@ -98,8 +105,8 @@
 
 void Operator::tick(Micros now) {
     if (put_call_ > 0 && now >= put_until_) {
-        caller_.abandon(put_call_);
-        put_ended(CallEnd::broken, {});
+        client_.cancel(CallId{put_call_});
+        put_ended(CallResult::connection_lost, {});
     }
     if (put_at_ > 0 && now >= put_at_) put(now);
     if (request_at_ > 0 && options_.real_proxies > 0 && options_.real_calls > 0)
@@ -107,7 +114,7 @@
             request(now);
     if (now < sweep_at_) return;
     sweep_at_ = now + kSweepEach;
-    caller_.sweep(now);
+    client_.close_expired(now);
 }
 
 }  // namespace gannethold::scale
--- a/rehearsal/scale/operator.hpp
+++ b/rehearsal/scale/operator.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 #include "net/loop.hpp"
 #include "scale/addresses.hpp"
 #include "scale/options.hpp"
@@ -46,20 +46,21 @@
   private:
     void put(Micros now);
     void request(Micros now);
-    void ended(cluster::HttpCaller::Call call, cluster::CallEnd how, const cluster::HttpMessage& answer);
-    void put_ended(cluster::CallEnd how, const cluster::HttpMessage& answer);
+    void on_call_completed(const cluster::CompletedCall& completed);
+    void put_ended(cluster::CallResult how, const cluster::HttpMessage& answer);
 
     const Options& options_;
     const Addresses& addresses_;
     Popularity popularity_;
     std::mt19937_64 random_{11};
-    cluster::HttpCaller caller_;
-    cluster::HttpCaller::Call last_call_ = 0, put_call_ = 0;
+    cluster::HttpClient client_;
+    std::uint64_t last_call_ = 0;
+    std::uint64_t put_call_ = 0;
     std::vector<Change> changes_;
     std::string body_, put_to_;
     int next_controller_ = 0, last_status_ = 0;
     Micros put_at_ = 0, put_until_ = 0, request_at_ = 0, sweep_at_ = 0;
-    std::map<cluster::HttpCaller::Call, Micros> requests_;
+    std::map<std::uint64_t, Micros> requests_;
     Answers answers_;
 };
 
--- a/rehearsal/scale/platform_stand_in.cpp
+++ b/rehearsal/scale/platform_stand_in.cpp
@@ -49,8 +49,8 @@
 }
 
 void PlatformStandIn::sweep(Micros now) {
-    platform_.sweep(now);
-    calls_.sweep(now);
+    platform_.close_expired(now);
+    calls_.close_expired(now);
     for (const Exchange exchange : done_) working_.erase(exchange);
     done_.clear();
 }
@@ -60,7 +60,7 @@
     message.status = status;
     message.fields.emplace_back("Content-Type", "application/json");
     message.body = std::move(body);
-    platform_.answer(exchange, message);
+    platform_.respond(exchange, message);
 }
 
 void PlatformStandIn::platform(Exchange exchange, const HttpMessage& request) {
@@ -147,7 +147,7 @@
     done.fields.emplace_back("X-Runner-Seal", "seal." + std::string(request.field("X-Expected-Runner")));
     done.body = "done";
     auto timer = std::make_unique<net::Timer>(loop_, [this, exchange, done] {
-        calls_.answer(exchange, done);
+        calls_.respond(exchange, done);
         done_.push_back(exchange);
     });
     timer->set(net::Loop::now() + options_.work_ms * kMilli);
--- a/rehearsal/scale/platform_stand_in.hpp
+++ b/rehearsal/scale/platform_stand_in.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "net/loop.hpp"
 #include "scale/addresses.hpp"
 #include "scale/options.hpp"
@@ -27,7 +27,7 @@
     int refused_fences() const { return refused_fences_; }
 
   private:
-    using Exchange = cluster::HttpService::Exchange;
+    using Exchange = cluster::ExchangeId;
     struct Instance {
         int function = 0, worker = 0;
         Micros listed_at = 0;
@@ -46,7 +46,7 @@
     net::Loop& loop_;
     const Options& options_;
     const std::string address_;
-    cluster::HttpService platform_, calls_;
+    cluster::HttpServer platform_, calls_;
     std::map<int, Instance> instances_;  // by number
     std::unordered_map<std::string, int> nonces_;
     std::map<Exchange, std::unique_ptr<net::Timer>> working_;
--- a/rehearsal/system/try_system.cpp
+++ b/rehearsal/system/try_system.cpp
@@ -21,8 +21,8 @@
 
 #include "json/json.hpp"
 #include "net/loop.hpp"
-#include "cluster/transport/http_caller.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_client.hpp"
+#include "cluster/transport/http_server.hpp"
 
 ABSL_FLAG(int, seconds, 60, "seconds of load");
 ABSL_FLAG(double, rate, 60,
@@ -57,9 +57,13 @@
           folder_(absl::GetFlag(FLAGS_folder)),
           platform_(loop, *net::Address::read("127.0.3.1:18300"),
                     {[this](auto e, HttpMessage&& m) { platform(e, m); }, [](auto) {}}, 256),
-          caller_(loop, {1'000'000, 4'000'000, 8, 1 << 20, "X-Attempt-Id"},
-                  {[this](auto id, auto how, HttpMessage&& m, bool) { ended(id, how, m); },
-                   [](const auto&) {}, [](const auto&) {}}),
+          caller_(loop,
+                  {.connect_timeout = 1'000'000,
+                   .idle_timeout = 4'000'000,
+                   .max_idle_connections = 8,
+                   .max_response_bytes = 1 << 20,
+                   .id_field = "X-Attempt-Id"},
+                  {.on_call_completed = [this](cluster::CompletedCall&& call) { on_call_completed(call); }}),
           timer_(loop, [this] { due(); }) {
         if (folder_.empty()) {
             char name[] = "/tmp/gannethold-try-XXXXXX";
@@ -105,8 +109,8 @@
         const FunctionMade* made = nullptr;
         Micros ready_at = 0, listed_at = 0;
         int busy = 0;
-        std::unique_ptr<cluster::HttpService> service_at;
-        std::map<cluster::HttpService::Exchange, std::unique_ptr<net::Timer>> work;
+        std::unique_ptr<cluster::HttpServer> service_at;
+        std::map<cluster::ExchangeId, std::unique_ptr<net::Timer>> work;
     };
     struct Try {
         Micros sent = 0;
@@ -153,7 +157,7 @@
 
     // ---- the platform ----
 
-    void answer(cluster::HttpService& at, cluster::HttpService::Exchange e, int status, std::string body) {
+    void answer(cluster::HttpServer& at, cluster::ExchangeId e, int status, std::string body) {
         HttpMessage m;
         m.status = status;
         m.fields.emplace_back("Content-Type", "application/json");
@@ -161,7 +165,7 @@
         at.answer(e, m);
     }
 
-    void platform(cluster::HttpService::Exchange e, const HttpMessage& m) {
+    void platform(cluster::ExchangeId e, const HttpMessage& m) {
         const Micros now = net::Loop::now();
         if (m.target.starts_with("/runners")) {
             std::string body = "{\"instances\":[";
@@ -220,18 +224,18 @@
         answer_begun(e, made);
     }
 
-    void answer_begun(cluster::HttpService::Exchange e, const Runner& r) {
+    void answer_begun(cluster::ExchangeId e, const Runner& r) {
         answer(platform_, e, 200, "{\"runner_id\":\"" + r.id + "\",\"address\":\"" + r.address + "\"}");
     }
 
-    void work(Runner& r, cluster::HttpService::Exchange e, const HttpMessage& m) {
+    void work(Runner& r, cluster::ExchangeId e, const HttpMessage& m) {
         HttpMessage a;
         a.fields.emplace_back("X-Attempt-Id", std::string(m.field("X-Attempt-Id")));
         if (m.field("X-Expected-Runner") != r.id || r.busy >= r.made->slots) {
             a.status = r.busy >= r.made->slots ? 503 : 421;
             turned_away_ += a.status == 503;
             a.fields.emplace_back("X-Request-Not-Run", "1");
-            return r.service_at->answer(e, a);
+            return r.service_at->respond(e, a);
         }
         ++r.busy;
         ++runs_[std::string(m.field("X-Attempt-Id"))];
@@ -240,7 +244,7 @@
         a.body = "picture";
         auto timer = std::make_unique<net::Timer>(loop_, [this, &r, e, a] {
             --r.busy;
-            if (r.service_at) r.service_at->answer(e, a);
+            if (r.service_at) r.service_at->respond(e, a);
             (void)this;
         });
         timer->set(net::Loop::now() +
@@ -269,7 +273,8 @@
         m.method = "PUT", m.target = "/v1/configuration";
         m.fields.emplace_back("Host", "core");
         m.body = body + services + "]}";
-        caller_.call(++call_, "127.0.1.1" + std::to_string(put_at_++ % kCores) + ":18263", m);
+        caller_.call(cluster::CallId{++call_}, "127.0.1.1" + std::to_string(put_at_++ % kCores) + ":18263",
+                     m);
         put_call_ = call_;
     }
 
@@ -288,19 +293,21 @@
                     {"X-Deadline-Remaining", "4000"}};
         tries_[call_] = {net::Loop::now(), f};
         ++asked_;
-        caller_.call(call_, "127.0.2.1" + std::to_string(call_ % kFronts) + ":18269", m);
+        caller_.call(cluster::CallId{call_}, "127.0.2.1" + std::to_string(call_ % kFronts) + ":18269", m);
     }
 
-    void ended(cluster::HttpCaller::Call id, cluster::CallEnd how, const HttpMessage& m) {
+    void on_call_completed(const cluster::CompletedCall& call) {
+        const auto id = static_cast<std::uint64_t>(call.id);
+        const HttpMessage& m = call.response;
         if (id == put_call_) {
-            if (how == cluster::CallEnd::answered && m.status == 200) put_done_ = true;
+            if (call.result == cluster::CallResult::completed && m.status == 200) put_done_ = true;
             next_put_ = net::Loop::now() + 200'000;
             return;
         }
         const auto at = tries_.find(id);
         if (at == tries_.end()) return;
         const Micros took = net::Loop::now() - at->second.sent;
-        if (how != cluster::CallEnd::answered || (m.status != 200 && m.status != 503))
+        if (call.result != cluster::CallResult::completed || (m.status != 200 && m.status != 503))
             ++failed_;
         else if (m.status == 503)
             ++refused_;
@@ -317,9 +324,9 @@
         for (auto& [id, r] : runners_)
             if (!r->service_at && now >= r->ready_at) {
                 Runner* const runner = r.get();
-                r->service_at = std::make_unique<cluster::HttpService>(
+                r->service_at = std::make_unique<cluster::HttpServer>(
                     loop_, *net::Address::read(r->address),
-                    cluster::HttpService::Events{
+                    cluster::HttpServer::Events{
                         [this, runner](auto e, HttpMessage&& m) { work(*runner, e, m); }, [](auto) {}},
                     256);
             }
@@ -351,9 +358,9 @@
         }
         if (now >= next_sweep_) {
             next_sweep_ = now + 500'000;
-            platform_.sweep(now), caller_.sweep(now);
+            platform_.close_expired(now), caller_.close_expired(now);
             for (auto& [id, r] : runners_)
-                if (r->service_at) r->service_at->sweep(now);
+                if (r->service_at) r->service_at->close_expired(now);
         }
         timer_.set(now + 5'000);
     }
@@ -385,18 +392,18 @@
     net::Loop& loop_;
     std::string folder_;
     bool remove_ = false;
-    cluster::HttpService platform_;
-    cluster::HttpCaller caller_;
+    cluster::HttpServer platform_;
+    cluster::HttpClient caller_;
     net::Timer timer_;
     std::map<std::string, pid_t> processes_;
     std::map<std::string, std::unique_ptr<Runner>> runners_;
     std::vector<std::unique_ptr<Runner>> ended_;
     std::map<std::string, std::string> nonces_;
     std::map<std::string, int> runs_;
-    std::map<cluster::HttpCaller::Call, Try> tries_;
+    std::map<std::uint64_t, Try> tries_;
     std::vector<std::pair<int, int>> seconds_;
     std::mt19937 random_{7};
-    cluster::HttpCaller::Call call_ = 0, put_call_ = 0;
+    std::uint64_t call_ = 0, put_call_ = 0;
     std::uint64_t fence_ = 0;
     std::size_t asked_ = 0, asked_before_ = 0;
     int made_ = 0, starts_ = 0, stops_ = 0, turned_away_ = 0, in_aim_ = 0, late_ = 0, refused_ = 0,
--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/admin.cpp
@@ -15,22 +15,22 @@
 ExplainResource::ExplainResource(net::Loop& loop, Tell tell) : tell_(std::move(tell)) {
     const std::string at = absl::GetFlag(FLAGS_admin);
     if (at.empty()) return;
-    service_ = std::make_unique<HttpService>(
+    service_ = std::make_unique<HttpServer>(
         loop, address_or_end(at, "--admin"),
-        HttpService::Events{[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, m); },
-                            [](HttpService::Exchange) {}},
+        HttpServer::Events{
+            .on_request = [this](ExchangeId exchange, HttpMessage&& request) { asked(exchange, request); }},
         16);
 }
 
-void ExplainResource::asked(HttpService::Exchange exchange, const HttpMessage& request) {
+void ExplainResource::asked(ExchangeId exchange, const HttpMessage& request) {
     if (request.method != "GET" || request.target.substr(0, request.target.find('?')) != "/explain")
-        return service_->answer(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
+        return service_->respond(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
     const auto at = request.target.find("what=");
     HttpMessage answer;
     answer.status = 200;
     answer.fields.emplace_back("Content-Type", "application/json");
     answer.body = json::write(tell_(at == std::string::npos ? std::string() : request.target.substr(at + 5)));
-    service_->answer(exchange, answer);
+    service_->respond(exchange, answer);
 }
 
 json::Value told(double number) {
--- a/src/cluster/programs/admin.hpp
+++ b/src/cluster/programs/admin.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "json/json.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 namespace gannethold::cluster {
 
@@ -17,14 +17,14 @@
     // Does nothing where the flag is empty.
     ExplainResource(net::Loop& loop, Tell tell);
     void sweep(Micros now) {
-        if (service_) service_->sweep(now);
+        if (service_) service_->close_expired(now);
     }
 
   private:
-    void asked(HttpService::Exchange exchange, const HttpMessage& request);
+    void asked(ExchangeId exchange, const HttpMessage& request);
 
     Tell tell_;
-    std::unique_ptr<HttpService> service_;
+    std::unique_ptr<HttpServer> service_;
 };
 
 // Short hands for what processes tell.
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -13,7 +13,7 @@
 #include "cluster/programs/coordinator.hpp"
 #include "cluster/programs/process.hpp"
 #include "cluster/store/store.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "cluster/transport/message_connection.hpp"
 
 namespace gannethold::cluster {
@@ -49,8 +49,9 @@
           settings_(std::move(settings)),
           watch_(loop, [this](const Settings& s) { restated(s); }),
           control_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
-                   {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
-                    [this](HttpService::Exchange e) { puts_.erase(e); }},
+                   {.on_request = [this](ExchangeId exchange,
+                                         HttpMessage&& request) { asked(exchange, std::move(request)); },
+                    .on_client_disconnected = [this](ExchangeId exchange) { puts_.erase(exchange); }},
                    512),
           listener_(
               loop,
@@ -63,7 +64,7 @@
           int_(loop, SIGINT, [this] { leave(); }) {
         Limits limits;
         limits.body_bytes = 16U << 20;
-        control_.limit(limits);
+        control_.set_limits(limits);
         open();
         due();
     }
@@ -142,16 +143,16 @@
         const auto at = std::find_if(puts_.begin(), puts_.end(),
                                      [&](const auto& put) { return put.second == result.ticket; });
         if (at == puts_.end()) return;
-        const HttpService::Exchange exchange = at->first;
+        const ExchangeId exchange = at->first;
         puts_.erase(at);
         switch (result.outcome) {
             case ProposalOutcome::committed:
                 return acknowledge(exchange);
             case ProposalOutcome::conflict:
-                return control_.answer(exchange, ErrorCode::version_conflict,
-                                       "another body was confirmed under it");
+                return control_.respond(exchange, ErrorCode::version_conflict,
+                                        "another body was confirmed under it");
             case ProposalOutcome::unknown:
-                return control_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
+                return control_.respond(exchange, ErrorCode::no_majority, {}, kRetryMs);
         }
     }
 
@@ -160,7 +161,7 @@
         consensus_.reset();
         reopen_at_ = net::Loop::now() + kReopen;
         for (const auto& [exchange, ticket] : std::exchange(puts_, {}))
-            control_.answer(exchange, ErrorCode::disk_failed, {}, 300);
+            control_.respond(exchange, ErrorCode::disk_failed, {}, 300);
     }
 
     // Whether this machine leads, and what is committed, may have changed.
@@ -177,7 +178,7 @@
             coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->term(),
                                                          [this](Session s, const Message& m) { tell(s, m); });
             for (auto& [key, inbound_peer] : inbound_peers_)
-                if (inbound_peer->front && inbound_peer->line->open())
+                if (inbound_peer->front && inbound_peer->line->is_open())
                     coordinator_->came(inbound_peer->session, inbound_peer->registration);
         }
         if (!coordinator_ || !leads) return;
@@ -228,7 +229,7 @@
             if (now < peer.dialed + kRedial) return;
             dial(to, peer);
         }
-        if (peer.line && peer.line->unsent() < kMostUnsentBytes)
+        if (peer.line && peer.line->unsent_bytes() < kMostUnsentBytes)
             peer.line->send(message, settings_.control_plane);
     }
 
@@ -237,8 +238,8 @@
         if (!address) return;
         peer.dialed = net::Loop::now();
         MessageConnection::Events events;
-        events.message_received = [](const ReceivedMessage&) {};
-        events.ended = [this, to] {
+        events.on_message = [](const ReceivedMessage&) {};
+        events.on_disconnected = [this, to] {
             Peer& p = peers_[to];
             if (p.line) old_lines_.push_back(std::move(p.line));
         };
@@ -249,10 +250,10 @@
         auto inbound_peer = std::make_unique<InboundPeer>();
         InboundPeer* const key = inbound_peer.get();
         MessageConnection::Events events;
-        events.message_received = [this, key](const ReceivedMessage& message_received) {
+        events.on_message = [this, key](const ReceivedMessage& message_received) {
             got(*key, message_received);
         };
-        events.ended = [this, key] { gone_.push_back(key); };
+        events.on_disconnected = [this, key] { gone_.push_back(key); };
         inbound_peer->line = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
         inbound_peer->session = ++last_session_;
         by_session_[inbound_peer->session] = key;
@@ -291,35 +292,35 @@
             return void();
         }
         const auto at = by_session_.find(session);
-        if (at != by_session_.end() && at->second->line->open()) at->second->line->send(message);
+        if (at != by_session_.end() && at->second->line->is_open()) at->second->line->send(message);
     }
 
     // ---- the operator ----
 
-    void asked(HttpService::Exchange exchange, HttpMessage&& m) {
+    void asked(ExchangeId exchange, HttpMessage&& m) {
         const std::string path = m.target.substr(0, m.target.find('?'));
-        if (path != "/v1/configuration") return control_.answer(exchange, ErrorCode::no_route, path);
+        if (path != "/v1/configuration") return control_.respond(exchange, ErrorCode::no_route, path);
         if (m.method != "PUT" && m.method != "GET")
-            return control_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
+            return control_.respond(exchange, ErrorCode::request_malformed, "PUT or GET");
         const Micros now = net::Loop::now();
         if (leaving_ || !consensus_ || !consensus_->leads(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
             if (leader.empty() || leader == settings_.control_plane)
-                return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
+                return control_.respond(exchange, ErrorCode::no_majority, {}, 200);
             HttpMessage answer;
             answer.status = error_response(ErrorCode::not_leading).status;
             answer.fields.emplace_back("Location", "http://" + leader + m.target);
-            return control_.answer(exchange, answer);
+            return control_.respond(exchange, answer);
         }
         if (m.method == "GET") {
             const LogEntry* const entry = consensus_->committed();
             if (!entry || entry->version == 0)
-                return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
+                return control_.respond(exchange, ErrorCode::no_majority, "no configuration yet", 200);
             HttpMessage answer;
             answer.status = 200;
             answer.fields.emplace_back("Content-Type", "application/json");
             answer.body = entry->body;
-            return control_.answer(exchange, answer);
+            return control_.respond(exchange, answer);
         }
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
@@ -338,17 +339,17 @@
                 Event("configuration_refused", Level::warning)
                     .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
-                control_.answer(exchange, kind, detail.text);
+                control_.respond(exchange, kind, detail.text);
             },
-            [&] { control_.answer(exchange, ErrorCode::configuration_cut); });
+            [&] { control_.respond(exchange, ErrorCode::configuration_cut); });
     }
 
-    void acknowledge(HttpService::Exchange exchange) {
+    void acknowledge(ExchangeId exchange) {
         HttpMessage answer;
         answer.status = 200;
         answer.fields.emplace_back("Content-Type", "application/json");
         answer.body = "{}";
-        control_.answer(exchange, answer);
+        control_.respond(exchange, answer);
     }
 
     json::Value explain(const std::string& what) const {
@@ -365,7 +366,7 @@
         all["fence"] = told(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
         all["version"] =
             told(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
-        all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed()));
+        all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed_connections()));
         json::List core;
         if (what.empty() || what == "core")
             for (const std::string& m : consensus_->members()) {
@@ -398,12 +399,12 @@
 
     void sweep(Micros now) {
         next_sweep_ = now + 500'000;
-        control_.sweep(now);
+        control_.close_expired(now);
         explain_.sweep(now);
         old_lines_.clear();
         closed_coordinators_.clear();
         for (auto& [key, inbound_peer] : inbound_peers_)
-            if (now > inbound_peer->line->heard() + kDeaf) {
+            if (now > inbound_peer->line->last_received_at() + kDeaf) {
                 inbound_peer->line->close();
                 gone_.push_back(key);
             }
@@ -452,8 +453,8 @@
             carry_out(out);
         }
         close_coordinator();
-        control_.say_goodbye();
-        control_.close_idle();
+        control_.disable_keep_alive();
+        control_.drain();
         leave_by_ = net::Loop::now() + settings_.grace_period / 2;
         leave_no_sooner_ = net::Loop::now() + kLeastLeaveTime;
         set_timer();
@@ -469,7 +470,7 @@
     net::Loop& loop_;
     Settings settings_;
     SettingsWatch watch_;
-    HttpService control_;
+    HttpServer control_;
     net::Listener listener_;
     Store store_;
     std::optional<Consensus> consensus_;
@@ -483,7 +484,7 @@
     std::map<InboundPeer*, std::unique_ptr<InboundPeer>> inbound_peers_;
     std::map<Session, InboundPeer*> by_session_;
     std::vector<InboundPeer*> gone_;
-    std::map<HttpService::Exchange, Number> puts_;
+    std::map<ExchangeId, Number> puts_;
     Number last_ticket_ = 0;
     Session last_session_ = 0;
     Micros reopen_at_ = 0, next_sweep_ = 0, next_look_ = 0;
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -50,10 +50,14 @@
       slot_table_(slot_table_options(settings)),
       planner_(planner_options(settings, term), net::Loop::now()),
       listing_({settings.list_rate_per_s, 400'000}, net::Loop::now()),
-      platform_(
-          loop, {600'000, 8'000'000, 4, 16U << 20, {}},
-          {[this](HttpCaller::Call id, CallEnd how, HttpMessage&& answer, bool) { ended(id, how, answer); },
-           [](const std::string&) {}, [](const std::string&) {}}) {
+      platform_(loop,
+                {.connect_timeout = 600'000,
+                 .idle_timeout = 8'000'000,
+                 .max_idle_connections = 4,
+                 .max_response_bytes = 16U << 20},
+                {.on_call_completed = [this](CompletedCall&& call) {
+                    on_call_completed(call.id, call.result, call.response);
+                }}) {
     Event("coordinator_opened").with("term", term);
     next_tick_ = net::Loop::now();
 }
@@ -164,19 +168,19 @@
 // --------------------------------------------------------------------------------------------
 
 void Coordinator::call(Call call, const HttpMessage& request, Micros limit) {
-    const HttpCaller::Call id = ++last_call_;
+    const CallId id{++last_call_};
     call.until = net::Loop::now() + limit;
     calls_[id] = std::move(call);
     platform_.call(id, settings_.platform, request);
 }
 
-void Coordinator::ended(HttpCaller::Call id, CallEnd how, const HttpMessage& answer) {
+void Coordinator::on_call_completed(CallId id, CallResult result, const HttpMessage& answer) {
     const auto at = calls_.find(id);
     if (at == calls_.end()) return;
     const Call call = std::move(at->second);
     calls_.erase(at);
     const Micros now = net::Loop::now();
-    const bool answered = how == CallEnd::answered;
+    const bool answered = result == CallResult::completed;
     std::vector<ProxyMessage> mail;
     switch (call.what) {
         case Call::What::list:
@@ -356,14 +360,14 @@
 void Coordinator::tick(Micros now) {
     if (now < next_tick_) return;
     next_tick_ = now + SlotTable::kSample;
-    std::vector<HttpCaller::Call> late;
+    std::vector<CallId> late;
     for (const auto& [id, call] : calls_)
         if (now >= call.until) late.push_back(id);
-    for (const HttpCaller::Call id : late) {
-        platform_.abandon(id);
-        ended(id, CallEnd::broken, {});
+    for (const CallId id : late) {
+        platform_.cancel(id);
+        on_call_completed(id, CallResult::connection_lost, {});
     }
-    platform_.sweep(now);
+    platform_.close_expired(now);
     std::string token;
     if (listing_.due(now, token)) {
         Call c;
--- a/src/cluster/programs/coordinator.hpp
+++ b/src/cluster/programs/coordinator.hpp
@@ -16,7 +16,7 @@
 #include "cluster/runners/listing.hpp"
 #include "cluster/runners/resources.hpp"
 #include "cluster/slots/slot_table.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 
 namespace gannethold::cluster {
 
@@ -54,7 +54,7 @@
     void post(std::vector<ProxyMessage>& mail);
     void plan(Micros now, Function* one = nullptr);
     void call(Call call, const HttpMessage& request, Micros limit);
-    void ended(HttpCaller::Call id, CallEnd how, const HttpMessage& answer);
+    void on_call_completed(CallId id, CallResult result, const HttpMessage& answer);
 
     const Settings& settings_;
     Number term_;
@@ -66,9 +66,9 @@
     WorkerListResource workers_;
     StartRunnerResource begin_;
     StopRunnerResource stop_;
-    HttpCaller platform_;
-    std::map<HttpCaller::Call, Call> calls_;
-    HttpCaller::Call last_call_ = 0;
+    HttpClient platform_;
+    std::map<CallId, Call> calls_;
+    std::uint64_t last_call_ = 0;
     std::map<Session, ProxySession> proxies_;
     std::map<Number, std::string> bodies_;  // lately committed ones, by version
     std::vector<std::string> members_;
--- a/src/cluster/programs/explain.cpp
+++ b/src/cluster/programs/explain.cpp
@@ -10,7 +10,7 @@
 
 #include "json/json.hpp"
 #include "net/loop.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 
 ABSL_FLAG(std::string, at, "127.0.0.1:9800", "ip:port that the process was given as --admin");
 ABSL_FLAG(bool, json, false, "print the JSON as it came");
@@ -80,16 +80,19 @@
     absl::ParseCommandLine(argc, argv);
     net::Loop loop(64);
     int code = 1;
-    cluster::HttpCaller caller(
-        loop, {1'000'000, 1'000'000, 1, 64U << 20, {}},
-        {[&](cluster::HttpCaller::Call, cluster::CallEnd how, cluster::HttpMessage&& answer, bool) {
-             if (how == cluster::CallEnd::answered && answer.status == 200)
-                 code = print(answer.body);
-             else
-                 std::fprintf(stderr, "no answer at %s\n", absl::GetFlag(FLAGS_at).c_str());
-             loop.stop();
-         },
-         [](const std::string&) {}, [](const std::string&) {}});
+    cluster::HttpClient client(
+        loop,
+        {.connect_timeout = 1'000'000,
+         .idle_timeout = 1'000'000,
+         .max_idle_connections = 1,
+         .max_response_bytes = 64U << 20},
+        {.on_call_completed = [&](cluster::CompletedCall&& call) {
+            if (call.result == cluster::CallResult::completed && call.response.status == 200)
+                code = print(call.response.body);
+            else
+                std::fprintf(stderr, "no answer at %s\n", absl::GetFlag(FLAGS_at).c_str());
+            loop.stop();
+        }});
     net::Timer limit(loop, [&] {
         std::fprintf(stderr, "no answer at %s in time\n", absl::GetFlag(FLAGS_at).c_str());
         loop.stop();
@@ -99,7 +102,7 @@
     request.method = "GET";
     request.target = "/explain?what=" + absl::GetFlag(FLAGS_what);
     request.fields.emplace_back("Host", "gannethold");
-    caller.call(1, absl::GetFlag(FLAGS_at), request);
+    client.call(cluster::CallId{1}, absl::GetFlag(FLAGS_at), request);
     loop.run([] {});
     return code;
 }
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -16,8 +16,8 @@
 #include "cluster/programs/admin.hpp"
 #include "cluster/programs/process.hpp"
 #include "cluster/programs/run_end.hpp"
-#include "cluster/transport/http_caller.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_client.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "cluster/transport/message_connection.hpp"
 
 namespace gannethold::cluster {
@@ -46,20 +46,22 @@
           settings_(std::move(settings)),
           watch_(loop, [this](const Settings& s) { settings_.seeds = s.seeds; }),
           handler_(handler_options(settings_)),
-          runners_(
-              loop, {500'000, 8'000'000, 6, 16U << 20, kAttemptIdField},
-              {[this](HttpCaller::Call id, CallEnd how, HttpMessage&& answer, bool fresh) {
-                   ended(id, how, std::move(answer), fresh);
-               },
-               [this](const std::string& a) { reached(a); }, [this](const std::string& a) { refused(a); }}),
+          runners_(loop,
+                   {.connect_timeout = 500'000,
+                    .idle_timeout = 8'000'000,
+                    .max_idle_connections = 6,
+                    .max_response_bytes = 16U << 20,
+                    .id_field = kAttemptIdField},
+                   {.on_call_completed = [this](CompletedCall&& call) { on_call_completed(std::move(call)); },
+                    .on_preconnected = [this](const std::string& address) { reached(address); },
+                    .on_preconnect_failed = [this](const std::string& address) { refused(address); }}),
           clients_(loop, address_or_end(settings_.frontend, "listen_addresses.frontend"),
-                   {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
-                    [this](HttpService::Exchange e) { left(e); }},
+                   {.on_request = [this](ExchangeId exchange,
+                                         HttpMessage&& request) { asked(exchange, std::move(request)); },
+                    .on_client_disconnected = [this](ExchangeId exchange) { left(exchange); }},
                    static_cast<std::size_t>(std::max<std::int64_t>(64, settings_.descriptors * 6 / 10))),
-          readiness_(
-              loop, address_or_end(settings_.readiness, "listen_addresses.readiness"),
-              {[this](HttpService::Exchange e, HttpMessage&&) { ready(e); }, [](HttpService::Exchange) {}},
-              64),
+          readiness_(loop, address_or_end(settings_.readiness, "listen_addresses.readiness"),
+                     {.on_request = [this](ExchangeId exchange, HttpMessage&&) { ready(exchange); }}, 64),
           explain_(loop, [this](const std::string& what) { return explain(what); }),
           timer_(loop, [this] { due(); }),
           term_(loop, SIGTERM, [this] { leave(); }),
@@ -79,16 +81,16 @@
 
     // ---- clients ----
 
-    void ready(HttpService::Exchange exchange) {
-        if (shutdown_.begun()) return readiness_.answer(exchange, ErrorCode::leaving, {}, 1000);
+    void ready(ExchangeId exchange) {
+        if (shutdown_.begun()) return readiness_.respond(exchange, ErrorCode::leaving, {}, 1000);
         if (!handler_.configuration())
-            return readiness_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 500);
+            return readiness_.respond(exchange, ErrorCode::no_majority, "no configuration yet", 500);
         HttpMessage answer;
         answer.status = 200;
-        readiness_.answer(exchange, answer);
+        readiness_.respond(exchange, answer);
     }
 
-    void asked(HttpService::Exchange exchange, HttpMessage&& m) {
+    void asked(ExchangeId exchange, HttpMessage&& m) {
         std::uint32_t deadline = 0;
         const std::string_view stated = m.field(kLeft);
         const auto [end, wrong] = std::from_chars(stated.data(), stated.data() + stated.size(), deadline);
@@ -96,16 +98,18 @@
         (void)end;
         const std::string host(m.field("Host"));
         const std::string target = m.target;
-        requests_[exchange].message = std::move(m);
+        const auto id = static_cast<RequestId>(exchange);
+        requests_[id].message = std::move(m);
         Actions actions;
-        handler_.arrived(net::Loop::now(), exchange, host, target, deadline, actions);
+        handler_.arrived(net::Loop::now(), id, host, target, deadline, actions);
         carry_out(actions);
     }
 
-    void left(HttpService::Exchange exchange) {
-        requests_.erase(exchange);  // its client does not wait any more, so it is not sent again
+    void left(ExchangeId exchange) {
+        const auto id = static_cast<RequestId>(exchange);
+        requests_.erase(id);  // its client does not wait any more, so it is not sent again
         Actions actions;
-        handler_.on_client_disconnected(net::Loop::now(), exchange, actions);
+        handler_.on_client_disconnected(net::Loop::now(), id, actions);
         carry_out(actions);
     }
 
@@ -119,7 +123,7 @@
         to.method = from.method;
         to.target = from.target;
         for (const auto& [name, value] : from.fields)
-            if (!of_one_connection(name) && !http::same_word(name, kLeft) && !http::same_word(name, kExpect))
+            if (!is_hop_by_hop(name) && !http::same_word(name, kLeft) && !http::same_word(name, kExpect))
                 to.fields.emplace_back(name, value);
         to.fields.emplace_back(kLeft, std::to_string(f.remaining_ms));
         to.fields.emplace_back(kExpect, f.runner);
@@ -127,12 +131,13 @@
         std::vector<std::string>& sent_to = at->second.sent_to;
         const bool been_there = std::find(sent_to.begin(), sent_to.end(), f.address) != sent_to.end();
         if (!been_there) sent_to.push_back(f.address);
-        runners_.call(f.request, f.address, to, been_there);
+        runners_.call(CallId{f.request}, f.address, to, been_there);
     }
 
-    void ended(HttpCaller::Call id, CallEnd how, HttpMessage&& answer, bool fresh) {
-        const AttemptResult end = judge(how, answer, fresh);
-        answers_[id] = std::move(answer);
+    void on_call_completed(CompletedCall&& call) {
+        const auto id = static_cast<RequestId>(call.id);
+        const AttemptResult end = judge(call.result, call.response, call.first_on_connection);
+        answers_[id] = std::move(call.response);
         Actions actions;
         handler_.ended(net::Loop::now(), id, end, actions);
         carry_out(actions);
@@ -145,9 +150,9 @@
         HttpMessage to;
         to.status = at->second.status;
         for (auto& [name, value] : at->second.fields)
-            if (!of_one_connection(name)) to.fields.emplace_back(std::move(name), std::move(value));
+            if (!is_hop_by_hop(name)) to.fields.emplace_back(std::move(name), std::move(value));
         to.body = std::move(at->second.body);
-        clients_.answer(id, to);
+        clients_.respond(ExchangeId{id}, to);
     }
 
     void reached(const std::string& address) {
@@ -176,12 +181,12 @@
                 .with("service", l.service)
                 .with("took_ms", l.took / 1000);
         for (const Actions::Reply& r : actions.replies) {
-            clients_.answer(r.request, r.kind, {}, r.retry_ms);
+            clients_.respond(ExchangeId{r.request}, r.kind, {}, r.retry_ms);
         }
         for (const RequestId id : actions.relays) relay(id);
-        for (const RequestId id : actions.abandons) runners_.abandon(id);
+        for (const RequestId id : actions.abandons) runners_.cancel(CallId{id});
         for (const Actions::Forward& f : actions.forwards) forward(f);
-        for (const std::string& address : actions.forgets) runners_.forget(address);
+        for (const std::string& address : actions.forgets) runners_.close_idle(address);
         for (const std::string& address : actions.watches)
             watches_.try_emplace(address, Watch{net::Loop::now(), net::Loop::now(), false});
         for (const Actions::Reply& r : actions.replies) requests_.erase(r.request);
@@ -192,7 +197,7 @@
     // ---- the coordinator ----
 
     void say(const Message& message) {
-        if (!line_ || !line_->open()) return;
+        if (!line_ || !line_->is_open()) return;
         line_->send(message);
         said_at_ = net::Loop::now();
     }
@@ -220,11 +225,11 @@
         const auto address = net::Address::read(settings_.internal_of(to));
         if (!address) return;
         MessageConnection::Events events;
-        events.up = [this] { line_->send(handler_.registration()); };
-        events.message_received = [this](const ReceivedMessage& message_received) {
+        events.on_connected = [this] { line_->send(handler_.registration()); };
+        events.on_message = [this](const ReceivedMessage& message_received) {
             got(message_received.message);
         };
-        events.ended = [this] { drop_line(); };
+        events.on_disconnected = [this] { drop_line(); };
         line_ = std::make_unique<MessageConnection>(loop_, *address, kConnect, std::move(events));
     }
 
@@ -268,7 +273,7 @@
                 BOOST_LEAF_AUTO(body, apply_delta(m.delta.base == 0 ? std::string() : body_, m.delta.bytes));
                 BOOST_LEAF_AUTO(configuration, Configuration::read(body));
                 body_ = std::move(body);
-                clients_.limit(configuration->limits());
+                clients_.set_limits(configuration->limits());
                 handler_.configure(std::move(configuration));
                 Event("configuration").with("version", handler_.version());
                 return {};
@@ -284,12 +289,13 @@
 
     json::Value explain(const std::string& what) const {
         const Micros now = net::Loop::now();
-        json::Object all{{"node", told(settings_.node_name)},
-                         {"role", told(std::string("proxy"))},
-                         {"version", told(static_cast<double>(handler_.version()))},
-                         {"coordinator", json::Value(handler_.coordinator())},
-                         {"open", told(static_cast<double>(handler_.open()))},
-                         {"malformed_lines", told(static_cast<double>(MessageConnection::malformed()))}};
+        json::Object all{
+            {"node", told(settings_.node_name)},
+            {"role", told(std::string("proxy"))},
+            {"version", told(static_cast<double>(handler_.version()))},
+            {"coordinator", json::Value(handler_.coordinator())},
+            {"open", told(static_cast<double>(handler_.open()))},
+            {"malformed_lines", told(static_cast<double>(MessageConnection::malformed_connections()))}};
         json::List requests;
         json::List splits;
         if (what.empty() || what == "requests")
@@ -337,9 +343,9 @@
         turned_ = now;
         if (line_) {
             const Micros quiet = registered_ ? kReach : kAnswer;
-            if (now > std::max(line_->heard(), dialed_at_) + quiet)
+            if (now > std::max(line_->last_received_at(), dialed_at_) + quiet)
                 drop_line();
-            else if (registered_ && now >= std::max(line_->heard(), said_at_) + kBeat)
+            else if (registered_ && now >= std::max(line_->last_received_at(), said_at_) + kBeat)
                 say(Heartbeat{});
         }
         if (!line_ && now >= dialed_at_ + kRedial) dial(now);
@@ -365,10 +371,10 @@
         if (now >= next_sweep_) {
             next_sweep_ = now + 500'000;
             old_.clear();
-            clients_.sweep(now);
-            readiness_.sweep(now);
+            clients_.close_expired(now);
+            readiness_.close_expired(now);
             explain_.sweep(now);
-            runners_.sweep(now);
+            runners_.close_expired(now);
             if (now >= next_look_) {
                 next_look_ = now + 2'000'000;
                 watch_.look(false);
@@ -380,11 +386,11 @@
 
     void shut_down(Micros now) {
         for (;;) {
-            switch (shutdown_.step(now, clients_.unfinished())) {
+            switch (shutdown_.step(now, clients_.busy_connections())) {
                 case Shutdown::Step::none:
                     return;
                 case Shutdown::Step::close_idle:
-                    clients_.close_idle();
+                    clients_.drain();
                     break;
                 case Shutdown::Step::answer_open: {
                     Actions actions;
@@ -405,7 +411,7 @@
         if (!line_)
             next = std::min(next, dialed_at_ + kRedial);
         else if (registered_)
-            next = std::min(next, std::max(line_->heard(), said_at_) + kBeat);
+            next = std::min(next, std::max(line_->last_received_at(), said_at_) + kBeat);
         if (handler_.next_deadline() > 0) next = std::min(next, handler_.next_deadline());
         if (shutdown_.begun()) next = std::min(next, now + kShutdownCheck);
         if (!handler_.coordinator() && handler_.open() > 0) next = std::min(next, now + 30'000);
@@ -419,7 +425,7 @@
         const Micros now = net::Loop::now();
         shutdown_.begin(now, settings_.grace_period);
         Event("leaving").with("open", handler_.open());
-        clients_.say_goodbye();
+        clients_.disable_keep_alive();
         Actions actions;
         handler_.begin_shutdown(now, shutdown_.answer_by(), actions);
         carry_out(actions);
@@ -429,8 +435,8 @@
     Settings settings_;
     SettingsWatch watch_;
     RequestHandler handler_;
-    HttpCaller runners_;
-    HttpService clients_, readiness_;
+    HttpClient runners_;
+    HttpServer clients_, readiness_;
     std::unordered_map<RequestId, Asked> requests_;  // of clients that wait
     std::unordered_map<RequestId, HttpMessage> answers_;
     std::map<std::string, Watch> watches_;
--- a/src/cluster/programs/run_end.cpp
+++ b/src/cluster/programs/run_end.cpp
@@ -22,16 +22,16 @@
 
 }  // namespace
 
-AttemptResult judge(CallEnd how, const HttpMessage& answer, bool fresh) {
-    switch (how) {
-        case CallEnd::unreachable:
+AttemptResult judge(CallResult result, const HttpMessage& answer, bool fresh) {
+    switch (result) {
+        case CallResult::unreachable:
             return AttemptResult::unreachable;
-        case CallEnd::unsent:
+        case CallResult::unsent:
             return AttemptResult::unsent;
-        case CallEnd::broken:
-        case CallEnd::malformed:
+        case CallResult::connection_lost:
+        case CallResult::malformed_response:
             return AttemptResult::may_have_run;
-        case CallEnd::answered:
+        case CallResult::completed:
             return judge_answer(answer, fresh);
     }
     return AttemptResult::may_have_run;
--- a/src/cluster/programs/run_end.hpp
+++ b/src/cluster/programs/run_end.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cluster/proxy/request_handler.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 
 namespace gannethold::cluster {
 
@@ -12,6 +12,6 @@
 /// Judges how a call that bore kAttemptIdField ended. Only what the runner itself states counts as a promise
 /// that the request has not run; an answer that can not be told to be this request's may_have_run.
 /// fresh: it is the first answer on its connection, so that it can be no other request's.
-AttemptResult judge(CallEnd how, const HttpMessage& answer, bool fresh);
+AttemptResult judge(CallResult result, const HttpMessage& answer, bool fresh);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/http_message.cpp
+++ b/src/cluster/transport/http_message.cpp
@@ -1,8 +1,42 @@
 #include "cluster/transport/http_message.hpp"
 
 namespace gannethold::cluster {
+namespace {
 
-const char* reason_of(int status) {
+constexpr std::size_t kTypicalHeadBytes = 256;
+
+bool has_no_length(const HttpMessage& message) {
+    if (message.status == 0) return message.body.empty() && message.method == "GET";
+    return message.responds_to_head || message.status == 204 || message.status == 304;
+}
+
+}  // namespace
+
+std::string_view HttpMessage::field(std::string_view name) const {
+    for (const auto& [key, value] : fields)
+        if (http::same_word(key, name)) return value;
+    return {};
+}
+
+HttpMessage make_http_message(const http::Head& head) {
+    HttpMessage message;
+    message.method = std::string(head.method);
+    message.target = std::string(head.target);
+    message.status = head.status;
+    message.keeps_alive = head.keeps_alive;
+    message.fields.reserve(head.fields.size());
+    for (const http::Field& field : head.fields) message.fields.emplace_back(field.name, field.value);
+    return message;
+}
+
+bool is_hop_by_hop(std::string_view field_name) {
+    for (const std::string_view name : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length",
+                                        "TE", "Trailer", "Upgrade", "Proxy-Connection", "Expect"})
+        if (http::same_word(field_name, name)) return true;
+    return false;
+}
+
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -31,24 +65,25 @@
     }
 }
 
-std::string bytes_of(const HttpMessage& m) {
+std::string serialize(const HttpMessage& message) {
     std::string text;
-    text.reserve(256 + m.body.size());
-    if (m.status > 0)
+    text.reserve(kTypicalHeadBytes + message.body.size());
+    if (message.status > 0)
         text.append("HTTP/1.1 ")
-            .append(std::to_string(m.status))
+            .append(std::to_string(message.status))
             .append(" ")
-            .append(reason_of(m.status))
+            .append(reason_phrase(message.status))
             .append("\r\n");
     else
-        text.append(m.method).append(" ").append(m.target).append(" HTTP/1.1\r\n");
-    for (const auto& [name, value] : m.fields) text.append(name).append(": ").append(value).append("\r\n");
-    const bool lengthless = m.status == 0 ? m.body.empty() && m.method == "GET"
-                                          : m.answers_head || m.status == 204 || m.status == 304;
-    if (!lengthless) text.append("Content-Length: ").append(std::to_string(m.body.size())).append("\r\n");
-    if (!m.keeps_alive) text.append("Connection: close\r\n");
+        text.append(message.method).append(" ").append(message.target).append(" HTTP/1.1\r\n");
+    for (const auto& [name, value] : message.fields)
+        text.append(name).append(": ").append(value).append("\r\n");
+    const bool lengthless = has_no_length(message);
+    if (!lengthless)
+        text.append("Content-Length: ").append(std::to_string(message.body.size())).append("\r\n");
+    if (!message.keeps_alive) text.append("Connection: close\r\n");
     text.append("\r\n");
-    return lengthless ? text : text.append(m.body);
+    return lengthless ? text : text.append(message.body);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/http_message.hpp
+++ b/src/cluster/transport/http_message.hpp
@@ -1,4 +1,4 @@
-// A whole HTTP message, read or to be written.
+// HTTP/1.1 messages as values: read completely before they are handed on, and written in one piece.
 #pragma once
 
 #include <string>
@@ -10,42 +10,32 @@
 
 namespace gannethold::cluster {
 
+/// A request (status 0) or a response.
 struct HttpMessage {
-    std::string method, target;  // of a request
-    int status = 0;              // of an answer
+    std::string method;  // requests only
+    std::string target;  // requests only
+    int status = 0;      // responses only
     bool keeps_alive = true;
-    bool answers_head = false;  // of an answer to a HEAD request: written without a body and its length
+    bool responds_to_head = false;  // the request was HEAD: serialized without Content-Length and body
     std::vector<std::pair<std::string, std::string>> fields;
     std::string body;
 
-    std::string_view field(std::string_view name) const {
-        for (const auto& [key, value] : fields)
-            if (http::same_word(key, name)) return value;
-        return {};
-    }
+    /// The first header field of that name, whatever its case; empty: there is none. Valid as long as the
+    /// message is not changed.
+    std::string_view field(std::string_view name) const;
 };
 
-inline HttpMessage copy_of(const http::Head& head) {
-    HttpMessage m;
-    m.method = std::string(head.method);
-    m.target = std::string(head.target);
-    m.status = head.status;
-    m.keeps_alive = head.keeps_alive;
-    m.fields.reserve(head.fields.size());
-    for (const auto& f : head.fields) m.fields.emplace_back(f.name, f.value);
-    return m;
-}
-
-// Fields that concern one connection only, or that whoever writes the message sets anew.
-inline bool of_one_connection(std::string_view name) {
-    for (const std::string_view one : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length",
-                                       "TE", "Trailer", "Upgrade", "Proxy-Connection", "Expect"})
-        if (http::same_word(name, one)) return true;
-    return false;
-}
-
-const char* reason_of(int status);
-// A whole message's bytes; a length is always stated.
-std::string bytes_of(const HttpMessage& message);
+/// Copies a head that was read. The body is still empty.
+HttpMessage make_http_message(const http::Head& head);
+
+/// Whether a header field concerns one connection only, or is set anew by whoever serializes the message.
+/// An intermediary does not forward these.
+bool is_hop_by_hop(std::string_view field_name);
+
+/// The standard phrase of the statuses that the system uses.
+const char* reason_phrase(int status);
+
+/// The message's bytes, with a Content-Length wherever the protocol allows one.
+std::string serialize(const HttpMessage& message);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/message_connection.cpp
+++ b/src/cluster/transport/message_connection.cpp
@@ -4,82 +4,88 @@
 
 namespace gannethold::cluster {
 namespace {
-std::uint64_t malformed_lines = 0;
-constexpr std::size_t kFrameHead = 4;  // a message's length, in front of it
+
+constexpr std::size_t kLengthPrefixBytes = 4;
+
+std::uint64_t malformed_connection_count = 0;
+
 }  // namespace
 
-std::uint64_t MessageConnection::malformed() { return malformed_lines; }
+std::uint64_t MessageConnection::malformed_connections() { return malformed_connection_count; }
 
 MessageConnection::MessageConnection(net::Loop& loop, evutil_socket_t accepted, Events events)
     : events_(std::move(events)),
-      open_(true),
-      heard_(net::Loop::now()),
-      connection_(new net::Connection(loop, *this, accepted)) {}
+      is_open_(true),
+      last_received_at_(net::Loop::now()),
+      connection_(loop, *this, accepted) {}
 
-MessageConnection::MessageConnection(net::Loop& loop, const net::Address& to, Micros connect_limit,
+MessageConnection::MessageConnection(net::Loop& loop, const net::Address& address, Micros connect_timeout,
                                      Events events)
     : events_(std::move(events)),
-      heard_(net::Loop::now()),
-      connection_(new net::Connection(loop, *this, to, connect_limit)) {}
+      last_received_at_(net::Loop::now()),
+      connection_(loop, *this, address, connect_timeout) {}
 
 std::size_t MessageConnection::send(const Message& message, std::string_view from) {
-    if (closed_) return 0;
+    if (is_closed_) return 0;
     const std::string bytes = encode(message, from);
-    if (connection_->write(bytes)) return bytes.size();
-    // A pool that is empty is a peer that does not read: what was not said is said again by whoever needs it.
-    close();
-    events_.ended();
+    if (connection_.write(bytes)) return bytes.size();
+    // The pool of blocks is empty: the peer does not read. Whoever needs the message repeats it.
+    disconnect();
     return 0;
 }
 
 void MessageConnection::close() {
-    closed_ = true;
-    open_ = false;
-    connection_->close();
+    is_closed_ = true;
+    is_open_ = false;
+    connection_.close();
+}
+
+void MessageConnection::disconnect() {
+    close();
+    events_.on_disconnected();
 }
 
 void MessageConnection::connected() {
-    open_ = true;
-    heard_ = net::Loop::now();
-    events_.up();
+    is_open_ = true;
+    last_received_at_ = net::Loop::now();
+    events_.on_connected();
 }
 
 void MessageConnection::bytes(std::string_view bytes) {
-    heard_ = net::Loop::now();
+    last_received_at_ = net::Loop::now();
     frames_.add(bytes);
-    while (!closed_) {
-        bool more = false;
-        leaf::try_handle_all(
-            [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(frame, frames_.next());
-                if (!frame) return {};
-                message_bytes_ = kFrameHead + frame->size();
-                BOOST_LEAF_AUTO(message_received, decode(*frame));
-                more = true;
-                events_.message_received(message_received);
-                return {};
-            },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
-                ++malformed_lines;
-                Event("line_closed", Level::warning)
-                    .with("kind", error_response(kind).name)
-                    .with("detail", detail.text);
-                close();
-                events_.ended();
-            },
-            [&] {
-                close();
-                events_.ended();
-            });
-        if (!more) return;
-    }
+    bool more = true;
+    while (more && !is_closed_)
+        more = leaf::try_handle_all([this] { return receive_next(); },
+                                    [this](ErrorCode error, const ErrorDetail& detail) {
+                                        ++malformed_connection_count;
+                                        Event("malformed_message_received", Level::warning)
+                                            .with("error", error_response(error).name)
+                                            .with("detail", detail.text);
+                                        disconnect();
+                                        return false;
+                                    },
+                                    [this] {
+                                        disconnect();
+                                        return false;
+                                    });
+}
+
+// Hands on the next complete message; false: there is none yet.
+leaf::result<bool> MessageConnection::receive_next() {
+    BOOST_LEAF_AUTO(frame, frames_.next());
+    if (!frame) return false;
+    message_bytes_ = kLengthPrefixBytes + frame->size();
+    BOOST_LEAF_AUTO(message, decode(*frame));
+    events_.on_message(message);
+    return true;
 }
 
 void MessageConnection::ended(net::Ending) {
-    if (closed_) return;
-    closed_ = true;
-    open_ = false;
-    events_.ended();
+    if (is_closed_) return;
+    is_closed_ = true;
+    is_open_ = false;
+    events_.on_disconnected();
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -19,8 +19,8 @@
 #include "cluster/programs/run_end.hpp"
 #include "cluster/proxy/request_handler.hpp"
 #include "cluster/slots/slot_table.hpp"
-#include "cluster/transport/http_caller.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_client.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
@@ -49,8 +49,8 @@
 // A caller, a scripted runner, and how each call ended.
 struct Runner {
     struct ReleaseReason {
-        HttpCaller::Call call = 0;
-        CallEnd how = CallEnd::broken;
+        std::uint64_t call = 0;
+        CallResult how = CallResult::connection_lost;
         HttpMessage message;
         bool fresh = false;
         bool within_call = false;  // told before call() had returned
@@ -59,14 +59,20 @@
     explicit Runner(int receive_buffer = 0, std::size_t blocks = kBlocks)
         : loop(blocks),
           door(receive_buffer),
-          caller(loop, {500'000, 8'000'000, 6, 16U << 20, "X-Attempt-Id"},
-                 {[this](HttpCaller::Call call, CallEnd how, HttpMessage&& message, bool fresh) {
-                     ended.push_back({call, how, std::move(message), fresh, calling});
+          caller(loop,
+                 {.connect_timeout = 500'000,
+                  .idle_timeout = 8'000'000,
+                  .max_idle_connections = 6,
+                  .max_response_bytes = 16U << 20,
+                  .id_field = "X-Attempt-Id"},
+                 {.on_call_completed = [this](CompletedCall&& call) {
+                     ended.push_back({static_cast<std::uint64_t>(call.id), call.result,
+                                      std::move(call.response), call.first_on_connection, calling});
                  }}) {}
 
     void call(const HttpMessage& message, bool on_new_connection = false) {
         calling = true;
-        caller.call(++last, door.address(), message, on_new_connection);
+        caller.call(CallId{++last}, door.address(), message, on_new_connection);
         calling = false;
     }
     bool until(const std::function<bool()>& holds) { return run_loop_until(loop, holds); }
@@ -81,7 +87,7 @@
         }));
         return *found;
     }
-    const ReleaseReason& end_of(HttpCaller::Call call) {
+    const ReleaseReason& end_of(std::uint64_t call) {
         const ReleaseReason* found = nullptr;
         BOOST_REQUIRE(until([&] {
             for (const ReleaseReason& one : ended)
@@ -106,7 +112,7 @@
         call(request("before"));
         ScriptedConnection& wire = wire_of("before");
         wire.send(answer("before", "first"));
-        BOOST_REQUIRE((end_of(last).how == CallEnd::answered));
+        BOOST_REQUIRE((end_of(last).how == CallResult::completed));
         wire.received.clear();
         return wire;
     }
@@ -114,9 +120,9 @@
     net::Loop loop;
     ScriptedListener door;
     bool calling = false;
-    HttpCaller::Call last = 0;
+    std::uint64_t last = 0;
     std::deque<ReleaseReason> ended;
-    HttpCaller caller;
+    HttpClient caller;
 };
 
 const auto kClose = [](ScriptedConnection& wire) { wire.close(); };
@@ -131,7 +137,7 @@
                runner.door.connections()[0].receive(1024).received.find("\r\n\r\n") != std::string::npos;
     }));
     runner.door.connections()[0].reset();
-    BOOST_TEST((runner.end_of(1).how == CallEnd::broken));
+    BOOST_TEST((runner.end_of(1).how == CallResult::connection_lost));
 }
 
 BOOST_AUTO_TEST_CASE(a_call_whose_head_was_cut_is_unsent) {
@@ -144,14 +150,14 @@
                !runner.door.connections()[0].receive(1024).received.empty();
     }));
     runner.door.connections()[0].reset();
-    BOOST_TEST((runner.end_of(1).how == CallEnd::unsent));
+    BOOST_TEST((runner.end_of(1).how == CallResult::unsent));
 }
 
 BOOST_AUTO_TEST_CASE(where_nobody_listens_nothing_was_sent) {
     Runner runner;
     runner.door.close();
     runner.call(request("a"));
-    BOOST_TEST((runner.end_of(1).how == CallEnd::unreachable));
+    BOOST_TEST((runner.end_of(1).how == CallResult::unreachable));
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_went_out_and_got_no_answer_is_not_sent_again) {
@@ -165,7 +171,7 @@
                 wire.reset();
             else
                 wire.close();
-            BOOST_TEST((runner.end_of(runner.last).how == CallEnd::broken));
+            BOOST_TEST((runner.end_of(runner.last).how == CallResult::connection_lost));
             runner.until([&, end = net::Loop::now() + 50'000] { return net::Loop::now() > end; });
             std::size_t times = 0;
             for (ScriptedConnection& one : runner.door.connections())
@@ -185,7 +191,7 @@
             wire.close();
         runner.call(request("next"));  // before the loop has come to the end of the connection
         runner.wire_of("next").send(answer("next", "second"));
-        BOOST_TEST((runner.end_of(runner.last).how == CallEnd::answered));
+        BOOST_TEST((runner.end_of(runner.last).how == CallResult::completed));
     }
 }
 
@@ -193,25 +199,26 @@
     const std::string head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n";
     for (const auto& then : {std::function<void(ScriptedConnection&)>(kClose),
                              std::function<void(ScriptedConnection&)>(kReset)}) {
-        BOOST_TEST((Runner().after("HTTP/1.1 200", then).how == CallEnd::broken));
-        BOOST_TEST((Runner().after(head, then).how == CallEnd::broken));
-        BOOST_TEST((Runner().after(head + "Content-Length: 5\r\n\r\nhalf", then).how == CallEnd::broken));
+        BOOST_TEST((Runner().after("HTTP/1.1 200", then).how == CallResult::connection_lost));
+        BOOST_TEST((Runner().after(head, then).how == CallResult::connection_lost));
+        BOOST_TEST((Runner().after(head + "Content-Length: 5\r\n\r\nhalf", then).how ==
+                    CallResult::connection_lost));
         const std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
         for (const char* const cut : {"", "5\r\nhal", "5\r\nwhole", "5\r\nwhole\r\n", "5\r\nwhole\r\n0\r\n"})
-            BOOST_TEST((Runner().after(chunked + cut, then).how == CallEnd::broken), cut);
+            BOOST_TEST((Runner().after(chunked + cut, then).how == CallResult::connection_lost), cut);
     }
     // Without a length the end of the connection may as well be a cut.
-    BOOST_TEST((Runner().after(head + "\r\nwhole", kClose).how == CallEnd::malformed));
-    BOOST_TEST((Runner().after("SSH-2.0\r\n\r\n").how == CallEnd::malformed));
+    BOOST_TEST((Runner().after(head + "\r\nwhole", kClose).how == CallResult::malformed_response));
+    BOOST_TEST((Runner().after("SSH-2.0\r\n\r\n").how == CallResult::malformed_response));
     BOOST_TEST((Runner().after(head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nwhole").how ==
-                CallEnd::malformed));
+                CallResult::malformed_response));
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_after_its_call_was_abandoned_reaches_nobody) {
     Runner runner;
     runner.call(request("silent"));
     ScriptedConnection& silent = runner.wire_of("silent");
-    runner.caller.abandon(1);
+    runner.caller.cancel(CallId{1});
     runner.call(request("next"));
     ScriptedConnection& next = runner.wire_of("next");
     BOOST_TEST(&silent != &next);
@@ -283,7 +290,7 @@
         HttpMessage message;
         message.status = status;
         message.fields = std::move(fields);
-        return judge(CallEnd::answered, message, false);
+        return judge(CallResult::completed, message, false);
     };
     const std::pair<std::string, std::string> id{"X-Attempt-Id", "a"}, not_run{"X-Request-Not-Run", "full"};
     BOOST_TEST((judged(200, {id}) == AttemptResult::answered));
@@ -296,10 +303,10 @@
     for (const int status : {400, 429, 503})
         BOOST_TEST((judged(status, {id, not_run}) == AttemptResult::not_run));
     BOOST_TEST((judged(421, {id}) == AttemptResult::misdirected));
-    BOOST_TEST((judge(CallEnd::broken, {}, true) == AttemptResult::may_have_run));
-    BOOST_TEST((judge(CallEnd::malformed, {}, true) == AttemptResult::may_have_run));
-    BOOST_TEST((judge(CallEnd::unsent, {}, true) == AttemptResult::unsent));
-    BOOST_TEST((judge(CallEnd::unreachable, {}, true) == AttemptResult::unreachable));
+    BOOST_TEST((judge(CallResult::connection_lost, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallResult::malformed_response, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallResult::unsent, {}, true) == AttemptResult::unsent));
+    BOOST_TEST((judge(CallResult::unreachable, {}, true) == AttemptResult::unreachable));
 }
 
 BOOST_AUTO_TEST_CASE(after_an_answer_that_came_before_the_request_was_written_the_connection_is_not_used) {
@@ -325,8 +332,9 @@
                        answer("id1", "mine"));
     BOOST_TEST(one.message.body == "mine");
     BOOST_TEST(one.message.status == 200);
-    BOOST_TEST((Runner().after("HTTP/1.1 101 x\r\nX-Attempt-Id: id1\r\n\r\n").how == CallEnd::malformed));
-    BOOST_TEST((Runner().after("HTTP/1.1 100 Continue\r\n\r\n", kClose).how == CallEnd::broken));
+    BOOST_TEST((Runner().after("HTTP/1.1 101 x\r\nX-Attempt-Id: id1\r\n\r\n").how ==
+                CallResult::malformed_response));
+    BOOST_TEST((Runner().after("HTTP/1.1 100 Continue\r\n\r\n", kClose).how == CallResult::connection_lost));
 }
 
 BOOST_AUTO_TEST_CASE(answers_that_have_no_body_by_rule_wait_for_none) {
@@ -334,14 +342,14 @@
         Runner runner;
         const Runner::ReleaseReason one = runner.after("HTTP/1.1 " + std::string(status) +
                                                        "\r\nX-Attempt-Id: id1\r\nContent-Length: 5\r\n\r\n");
-        BOOST_TEST((one.how == CallEnd::answered));
+        BOOST_TEST((one.how == CallResult::completed));
         BOOST_TEST(one.message.body.empty());
     }
     Runner runner;
     runner.call(request("head", "HEAD"));
     ScriptedConnection& wire = runner.wire_of("head");
     wire.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: head\r\nContent-Length: 5\r\n\r\n");
-    BOOST_TEST((runner.end_of(1).how == CallEnd::answered));
+    BOOST_TEST((runner.end_of(1).how == CallResult::completed));
     // The next one on this connection has its body.
     runner.call(request("next"));
     BOOST_TEST(&runner.wire_of("next") == &wire);
@@ -351,9 +359,9 @@
 
 BOOST_AUTO_TEST_CASE(a_peer_that_half_closes_has_ended_the_connection) {
     const auto half = [](ScriptedConnection& wire) { wire.half_close(); };
-    BOOST_TEST((Runner().after("", half).how == CallEnd::broken));
+    BOOST_TEST((Runner().after("", half).how == CallResult::connection_lost));
     Runner runner;
-    BOOST_TEST((runner.after(answer("id1", "whole"), half).how == CallEnd::answered));
+    BOOST_TEST((runner.after(answer("id1", "whole"), half).how == CallResult::completed));
     runner.call(request("next"));
     BOOST_TEST(&runner.wire_of("next") != &runner.door.connections()[0]);
 }
@@ -383,16 +391,16 @@
     BOOST_REQUIRE(runner.until([&] { return !runner.door.connections().empty(); }));
     runner.until([&, end = net::Loop::now() + 20'000] { return net::Loop::now() > end; });
     runner.call(message);
-    BOOST_TEST((runner.end_of(1).how == CallEnd::unsent));
+    BOOST_TEST((runner.end_of(1).how == CallResult::unsent));
     BOOST_TEST(!runner.ended[0].within_call);
     runner.calling = true;
-    runner.caller.call(++runner.last, "nowhere", message);
+    runner.caller.call(CallId{++runner.last}, "nowhere", message);
     runner.calling = false;
-    BOOST_TEST((runner.end_of(2).how == CallEnd::unreachable));
+    BOOST_TEST((runner.end_of(2).how == CallResult::unreachable));
     BOOST_TEST(!runner.ended[1].within_call);
     // One that is abandoned before it could be told has no event.
-    runner.caller.call(++runner.last, "nowhere", message);
-    runner.caller.abandon(runner.last);
+    runner.caller.call(CallId{++runner.last}, "nowhere", message);
+    runner.caller.cancel(CallId{runner.last});
     runner.until([&, end = net::Loop::now() + 20'000] { return net::Loop::now() > end; });
     BOOST_TEST(runner.ended.size() == 2U);
 }
@@ -404,17 +412,17 @@
     explicit Served(bool answers_at_once = false)
         : port(free_port()),
           service(loop, *net::Address::read("127.0.0.1:" + std::to_string(port)),
-                  {[this, answers_at_once](HttpService::Exchange exchange, HttpMessage&& message) {
+                  {[this, answers_at_once](ExchangeId exchange, HttpMessage&& message) {
                        asked.emplace_back(exchange, std::move(message));
                        if (answers_at_once) answer(exchange, asked.back().second.target);
                    },
-                   [this](HttpService::Exchange exchange) { left.push_back(exchange); }},
+                   [this](ExchangeId exchange) { left.push_back(exchange); }},
                   64) {}
-    void answer(HttpService::Exchange exchange, const std::string& body) {
+    void answer(ExchangeId exchange, const std::string& body) {
         HttpMessage message;
         message.status = 200;
         message.body = body;
-        service.answer(exchange, message);
+        service.respond(exchange, message);
     }
     bool until(const std::function<bool()>& holds) { return run_loop_until(loop, holds); }
     static std::string ask(const std::string& path, const std::string& method = "GET") {
@@ -423,9 +431,9 @@
 
     net::Loop loop{kBlocks};
     std::uint16_t port;
-    std::deque<std::pair<HttpService::Exchange, HttpMessage>> asked;
-    std::vector<HttpService::Exchange> left;
-    HttpService service;
+    std::deque<std::pair<ExchangeId, HttpMessage>> asked;
+    std::vector<ExchangeId> left;
+    HttpServer service;
 };
 
 BOOST_AUTO_TEST_CASE(requests_sent_ahead_are_answered_one_by_one_in_their_order) {
@@ -434,7 +442,7 @@
     client.send(Served::ask("/1") + Served::ask("/2") + Served::ask("/3"));
     for (std::size_t n = 1; n <= 3; ++n) {
         BOOST_REQUIRE(served.until([&] { return served.asked.size() == n; }));
-        BOOST_TEST(served.service.under_way() == 1U);
+        BOOST_TEST(served.service.pending_exchanges() == 1U);
         served.answer(served.asked.back().first, "answer to " + served.asked.back().second.target);
     }
     BOOST_REQUIRE(served.until([&] { return client.has_received("answer to /3"); }));
@@ -470,30 +478,30 @@
     net::Loop loop(kFewBlocks);
     const std::uint16_t port = free_port();
     std::size_t asked = 0, depth = 0, deepest = 0;
-    HttpService::Exchange first = 0;
-    HttpService* there = nullptr;
-    const auto reply = [&](HttpService::Exchange exchange) {
+    ExchangeId first{};
+    HttpServer* there = nullptr;
+    const auto reply = [&](ExchangeId exchange) {
         HttpMessage message;
         message.status = 200;
-        there->answer(exchange, message);
+        there->respond(exchange, message);
     };
-    HttpService service(loop, *net::Address::read("127.0.0.1:" + std::to_string(port)),
-                        {[&](HttpService::Exchange exchange, HttpMessage&&) {
-                            deepest = std::max(deepest, ++depth);
-                            if (++asked == 1)
-                                first = exchange;
-                            else
-                                reply(exchange);
-                            --depth;
-                        }},
-                        64);
+    HttpServer service(loop, *net::Address::read("127.0.0.1:" + std::to_string(port)),
+                       {[&](ExchangeId exchange, HttpMessage&&) {
+                           deepest = std::max(deepest, ++depth);
+                           if (++asked == 1)
+                               first = exchange;
+                           else
+                               reply(exchange);
+                           --depth;
+                       }},
+                       64);
     there = &service;
     ScriptedConnection client = ScriptedConnection::connect_to(port);
     const std::string all = many_ahead();
     std::size_t said = 0;
     BOOST_REQUIRE(run_loop_until(loop, [&] {
         said += client.send(std::string_view(all).substr(said));
-        return first != 0 && said == all.size();
+        return first != ExchangeId{} && said == all.size();
     }));
     reply(first);
     BOOST_TEST(run_loop_until(loop, [&] {
@@ -517,7 +525,7 @@
     ScriptedConnection next = ScriptedConnection::connect_to(served.port);
     next.send(Served::ask("/next"));
     BOOST_REQUIRE(served.until([&] { return served.asked.size() == 2; }));
-    BOOST_TEST(served.asked[0].first != served.asked[1].first);
+    BOOST_TEST((served.asked[0].first != served.asked[1].first));
     served.answer(served.asked[0].first, "of another");
     served.answer(served.asked[1].first, "mine");
     served.answer(served.asked[1].first, "twice");
@@ -532,7 +540,7 @@
     ScriptedConnection client = ScriptedConnection::connect_to(served.port);
     client.send(Served::ask("/1", "HEAD") + Served::ask("/2"));
     BOOST_REQUIRE(served.until([&] { return served.asked.size() == 1; }));
-    served.service.answer(served.asked[0].first, ErrorCode::no_slot, {}, 100);
+    served.service.respond(served.asked[0].first, ErrorCode::no_slot, {}, 100);
     BOOST_REQUIRE(served.until([&] { return served.asked.size() == 2; }));
     served.answer(served.asked[1].first, "mine");
     BOOST_REQUIRE(served.until([&] { return client.has_received("mine"); }));
--- a/tests/system/http_service.cpp
+++ b/tests/system/http_service.cpp
@@ -1,6 +1,6 @@
 // Tests over real sockets of what an HttpService owes its clients while its process ends.
 #define BOOST_TEST_MODULE http_service
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -68,8 +68,8 @@
 struct Fixture {
     Fixture()
         : service(loop, any_local_port(),
-                  {[this](HttpService::Exchange exchange, HttpMessage&&) { requests.push_back(exchange); },
-                   [](HttpService::Exchange) {}},
+                  {[this](ExchangeId exchange, HttpMessage&&) { requests.push_back(exchange); },
+                   [](ExchangeId) {}},
                   16) {}
 
     static net::Address any_local_port() {
@@ -85,7 +85,7 @@
         const Micros end = net::Loop::now() + kPatience;
         while (net::Loop::now() < end) {
             loop.turn(false);
-            service.sweep(net::Loop::now());
+            service.close_expired(net::Loop::now());
             if (holds()) return true;
             usleep(200);
         }
@@ -100,8 +100,8 @@
     }
 
     net::Loop loop{kPoolBlocks};
-    std::vector<HttpService::Exchange> requests;
-    HttpService service;
+    std::vector<ExchangeId> requests;
+    HttpServer service;
 };
 
 const std::string kRequest = "POST /a/1 HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\n\r\nhi";
@@ -109,10 +109,10 @@
 BOOST_FIXTURE_TEST_CASE(a_request_that_meets_the_closing_of_idle_connections_is_not_read, Fixture) {
     Client client(service.port());
     BOOST_REQUIRE(turn_until([&] { return service.connections() == 1; }));
-    BOOST_TEST(service.unfinished() == 0U);
+    BOOST_TEST(service.busy_connections() == 0U);
     client.send(kRequest);
-    service.say_goodbye();
-    service.close_idle();
+    service.disable_keep_alive();
+    service.drain();
     // A reset says that the request was not read, so that the client may send it elsewhere.
     BOOST_TEST(turn_until([&] {
         client.receive();
@@ -127,21 +127,21 @@
     Client client(service.port());
     const std::size_t half = kRequest.size() / 2;
     client.send(kRequest.substr(0, half));
-    BOOST_REQUIRE(turn_until([&] { return service.unfinished() == 1; }));
-    service.say_goodbye();
-    service.close_idle();
-    BOOST_TEST(service.unfinished() == 1U);
+    BOOST_REQUIRE(turn_until([&] { return service.busy_connections() == 1; }));
+    service.disable_keep_alive();
+    service.drain();
+    BOOST_TEST(service.busy_connections() == 1U);
     client.send(kRequest.substr(half));
     BOOST_REQUIRE(turn_until([&] { return requests.size() == 1; }));
-    BOOST_TEST(service.unfinished() == 1U);
-    service.answer(requests.front(), answer_with(5));
+    BOOST_TEST(service.busy_connections() == 1U);
+    service.respond(requests.front(), answer_with(5));
     BOOST_TEST(turn_until([&] {
         client.receive();
         return client.ended;
     }));
     BOOST_TEST(client.received.find("Connection: close") != std::string::npos);
     BOOST_TEST(client.received.ends_with("\r\n\r\nxxxxx"));
-    BOOST_TEST(service.unfinished() == 0U);
+    BOOST_TEST(service.busy_connections() == 0U);
 }
 
 BOOST_FIXTURE_TEST_CASE(an_answer_is_unfinished_until_its_last_byte_is_written, Fixture) {
@@ -149,18 +149,18 @@
     Client client(service.port());
     client.send(kRequest);
     BOOST_REQUIRE(turn_until([&] { return requests.size() == 1; }));
-    service.say_goodbye();
-    service.close_idle();
-    service.answer(requests.front(), answer_with(kBody));
+    service.disable_keep_alive();
+    service.drain();
+    service.respond(requests.front(), answer_with(kBody));
     for (int turn = 0; turn < 100; ++turn) loop.turn(false);
-    BOOST_TEST(service.under_way() == 0U);
-    BOOST_TEST(service.unfinished() == 1U);
+    BOOST_TEST(service.pending_exchanges() == 0U);
+    BOOST_TEST(service.busy_connections() == 1U);
     BOOST_TEST(turn_until([&] {
         client.receive();
         return client.ended;
     }));
     BOOST_TEST(client.received.size() > kBody);
-    BOOST_TEST(service.unfinished() == 0U);
+    BOOST_TEST(service.busy_connections() == 0U);
 }
 
 }  // namespace
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_calls.cpp
@@ -100,8 +100,8 @@
 
     void accepted(evutil_socket_t socket) {
         MessageConnection::Events events;
-        events.message_received = [this](const ReceivedMessage& received) { got(received.message); };
-        events.ended = [] {};
+        events.on_message = [this](const ReceivedMessage& received) { got(received.message); };
+        events.on_disconnected = [] {};
         lines_.push_back(std::make_unique<MessageConnection>(loop, socket, std::move(events)));
     }
 
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -215,7 +215,7 @@
     R"("state":"ready","cold_remaining_ms":9,"runner_id":"i-7","worker_id":"w-3","no_such_field":[1]})";
 constexpr char kDrainingEntry[] = R"({"address":"10.128.0.8:8080","runner_id":"i-8","state":"draining"})";
 
-std::string request_text(const HttpMessage& request) { return bytes_of(request); }
+std::string request_text(const HttpMessage& request) { return serialize(request); }
 
 }  // namespace
 
