--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -49,7 +49,8 @@
       say_(std::move(say)),
       slot_table_(slot_table_options(settings)),
       planner_(planner_options(settings, term), net::Loop::now()),
-      listing_({settings.list_rate_per_s, 400'000}, net::Loop::now()),
+      list_poller_({.max_pages_per_s = settings.list_rate_per_s}, net::Loop::now()),
+      platform_api_({settings.node_name, term}),
       platform_(loop,
                 {.connect_timeout = 600'000,
                  .idle_timeout = 8'000'000,
@@ -187,31 +188,29 @@
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
                     if (!answered) return failure(ErrorCode::platform_silent, "list");
-                    BOOST_LEAF_AUTO(page, runners_.read(answer));
-                    bool whole = false;
-                    std::vector<std::string> gone;
-                    listing_.page(now, page, whole, gone);
-                    for (const ListedRunner& one : page.runners)
-                        slot_table_.listed(now, one.what, one.draining, mail);
-                    for (const std::string& runner : gone)
+                    BOOST_LEAF_AUTO(page, platform_api_.read_runners(answer));
+                    const RunnerListPoller::Update update = list_poller_.on_page(now, page);
+                    for (const ListedRunner& listed : page.runners)
+                        slot_table_.listed(now, listed.info, listed.draining, mail);
+                    for (const std::string& runner : update.removed)
                         slot_table_.gone(now, runner, "not listed any more", mail);
-                    if (whole) planner_.list_read(now);
+                    if (update.is_complete) planner_.list_read(now);
                     return {};
                 },
                 [&](ErrorCode kind, const ErrorDetail& detail) {
-                    listing_.failed(now);
+                    list_poller_.on_failure(now);
                     Event("list_failed", Level::warning)
                         .with("kind", error_response(kind).name)
                         .with("detail", detail.text);
                 },
-                [&] { listing_.failed(now); });
+                [&] { list_poller_.on_failure(now); });
             break;
         case Call::What::workers:
             workers_out_ = false;
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
                     if (!answered) return failure(ErrorCode::platform_silent, "workers");
-                    BOOST_LEAF_AUTO(all, workers_.read(answer));
+                    BOOST_LEAF_AUTO(all, platform_api_.read_workers(answer));
                     planner_.workers(now, std::move(all));
                     planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
@@ -225,15 +224,18 @@
                 [&] { next_workers_ = now + 300'000; });
             break;
         case Call::What::begin: {
+            const StartRunnerResponse start =
+                answered ? platform_api_.read_start(answer) : StartRunnerResponse{};
             RunnerInfo begun;
-            const StartResult said = answered ? begin_.read(answer, begun) : StartResult::silent;
-            if (said == StartResult::begun) {
+            begun.runner = start.runner_id;
+            begun.address = start.address;
+            if (start.result == StartResult::begun) {
                 begun.service = call.begin.service;
                 begun.worker = call.begin.worker;
                 begun.zone = planner_.zone_of(call.begin.worker);
                 slot_table_.began(now, begun, mail);
             }
-            Event("start", said == StartResult::begun ? Level::info : Level::warning)
+            Event("start", start.result == StartResult::begun ? Level::info : Level::warning)
                 .with("service", call.begin.service)
                 .with("worker", call.begin.worker)
                 .with("why", call.begin.why)
@@ -241,11 +243,11 @@
                 .with("runner", begun.runner);
             recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner,
                                  answered ? std::to_string(answer.status) : "none", call.begin.why, true});
-            planner_.on_start_result(now, call.begin.nonce, said);
+            planner_.on_start_result(now, call.begin.nonce, start.result);
             break;
         }
         case Call::What::stop: {
-            const bool done = answered && stop_.done(answer);
+            const bool done = answered && platform_api_.read_stop(answer);
             Event("stop").with("runner", call.stop.runner).with("why", call.stop.why).with("done", done);
             recent_actions_.add({now,
                                  {},
@@ -273,18 +275,17 @@
     post(mail);
     PlatformRequests orders;
     planner_.due(now, orders);
-    const Fence fence{settings_.node_name, term_};
     for (const StartRunner& begin : orders.starts) {
         Call c;
         c.what = Call::What::begin;
         c.begin = begin;
-        call(std::move(c), begin_.post(fence, begin), kCallLimit);
+        call(std::move(c), platform_api_.start_runner(begin), kCallLimit);
     }
     for (const StopRunner& stop : orders.stops) {
         Call c;
         c.what = Call::What::stop;
         c.stop = stop;
-        call(std::move(c), stop_.post(fence, stop), kCallLimit);
+        call(std::move(c), platform_api_.stop_runner(stop), kCallLimit);
     }
 }
 
@@ -368,18 +369,17 @@
         on_call_completed(id, CallResult::connection_lost, {});
     }
     platform_.close_expired(now);
-    std::string token;
-    if (listing_.due(now, token)) {
+    if (const auto page_token = list_poller_.take_due_request(now)) {
         Call c;
         c.what = Call::What::list;
-        call(std::move(c), runners_.get(token), kCallLimit);
+        call(std::move(c), platform_api_.list_runners(*page_token), kCallLimit);
     }
     if (!workers_out_ && now >= next_workers_) {
         workers_out_ = true;
         next_workers_ = now + kWorkers;
         Call c;
         c.what = Call::What::workers;
-        call(std::move(c), workers_.get(), kCallLimit);
+        call(std::move(c), platform_api_.list_workers(), kCallLimit);
     }
     // What was decided since the last look, as far as the record still holds it.
     const auto& priority_inversions = slot_table_.priority_inversions();
--- a/src/cluster/programs/coordinator.hpp
+++ b/src/cluster/programs/coordinator.hpp
@@ -13,8 +13,8 @@
 #include "cluster/base/bounded_history.hpp"
 #include "cluster/base/settings.hpp"
 #include "cluster/placement/planner.hpp"
-#include "cluster/runners/listing.hpp"
-#include "cluster/runners/resources.hpp"
+#include "cluster/runners/platform_api.hpp"
+#include "cluster/runners/runner_list_poller.hpp"
 #include "cluster/slots/slot_table.hpp"
 #include "cluster/transport/http_client.hpp"
 
@@ -61,11 +61,8 @@
     std::function<void(Session, const Message&)> say_;
     SlotTable slot_table_;
     Planner planner_;
-    RunnerListing listing_;
-    RunnerListResource runners_;
-    WorkerListResource workers_;
-    StartRunnerResource begin_;
-    StopRunnerResource stop_;
+    RunnerListPoller list_poller_;
+    PlatformApi platform_api_;
     HttpClient platform_;
     std::map<CallId, Call> calls_;
     std::uint64_t last_call_ = 0;
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -10,7 +10,7 @@
 
 #include "cluster/base/settings.hpp"
 #include "cluster/configuration/configuration.hpp"
-#include "cluster/runners/resources.hpp"
+#include "cluster/runners/platform_api.hpp"
 #include "field_values.hpp"
 #include "required.hpp"
 
@@ -205,9 +205,11 @@
     return message;
 }
 
+const PlatformApi kPlatform{{"front-1", 12}};
+
 RunnerListPage page_of(const std::string& entry) {
     const std::string body = R"({"instances":[)" + entry + R"(],"next_page_token":"p-50"})";
-    return required<RunnerListPage>([&] { return RunnerListResource{}.read(answer(200, body)); });
+    return required<RunnerListPage>([&] { return kPlatform.read_runners(answer(200, body)); });
 }
 
 constexpr char kEntry[] =
@@ -322,7 +324,7 @@
         "p-50"};
     BOOST_TEST(same(page, expected));
     const RunnerListPage last = required<RunnerListPage>(
-        [] { return RunnerListResource{}.read(answer(200, R"({"instances":[],"next_page_token":null})")); });
+        [] { return kPlatform.read_runners(answer(200, R"({"instances":[],"next_page_token":null})")); });
     BOOST_TEST(same(last, RunnerListPage{}));
 }
 
@@ -332,39 +334,36 @@
         R"("no_such_field":{}},{"name":"w-4","zone":"almadies","memory_mb":2048,"free_memory_mb":12,)"
         R"("state":"draining"}],"no_such_field":1})";
     const auto workers =
-        required<std::vector<Worker>>([&] { return WorkerListResource{}.read(answer(200, body)); });
+        required<std::vector<Worker>>([&] { return kPlatform.read_workers(answer(200, body)); });
     const std::vector<Worker> expected{{"w-3", "plateau", 4096, 1280, true},
                                        {"w-4", "almadies", 2048, 12, false}};
     BOOST_TEST(same(workers, expected));
 }
 
 BOOST_AUTO_TEST_CASE(the_answer_to_a_start_arrives) {
-    const StartRunnerResource begin;
-    RunnerInfo begun;
     const std::string body = R"({"runner_id":"i-7","address":"10.1.64.9:8080","no_such_field":1})";
-    BOOST_TEST((begin.read(answer(200, body), begun) == StartResult::begun));
-    BOOST_TEST(begun.runner == "i-7");
-    BOOST_TEST(begun.address == "10.1.64.9:8080");
-    BOOST_TEST((begin.read(answer(409, ""), begun) == StartResult::no_room));
-    BOOST_TEST((begin.read(answer(429, ""), begun) == StartResult::busy));
-    BOOST_TEST((begin.read(answer(400, ""), begun) == StartResult::refused));
-    BOOST_TEST(StopRunnerResource{}.done(answer(404, "")));
-    BOOST_TEST(!StopRunnerResource{}.done(answer(429, "")));
+    const StartRunnerResponse started = kPlatform.read_start(answer(200, body));
+    BOOST_TEST((started.result == StartResult::begun));
+    BOOST_TEST(started.runner_id == "i-7");
+    BOOST_TEST(started.address == "10.1.64.9:8080");
+    BOOST_TEST((kPlatform.read_start(answer(409, "")).result == StartResult::no_room));
+    BOOST_TEST((kPlatform.read_start(answer(429, "")).result == StartResult::busy));
+    BOOST_TEST((kPlatform.read_start(answer(400, "")).result == StartResult::refused));
+    BOOST_TEST(kPlatform.read_stop(answer(404, "")));
+    BOOST_TEST(!kPlatform.read_stop(answer(429, "")));
 }
 
 BOOST_AUTO_TEST_CASE(calls_to_the_platform_are_written_as_before) {
-    const Fence fence{"front-1", 12};
-    BOOST_TEST(request_text(RunnerListResource{}.get("")) ==
-               "GET /runners HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(RunnerListResource{}.get("p 50")) ==
+    BOOST_TEST(request_text(kPlatform.list_runners("")) == "GET /runners HTTP/1.1\r\nHost: platform\r\n\r\n");
+    BOOST_TEST(request_text(kPlatform.list_runners("p 50")) ==
                "GET /runners?page_token=p%2050 HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(WorkerListResource{}.get()) ==
+    BOOST_TEST(request_text(kPlatform.list_workers()) ==
                "GET /v1/workers HTTP/1.1\r\nHost: platform\r\n\r\n");
-    BOOST_TEST(request_text(StartRunnerResource{}.post(fence, {"render", "w-3", "n-81"})) ==
+    BOOST_TEST(request_text(kPlatform.start_runner({"render", "w-3", "n-81"})) ==
                "POST /v1/begin HTTP/1.1\r\nHost: platform\r\nX-Duty-Holder: front-1\r\nX-Fence-Number: 12\r\n"
                "Content-Type: application/json\r\nContent-Length: 61\r\n\r\n"
                R"({"service":"render","worker_id":"w-3","request_nonce":"n-81"})");
-    BOOST_TEST(request_text(StopRunnerResource{}.post(fence, {"i-7"})) ==
+    BOOST_TEST(request_text(kPlatform.stop_runner({"i-7"})) ==
                "POST /v1/stop HTTP/1.1\r\nHost: platform\r\nX-Duty-Holder: front-1\r\nX-Fence-Number: 12\r\n"
                "Content-Type: application/json\r\nContent-Length: 19\r\n\r\n"
                R"({"runner_id":"i-7"})");
--- a/tests/system/world.hpp
+++ b/tests/system/world.hpp
@@ -19,7 +19,7 @@
 #include "cluster/proxy/request_handler.hpp"
 #include "cluster/proxy/shutdown.hpp"
 #include "cluster/placement/planner.hpp"
-#include "cluster/runners/resources.hpp"
+#include "cluster/runners/platform_api.hpp"
 #include "cluster/slots/slot_table.hpp"
 #include "links.hpp"
 #include "output_digest.hpp"
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -77,18 +77,16 @@
     }
     k.planner.workers(now_, workers);
     k.planner.cancel_lost_starts(now_, k.slot_table, mail);
-    std::string token;
-    if (k.listing.due(now_, token)) {
+    if (k.list_poller.take_due_request(now_)) {
         RunnerListPage page;
         for (const auto& [id, r] : runners_)
             if (now_ >= r->listed_at && (!r->ended || now_ < r->ended_seen()))
                 page.runners.push_back(
                     {{id, r->service, r->address, r->zone, r->worker, r->slots, 0, true}, r->draining});
-        bool whole = false;
-        std::vector<std::string> gone;
-        k.listing.page(now_, page, whole, gone);
-        for (const ListedRunner& one : page.runners) k.slot_table.listed(now_, one.what, one.draining, mail);
-        for (const std::string& id : gone) k.slot_table.gone(now_, id, "not listed", mail);
+        const RunnerListPoller::Update update = k.list_poller.on_page(now_, page);
+        for (const ListedRunner& listed : page.runners)
+            k.slot_table.listed(now_, listed.info, listed.draining, mail);
+        for (const std::string& id : update.removed) k.slot_table.gone(now_, id, "not listed", mail);
         k.planner.list_read(now_);
     }
     k.slot_table.tick(now_, mail);
--- a/tests/system/world_parts.hpp
+++ b/tests/system/world_parts.hpp
@@ -33,13 +33,13 @@
         Number term = 0;
         SlotTable slot_table;
         Planner planner;
-        RunnerListing listing;
+        RunnerListPoller list_poller;
         std::set<std::size_t> fronts;
         Number version = 0;
         Micros next = 0;
         std::size_t priority_inversions = 0;  // looked at
         Coordinator(Number t, const SlotTable::Options& b, const Planner::Options& p, Micros now)
-            : term(t), slot_table(b), planner(p, now), listing({20, 400'000}, now) {}
+            : term(t), slot_table(b), planner(p, now), list_poller({.max_pages_per_s = 20}, now) {}
     };
     std::unique_ptr<Coordinator> coordinator;
     bool first = true;
