--- a/tests/system/runners/runner_list_poller_test.cpp
+++ b/tests/system/runners/runner_list_poller_test.cpp
@@ -41,7 +41,7 @@
     }
     RunnerListPoller::Update read_whole_list(const std::vector<std::string>& ids) {
         BOOST_REQUIRE(poller.take_due_request(now).has_value());
-        const RunnerListPoller::Update update = poller.on_page(now, page_of(ids));
+        RunnerListPoller::Update update = poller.on_page(now, page_of(ids));
         now += kPollInterval;
         return update;
     }
