--- a/src/cluster/transport/http_client.cpp
+++ b/src/cluster/transport/http_client.cpp
@@ -105,11 +105,11 @@
             if (is_preconnect_) client_.events_.on_preconnect_failed(address_);
             return release();
         }
-        if (!is_established_) return fail_call(CallResult::unreachable);
+        if (!is_established_) return fail_call(CallResult::connect_failed);
         // A body that only the end of the connection delimits may have been truncated.
         if (ending == net::Ending::ended_early && reader_.ends_by_close())
             return fail_call(CallResult::malformed_response);
-        fail_call(is_head_truncated() && !has_received_ ? CallResult::unsent : CallResult::connection_lost);
+        fail_call(is_head_truncated() && !has_received_ ? CallResult::not_sent : CallResult::connection_lost);
     }
 
     // The call in progress
@@ -121,7 +121,7 @@
         }
         // The pool of blocks is empty.
         connection_.close();
-        client_.fail_later(*std::exchange(call_, std::nullopt), CallResult::unsent);
+        client_.fail_later(*std::exchange(call_, std::nullopt), CallResult::not_sent);
         release();
     }
 
@@ -247,7 +247,7 @@
     UpstreamConnection* connection = on_new_connection ? nullptr : take_idle(address);
     if (!connection) {
         const auto resolved = net::Address::read(address);
-        if (!resolved) return fail_later(id, CallResult::unreachable);
+        if (!resolved) return fail_later(id, CallResult::connect_failed);
         connection = &open_connection(address, *resolved);
     }
     calls_[id] = connection;
--- a/src/cluster/transport/http_client.hpp
+++ b/src/cluster/transport/http_client.hpp
@@ -21,8 +21,8 @@
 /// How a call ended. Bytes that the kernel has accepted count as received by the server.
 enum class CallResult {
     completed,           // with a complete response
-    unreachable,         // no connection was established: not executed
-    unsent,              // the connection ended before the kernel accepted the whole head: not executed
+    connect_failed,      // no connection was established: not executed
+    not_sent,            // the connection ended before the kernel accepted the whole head: not executed
     connection_lost,     // it ended later, without a complete response: may have been executed, even if
                          // part of the body was not sent
     malformed_response,  // no valid response, or that to another request: may have been executed
@@ -87,7 +87,7 @@
     friend class UpstreamConnection;
     struct FailedCall {
         CallId id{};
-        CallResult result = CallResult::unreachable;
+        CallResult result = CallResult::connect_failed;
     };
 
     UpstreamConnection& open_connection(const std::string& address, const net::Address& resolved);
--- a/tests/system/transport/http_client_test.cpp
+++ b/tests/system/transport/http_client_test.cpp
@@ -34,14 +34,14 @@
                !fixture.listener.connections()[0].receive(1024).received.empty();
     }));
     fixture.listener.connections()[0].reset();
-    BOOST_TEST((fixture.completion_of(1).result == CallResult::unsent));
+    BOOST_TEST((fixture.completion_of(1).result == CallResult::not_sent));
 }
 
 BOOST_AUTO_TEST_CASE(a_call_to_a_closed_port_is_unreachable) {
     HttpClientFixture fixture;
     fixture.listener.close();
     fixture.call(make_work_request("a"));
-    BOOST_TEST((fixture.completion_of(1).result == CallResult::unreachable));
+    BOOST_TEST((fixture.completion_of(1).result == CallResult::connect_failed));
 }
 
 BOOST_AUTO_TEST_CASE(a_call_without_a_response_is_not_sent_again) {
@@ -243,10 +243,10 @@
     BOOST_REQUIRE(fixture.run_until([&] { return !fixture.listener.connections().empty(); }));
     fixture.run_for(20'000);
     fixture.call(request);
-    BOOST_TEST((fixture.completion_of(1).result == CallResult::unsent));
+    BOOST_TEST((fixture.completion_of(1).result == CallResult::not_sent));
     BOOST_TEST(!fixture.completions[0].is_within_call);
     fixture.call_to("nowhere", request);
-    BOOST_TEST((fixture.completion_of(2).result == CallResult::unreachable));
+    BOOST_TEST((fixture.completion_of(2).result == CallResult::connect_failed));
     BOOST_TEST(!fixture.completions[1].is_within_call);
     // A call that is cancelled before its failure was reported has no event.
     fixture.call_to("nowhere", request);
