--- a/src/cluster/proxy_server/upstream_runners.hpp
+++ b/src/cluster/proxy_server/upstream_runners.hpp
@@ -9,7 +9,7 @@
 #include "cluster/proxy/attempt_result.hpp"
 #include "cluster/proxy_server/downstream_server.hpp"
 #include "cluster/proxy_server/probe_schedule.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 
 namespace gannethold::cluster {
 
@@ -28,7 +28,7 @@
     /// Begins an attempt of the request.
     void forward(const Actions::Forward& forward, DownstreamRequest& request);
     /// The attempt under way for the request ends without an event.
-    void cancel(RequestId id) { caller_.abandon(id); }
+    void cancel(RequestId id) { client_.cancel(CallId{id}); }
     /// The response to the attempt that has just completed; nothing: there is none for that request.
     std::optional<HttpMessage> take_response(RequestId id);
 
@@ -36,11 +36,11 @@
     void probe(Micros now, const std::string& address) { probes_.add(now, address); }
     std::optional<Micros> next_probe() const { return probes_.next(); }
     /// Closes the idle connections there.
-    void evict(const std::string& address) { caller_.forget(address); }
+    void evict(const std::string& address) { client_.close_idle(address); }
 
     /// Makes the probes that are due.
     void tick(Micros now);
-    void sweep(Micros now) { caller_.sweep(now); }
+    void sweep(Micros now) { client_.close_expired(now); }
 
   private:
     struct CompletedResponse {
@@ -48,12 +48,12 @@
         HttpMessage message;
     };
 
-    void on_call_completed(HttpCaller::Call id, CallEnd end, HttpMessage&& response, bool is_first_response);
+    void on_call_completed(CompletedCall&& call);
 
     Events events_;
     ProbeSchedule probes_;
     std::optional<CompletedResponse> completed_;  // while attempt_completed runs
-    HttpCaller caller_;
+    HttpClient client_;
 };
 
 }  // namespace gannethold::cluster
--- a/tests/system/proxy_server/coordinator_client_test.cpp
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "../peers.hpp"
+#include "../scripted_peers.hpp"
 #include "cluster/proxy_server/coordinator_client.hpp"
 #include "net/listener.hpp"
 
@@ -39,10 +39,10 @@
   private:
     void on_accept(evutil_socket_t socket) {
         MessageConnection::Events events;
-        events.message_received = [this](const ReceivedMessage& received) {
+        events.on_message = [this](const ReceivedMessage& received) {
             received_.push_back(received.message);
         };
-        events.ended = [] {};
+        events.on_disconnected = [] {};
         connections_.push_back(std::make_unique<MessageConnection>(loop_, socket, std::move(events)));
     }
 
@@ -71,7 +71,7 @@
         return events;
     }
     bool until(const std::function<bool()>& condition) {
-        return turn_until(loop, [&] {
+        return run_loop_until(loop, [&] {
             client->tick(net::Loop::now());
             return condition();
         });
