--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -8,8 +8,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// A follower that has heard no leader for so many election timeouts asks whether it was left out: the members
-// that went on without it answer no vote request of it.
+// Election timeouts without a leader after which a follower asks whether it was removed: the remaining
+// members do not answer its vote requests.
 constexpr int kTimeoutsUntilRecovery = 4;
 
 template <class... Handlers>
@@ -27,7 +27,7 @@
       now_(now),
       started_at_(now),
       election_timer_(options_.election_timeout, options_.random_seed),
-      heard_leader_at_(now),
+      last_leader_contact_(now),
       lease_(options_.lease_duration),
       recovery_(now) {}
 
@@ -42,8 +42,7 @@
     return take_output();
 }
 
-// All founders have the same seeds, so all found the same core. A machine that is no founder asks to be let
-// in.
+// All founders have the same seeds, so all found the same core. Any other machine asks to join.
 void Consensus::found_core() {
     if (!contains(options_.seeds, options_.self)) return;
     state_.promise.member = true;
@@ -86,14 +85,14 @@
 }
 
 void Consensus::run_due_work() {
-    if (role_ == Role::leader && !hears_quorum()) step_down(current_term());
+    if (role_ == Role::leader && !has_quorum_contact()) step_down(current_term());
     if (role_ == Role::leader) {
         drop_silent_learners();
         append_next_change();
         if (now_ >= next_heartbeat_) send_heartbeats();
     }
     campaign_if_due();
-    if (role_ == Role::non_member && !(accepts_state() && hears_leader())) send_recovery_requests();
+    if (role_ == Role::non_member && !(accepts_state() && has_leader_contact())) send_recovery_requests();
     continue_leaving();
     next_timer_ = compute_next_timer();
 }
@@ -101,9 +100,9 @@
 void Consensus::campaign_if_due() {
     const bool may_campaign = role_ != Role::leader && role_ != Role::non_member;
     if (!may_campaign || now_ < election_timer_.due_at()) return;
-    if (now_ > heard_leader_at_ + kTimeoutsUntilRecovery * options_.election_timeout)
+    if (now_ > last_leader_contact_ + kTimeoutsUntilRecovery * options_.election_timeout)
         send_recovery_requests();
-    leader_handed_over_ = false;
+    is_leadership_transfer_ = false;
     start_candidacy(Role::pre_candidate);
 }
 
@@ -126,7 +125,8 @@
 }
 
 bool Consensus::is_established_leader() const {
-    return role_ == Role::leader && committed_entry_.position.term == current_term() && !handed_over_;
+    return role_ == Role::leader && committed_entry_.position.term == current_term() &&
+           !leadership_transferred_;
 }
 
 const LogEntry* Consensus::committed_entry() const {
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -3,7 +3,7 @@
 //
 // A leader is elected by a quorum for a term. Every change is a new LogEntry with the leader's term and the
 // next index, and is committed once a quorum has it on disk. These are Raft's rules with a log of which only
-// the last entry is kept: each entry holds the complete state, so an earlier one is never needed.
+// the last entry is kept: each entry holds the complete state, so earlier entries are never needed.
 //
 // Sources. "Raft" in comments: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
 // (extended version). "Thesis": Ongaro, "Consensus: Bridging Theory and Practice", which adds pre-votes
@@ -12,7 +12,7 @@
 //
 // Files: consensus.cpp (calls from outside), election.cpp, replication.cpp (the leader), follower.cpp,
 // proposals.cpp, membership.cpp, recovery.cpp. The parts have headers of their own. docs/control-plane.md
-// says what holds and why.
+// states the invariants and why they are kept.
 #pragma once
 
 #include <map>
@@ -40,9 +40,9 @@
 namespace gannethold::cluster {
 
 // What a call of Consensus asks of its caller, who does it in this order:
-//   1. If must_persist, write persistent_state() to disk and sync it. If that fails, drop the rest and the
-//      Consensus: the member is made anew from what is on disk.
-//   2. Send the messages and pass on the results. A message that is lost needs no handling.
+//   1. If must_persist, write persistent_state() to disk and sync it. If that fails, discard the rest and the
+//      Consensus: the member is constructed again from what is on disk.
+//   2. Send the messages and pass on the results. Lost messages need no handling: they are sent again.
 struct ConsensusOutput {
     struct Envelope {
         std::string to;  // a core machine's control_plane address
@@ -56,7 +56,7 @@
 // One member of the core, as a state machine without I/O.
 //
 // Thread safety: none; all calls come from one thread. Clock: `now` is any steady clock in microseconds, the
-// same one in all calls, and never goes back.
+// same one in all calls; it never steps back.
 class Consensus {
   public:
     struct Options {
@@ -64,12 +64,12 @@
         std::vector<std::string> seeds;  // addresses to ask; at the first start: the founders
         bool first_start = false;        // the core is founded with this start
         Micros heartbeat_interval = 90'000;
-        // How long a leader is silent, at least, before a vote is given against it.
+        // Minimum silence of a leader before any member votes against it.
         Micros election_timeout = 450'000;
-        // Shorter than the election timeout by more than clocks drift apart in that time.
+        // Shorter than the election timeout by more than the clocks may drift apart meanwhile.
         Micros lease_duration = 330'000;
         Micros replace_after = 1'000'000;  // silence of a voter until a learner takes its place
-        Micros remove_after = 2'000'000;   // silence of voters until the core goes on without them
+        Micros remove_after = 2'000'000;   // silence of voters until they are removed without successors
         std::uint64_t random_seed = 1;     // another one on each member
         const ConsensusRules* rules = &ConsensusRules::standard();  // not owned; outlives the member
     };
@@ -78,7 +78,7 @@
     //
     // A member that starts lets one election timeout pass before it votes against the leader whose heartbeat
     // it answered last, since it doesn't know how long ago that was. It votes for that leader at once: a
-    // leader that asks for votes has started anew and has no lease.
+    // leader that asks for votes has restarted and has no lease.
     Consensus(Options options, PersistentState state, Micros now);
 
     // REQUIRES: called once, before all other calls below.
@@ -94,21 +94,22 @@
     // the newest is recorded and changes nothing else.
     [[nodiscard]] ConsensusOutput propose(Micros now, Proposal proposal);
 
-    // Before a planned end: a leader hands over, another member asks the leader whether it may stop.
+    // Before a planned stop: a leader transfers leadership, any other member asks the leader whether it may
+    // stop.
     [[nodiscard]] ConsensusOutput begin_leaving(Micros now);
-    // After begin_leaving(): whether a quorum without this member holds all that is committed.
+    // After begin_leaving(): whether a quorum without this member has stored all committed entries.
     bool may_stop() const { return leave_.may_stop(); }
 
     void set_seeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
     // Good until the next call that is not const.
     const PersistentState& persistent_state() const { return state_; }
-    // Whether it is the leader of its term, has committed an entry in it (Raft, section 8) and has not handed
-    // over. It may act for the core only while it has_lease(), too.
+    // Whether it is the leader of its term, has committed an entry in it (Raft, section 8) and has not
+    // transferred leadership. It may act for the core only while it also has_lease().
     bool is_established_leader() const;
     // Whether it is the established leader, and no other can have been elected. A lease that ran out and
-    // came back in the same term was nobody else's meanwhile: a voter that has voted for another member
-    // answers this term no more.
+    // was regained in the same term was never another member's in between: a voter that has voted for another
+    // member no longer responds in this term.
     bool has_lease(Micros now) const;
     // The newest entry known to be committed; nullptr: none yet. Good until the next call that is not const.
     const LogEntry* committed_entry() const;
@@ -119,7 +120,7 @@
     const std::vector<std::string>& voters() const { return state_.entry.members; }
     // Known at the leader only.
     const std::set<std::string>& learners() const { return learners_; }
-    // Whether it is no member: its disk is lost, or it was left out.
+    // Whether it is no member: its disk was lost, or it was removed.
     bool is_recovering() const { return !state_.promise.member; }
     // When the last message from that machine came; 0: never.
     Micros last_contact(const std::string& member) const;
@@ -146,11 +147,11 @@
     // ---- election.cpp ----
     void restart_election_timer();
     void start_candidacy(Role role);
-    void tally_votes();
+    void count_votes();
     bool adopt_term(Term term);
     void step_down(Term term);
     void become_leader();
-    bool hears_leader() const { return now_ < heard_leader_at_ + options_.election_timeout; }
+    bool has_leader_contact() const { return now_ < last_leader_contact_ + options_.election_timeout; }
     bool may_owe_lease_to_other_than(const std::string& candidate) const;
     Term next_term() const;
     void handle_request_vote(const std::string& from, const VoteRequest& request);
@@ -172,7 +173,7 @@
     void handle_append_response(const std::string& from, const AppendResponse& response);
     void advance_commit();
     bool has_head(const std::string& voter) const;
-    bool hears_quorum() const;
+    bool has_quorum_contact() const;
     Micros lease_granted_at() const;
     Micros lease_granted_by(const std::vector<std::string>& group) const;
 
@@ -197,7 +198,7 @@
     void drop_silent_learners();
     bool is_safe_without(const std::string& member) const;
     void continue_leaving();
-    void hand_over();
+    void transfer_leadership();
     void handle_join_request(const std::string& from);
     void handle_leave_request(const std::string& from);
     void handle_leave_response(const LeaveResponse& response);
@@ -227,24 +228,25 @@
 
     // ---- elections (Raft, section 5.2) ----
     ElectionTimer election_timer_;
-    Micros heard_leader_at_ = 0;   // when a leader's message was accepted last, or this member started
-    std::set<std::string> votes_;  // of this candidacy, the own one included
-    // The leader asked for this election (thesis, section 3.10): no lease stands against it.
-    bool leader_handed_over_ = false;
-    // Others vote in no term below this one, as far as their refusals have told.
+    Micros last_leader_contact_ = 0;  // when a leader's message was accepted last, or this member started
+    std::set<std::string> votes_;     // of this candidacy, the own one included
+    // The leader asked for this election (thesis, section 3.10): its lease does not prevent votes.
+    bool is_leadership_transfer_ = false;
+    // The first term in which others may vote, as learned from their refusals.
     Term min_next_term_ = 0;
 
     // ---- the leader's; meaningless in other roles ----
-    std::map<std::string, Peer> peers_;  // whoever sent a message; last_contact counts in all roles
+    std::map<std::string, Peer>
+        peers_;  // by address: all that sent a message; last_contact is kept in all roles
     LeaderLease lease_;
     Micros next_heartbeat_ = 0;
     EntryHistory history_;  // a follower's, too: it may lead next
     ProposalQueue proposals_;
     std::set<std::string> learners_;  // never voters of the newest entry
-    // Members that announced their end and have not answered since without announcing it.
+    // Members whose last response announced that they leave.
     std::set<std::string> leaving_members_;
-    // It handed over: it begins nothing more in this term.
-    bool handed_over_ = false;
+    // It transferred leadership: it starts nothing more in this term.
+    bool leadership_transferred_ = false;
 
     // ---- a follower's ----
     EntryReceiver receiver_;
--- a/src/cluster/consensus/election.cpp
+++ b/src/cluster/consensus/election.cpp
@@ -1,5 +1,5 @@
-// Elections (Raft, section 5.2; pre-votes: thesis, section 9.6): who stands, who gets votes, and what a new
-// leader begins with.
+// Elections (Raft, section 5.2; pre-votes: thesis, section 9.6): who becomes a candidate, who gets votes, and
+// what a new leader starts with.
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// How long after its start a member that led when it went down campaigns eagerly: whoever is up again may
-// vote for it at once.
+// How long after its start a former leader campaigns eagerly: all members that are up may vote for it at
+// once.
 constexpr Micros kEagerSpan = 1'200'000;
 
 }  // namespace
@@ -25,7 +25,7 @@
 // Whether this member may owe its vote to the lease of a leader that is not the candidate.
 bool Consensus::may_owe_lease_to_other_than(const std::string& candidate) const {
     if (role_ == Role::leader) return has_lease(now_);
-    return hears_leader() && state_.promise.last_leader != candidate;
+    return has_leader_contact() && state_.promise.last_leader != candidate;
 }
 
 // The next term in which this member may stand: none in which it gives no vote, or for which a voter has
@@ -39,7 +39,7 @@
     restart_election_timer();
     leader_.clear();
     if (!is_voter(state_.entry, options_.self)) return;
-    if (leave_.is_begun()) return;  // it would not lead for long
+    if (leave_.is_begun()) return;  // a leader that is about to stop would cost another election
     const Term term = next_term();
     votes_ = {options_.self};
     role_ = role;
@@ -51,16 +51,19 @@
     const bool pre_vote = role == Role::pre_candidate;
     for (const std::string& voter : all_voters(state_.entry))
         if (!is_self(voter))
-            send(voter, VoteRequest{term, state_.entry.position, pre_vote, leader_handed_over_});
-    tally_votes();
+            send(voter, VoteRequest{term, state_.entry.position, pre_vote, is_leadership_transfer_});
+    count_votes();
 }
 
 void Consensus::handle_request_vote(const std::string& from, const VoteRequest& request) {
     if (role_ == Role::non_member) return;  // its lost disk may have promised anything
     const bool owes_lease = may_owe_lease_to_other_than(from) && !request.leader_hands_over;
-    if (request.pre_vote) return send(from, decide_pre_vote(request, owes_lease));
-    // No answer while a lease may be owed: the candidate does not hear what all others hear (Raft, section
-    // 6, on disruptive servers). A leader that hands over has given up its lease itself.
+    if (request.pre_vote) {
+        send(from, decide_pre_vote(request, owes_lease));
+        return;
+    }
+    // No response while a lease may be owed: the candidate missed heartbeats that others received (Raft,
+    // section 6, on disruptive servers). A leader that transfers leadership has given up its lease.
     if (!owes_lease) send(from, decide_vote(from, request));
 }
 
@@ -103,17 +106,21 @@
             // The voter has a newer term or has lost its disk: the vote is asked for at once in a term in
             // which it may be given.
             min_next_term_ = response.no_vote_through + 1;
-            return start_candidacy(Role::pre_candidate);
+            start_candidacy(Role::pre_candidate);
+            return;
         }
     } else {
-        if (response.term > current_term()) return step_down(response.term);
+        if (response.term > current_term()) {
+            step_down(response.term);
+            return;
+        }
         if (role_ != Role::candidate || response.term != current_term()) return;
     }
     if (response.granted) votes_.insert(from);
-    tally_votes();
+    count_votes();
 }
 
-void Consensus::tally_votes() {
+void Consensus::count_votes() {
     if (!quorum_agrees([&](const std::string& voter) { return votes_.contains(voter); })) return;
     if (role_ == Role::pre_candidate)
         start_candidacy(Role::candidate);
@@ -121,11 +128,11 @@
         become_leader();
 }
 
-// Leadership transfer (thesis, section 3.10): stands for election without waiting for a silence.
+// Leadership transfer (thesis, section 3.10): starts an election without waiting for a timeout.
 void Consensus::handle_timeout_now(const std::string& from, const TimeoutNow& request) {
     if (role_ != Role::follower || request.term != current_term() || from != leader_) return;
-    heard_leader_at_ = 0;
-    leader_handed_over_ = true;
+    last_leader_contact_ = 0;
+    is_leadership_transfer_ = true;
     start_candidacy(Role::pre_candidate);
 }
 
@@ -144,10 +151,10 @@
     if (role_ == Role::leader) {
         report(proposals_.abandon());
         leader_.clear();
-        handed_over_ = false;
+        leadership_transferred_ = false;
     }
     role_ = Role::follower;
-    leader_handed_over_ = false;
+    is_leadership_transfer_ = false;
     votes_.clear();
     restart_election_timer();
 }
@@ -155,8 +162,8 @@
 void Consensus::become_leader() {
     role_ = Role::leader;
     leader_ = options_.self;
-    leader_handed_over_ = false;
-    handed_over_ = false;
+    is_leadership_transfer_ = false;
+    leadership_transferred_ = false;
     lease_.reset();
     learners_.clear();
     leaving_members_.clear();
--- a/src/cluster/consensus/election_timer.hpp
+++ b/src/cluster/consensus/election_timer.hpp
@@ -1,5 +1,5 @@
-// When a member that hears no leader stands for election (Raft, section 5.2): after a random time, so that
-// few elections end without a leader.
+// When a member that receives no heartbeats becomes a candidate (Raft, section 5.2): after a random time, so
+// that split votes are rare.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
     // Due after 40 to 80 ms: for who may count on votes at once.
     void restart_eagerly(Micros now);
     Micros due_at() const { return due_at_; }
-    // How long a candidacy lasts at most: after it the candidate has won, has given up, or begins another
+    // Upper bound of a candidacy: by then the candidate has won, has stepped down, or has started another
     // one.
     Micros max_candidacy() const { return election_timeout_ + spread_; }
     // The number that was drawn for the last restart.
--- a/src/cluster/consensus/entry_history.hpp
+++ b/src/cluster/consensus/entry_history.hpp
@@ -1,5 +1,5 @@
-// Bodies of the newest entries that a member holds, as bases of the differences in which the leader sends the
-// head, and those differences as encoded payloads.
+// The bodies of the newest entries, and the head encoded as the difference to each of them: what the leader
+// sends to a member that has stored that entry.
 #pragma once
 
 #include <functional>
--- a/src/cluster/consensus/entry_transfer.hpp
+++ b/src/cluster/consensus/entry_transfer.hpp
@@ -36,7 +36,7 @@
     bool active() const { return payload_ != nullptr; }
     // Whether the payload needs more than one chunk.
     bool large() const { return payload_ != nullptr && payload_->size() > chunk_bytes_; }
-    // The entry under way; a newer one follows once the member holds this one. {}: none.
+    // The entry under way; a newer one follows once the member has stored this one. {}: none.
     const LogPosition& position() const { return position_; }
     const LogPosition& base() const { return base_; }
     // REQUIRES: active().
--- a/src/cluster/consensus/follower.cpp
+++ b/src/cluster/consensus/follower.cpp
@@ -22,7 +22,7 @@
     if (is_member && (term > current_term() || role_ != Role::follower)) step_down(term);
     if (!is_member && adopt_term(term)) output_.must_persist = true;
     leader_ = from;
-    heard_leader_at_ = now_;
+    last_leader_contact_ = now_;
     if (state_.promise.last_leader != from) {
         // Persisted before the response that grants the lease: it is owed after a restart, too.
         state_.promise.last_leader = from;
@@ -53,7 +53,8 @@
     respond_to_leader(from, chunk.round);
 }
 
-// A payload that can't be read is dropped: the response shows that the entry is missing, and it is sent anew.
+// A payload that can't be read is dropped: the response shows that the entry is missing, so that it is sent
+// again.
 void Consensus::install_payload(const EntryChunk& last_chunk, const std::string& bytes) {
     const bool is_complete = last_chunk.base == LogPosition{};
     leaf::try_handle_all(
--- a/src/cluster/consensus/leader_lease.hpp
+++ b/src/cluster/consensus/leader_lease.hpp
@@ -1,6 +1,6 @@
 // A leader's lease: the time in which no other member can have been elected (Raft, section 8, and Ongaro's
 // thesis, section 6.4.1). It is counted from when a heartbeat round was sent, not from when its responses
-// came: each voter that answered it keeps its vote for an election timeout from a later point in time on.
+// came: a voter that answered it withholds its vote for an election timeout, which starts later than that.
 #pragma once
 
 #include <map>
--- a/src/cluster/consensus/membership.cpp
+++ b/src/cluster/consensus/membership.cpp
@@ -15,7 +15,7 @@
 
 // ---- the leader ----
 
-// Whether it has answered no heartbeat for that long.
+// Whether it has answered no heartbeat for that time.
 bool Consensus::is_silent(const std::string& voter, Micros span) const {
     if (is_self(voter)) return false;
     const Peer* const peer = find_peer(voter);
@@ -55,7 +55,8 @@
     if (!state_.entry.outgoing_members.empty()) {
         LogEntry next = state_.entry;
         next.outgoing_members.clear();
-        return append(std::move(next));
+        append(std::move(next));
+        return;
     }
     if (!has_lease(now_)) return;
     const MembershipTimes times{options_.election_timeout, options_.replace_after, options_.remove_after};
@@ -73,7 +74,7 @@
     peer.last_response = 0;
 }
 
-// Whether all that is committed is held by a quorum without that member, and without others that leave.
+// Whether a quorum without that member, and without others that leave, has stored all committed entries.
 bool Consensus::is_safe_without(const std::string& member) const {
     if (committed_entry_.position != state_.entry.position) return false;
     return quorum_agrees([&](const std::string& voter) {
@@ -81,8 +82,8 @@
     });
 }
 
-// A voter gets its answer once it is not needed any more; one that can be replaced is replaced first, and is
-// answered when it is no voter any more.
+// A voter gets a response once it is no longer needed. If a learner can replace it, it is replaced first, and
+// gets the response to a later request.
 void Consensus::handle_leave_request(const std::string& from) {
     if (!is_established_leader()) return;
     if (is_voter(state_.entry, from)) {
@@ -94,7 +95,7 @@
     send(from, LeaveResponse{current_term()});
 }
 
-// ---- the member that leaves ----
+// ---- a member that leaves ----
 
 ConsensusOutput Consensus::begin_leaving(Micros now) {
     now_ = now;
@@ -111,14 +112,14 @@
     if (role_ == Role::non_member || is_alone)
         leave_.allow_stop();
     else if (role_ == Role::leader)
-        hand_over();
+        transfer_leadership();
     else if (!leader_.empty())
         send(leader_, LeaveRequest{});
 }
 
-// Leadership transfer (thesis, section 3.10): of the voters that hold the head, the one that answered last is
-// asked to stand for election.
-void Consensus::hand_over() {
+// Leadership transfer (thesis, section 3.10): of the voters that have stored the head, the one that
+// answered last is asked to start an election.
+void Consensus::transfer_leadership() {
     std::string successor;
     for (const std::string& voter : state_.entry.members) {
         if (is_self(voter) || leaving_members_.contains(voter) || !has_head(voter)) continue;
@@ -127,7 +128,7 @@
         if (is_fresher) successor = voter;
     }
     if (successor.empty()) return;
-    handed_over_ = true;
+    leadership_transferred_ = true;
     send(successor, TimeoutNow{current_term()});
 }
 
--- a/src/cluster/consensus/membership_plan.cpp
+++ b/src/cluster/consensus/membership_plan.cpp
@@ -7,14 +7,14 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMinVoters = 3;  // to which the core may shrink
+constexpr std::size_t kMinVoters = 3;  // removals leave at least so many
 
 bool is_gone(const VoterStatus& voter, Micros silence) {
     return voter.is_leaving || voter.silent_for >= silence;
 }
 
-// No learner is ready: the core goes on without voters that have left or are gone for long, so that it
-// tolerates the next loss.
+// No learner is ready: voters that leave or have been silent for long are removed without successors, so that
+// the core tolerates the next loss.
 std::vector<std::string> without_gone(const std::vector<VoterStatus>& voters, std::size_t count,
                                       Micros remove_after) {
     std::size_t to_remove = count;
@@ -49,7 +49,7 @@
         all_respond = all_respond && !is_gone(voter, times.unresponsive_after);
     }
     const std::size_t to_odd = planned.size() % 2 == 0 ? 1 : 2;
-    // A learner that is ready while a voter may be going may be its successor: it is kept for that.
+    // While a voter does not respond, ready learners are kept as its successors.
     if (all_respond && ready_learners.size() >= to_odd) {
         const auto first = ready_learners.end() - static_cast<std::ptrdiff_t>(to_odd);
         planned.insert(planned.end(), first, ready_learners.end());
--- a/src/cluster/consensus/membership_plan.hpp
+++ b/src/cluster/consensus/membership_plan.hpp
@@ -1,6 +1,6 @@
 // Which machines should vote. The number of voters stays odd: an even number tolerates no more losses than
-// one less. A learner takes the place of a voter that is silent or leaves; without such a voter two learners
-// come in together, and a single one stands by. A voter that only restarts stays a voter.
+// the odd number below it. A learner replaces a voter that is silent or leaves. Without such a voter two
+// learners are promoted together, and a single learner waits. A voter that only restarts stays a voter.
 #pragma once
 
 #include <string>
@@ -17,11 +17,11 @@
     Micros silent_for = 0;  // since its last response; 0: the leader itself
 };
 
-// After how long a silence a voter counts as what.
+// Silence of a voter, and what follows from it.
 struct MembershipTimes {
-    Micros unresponsive_after = 0;  // it may be going, so that a learner may be its successor
-    Micros replace_after = 0;       // a learner takes its place
-    Micros remove_after = 0;        // the core goes on without it
+    Micros unresponsive_after = 0;  // learners are kept as its successors
+    Micros replace_after = 0;       // a learner replaces it
+    Micros remove_after = 0;        // it is removed without a successor
 };
 
 // The voters that there should be; the same as now if nothing is to change. ready_learners have caught up.
--- a/src/cluster/consensus/peer.hpp
+++ b/src/cluster/consensus/peer.hpp
@@ -7,8 +7,8 @@
 
 namespace gannethold::cluster {
 
-// Times are of the own steady clock; 0: never. Apart from last_contact all of it is the leader's and counts
-// within its term.
+// Times are of the own steady clock; 0: never. All but last_contact is used by a leader only, and is
+// reset for each term.
 struct Peer {
     Micros last_contact = 0;     // when any message came from it
     Micros last_response = 0;    // when it answered a heartbeat
@@ -16,7 +16,7 @@
     LogPosition match_position;  // the newest entry known to be on its disk (Raft's matchIndex)
     EntrySender sender;
 
-    // Nothing is known of what it holds.
+    // Forgets what is known of its log.
     void reset_progress() {
         answered_round = 0;
         match_position = {};
--- a/src/cluster/consensus/planned_leave.hpp
+++ b/src/cluster/consensus/planned_leave.hpp
@@ -1,4 +1,5 @@
-// A planned end of a member: it asks until it is told that a quorum without it holds all that is committed.
+// A planned stop of a member: it repeats its request to leave until the leader confirms that a quorum without
+// it has stored all committed entries.
 #pragma once
 
 #include "types.hpp"
@@ -17,7 +18,7 @@
     bool is_request_due(Micros now) const { return begun_ && !may_stop_ && now >= next_request_at_; }
     void on_request(Micros now) { next_request_at_ = now + kRequestInterval; }
     Micros next_request_at() const { return next_request_at_; }
-    // Good for ever: what was committed by then is held without this member.
+    // Final: entries that are committed later do not depend on this member.
     void allow_stop() { may_stop_ = true; }
     bool may_stop() const { return may_stop_; }
 
--- a/src/cluster/consensus/proposals.cpp
+++ b/src/cluster/consensus/proposals.cpp
@@ -27,7 +27,7 @@
 void Consensus::append_next_change() {
     const LogPosition& committed = committed_entry_.position;
     const bool is_idle = committed == state_.entry.position && committed.term == current_term();
-    if (role_ != Role::leader || handed_over_ || !is_idle) return;
+    if (role_ != Role::leader || leadership_transferred_ || !is_idle) return;
     if (!append_proposals()) append_membership_change();
 }
 
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -1,4 +1,4 @@
-// Recovery of a member that lost its disk or was left out, and machines that come anew (recovery_state.hpp).
+// Recovery of a member that lost its disk or was removed, and of machines that join (recovery_state.hpp).
 #include <algorithm>
 
 #include "cluster/consensus/consensus.hpp"
@@ -18,7 +18,7 @@
 
 void Consensus::handle_recovery_request(const std::string& from, const RecoveryRequest& request) {
     if (role_ == Role::non_member) return;
-    const bool is_leader_known = role_ == Role::leader || hears_leader();
+    const bool is_leader_known = role_ == Role::leader || has_leader_contact();
     const LogEntry& head = state_.entry;
     send(from, RecoveryResponse{request.nonce, current_term(), state_.promise.pre_voted_through,
                                 is_leader_known ? leader_ : "", head.position, head.members,
@@ -43,7 +43,7 @@
     }
 }
 
-// It was left out, or never in: from here on it promises nothing before it is let in again.
+// It was removed, or was never a member: it promises nothing until it is a member again.
 void Consensus::become_learner(const RecoveryResponse& newest) {
     if (role_ != Role::non_member) {
         const bool is_newer = newest.held > state_.entry.position;
@@ -60,14 +60,14 @@
     return recovery_.accepts_state(now_ >= started_at_ + election_timer_.max_candidacy());
 }
 
-// A non-member holds a new entry: if that makes it a voter, it is a member from here on.
+// A non-member has installed an entry: if that names it as a voter, it is a member from now on.
 void Consensus::become_member_if_voter() {
     if (!is_voter(state_.entry, options_.self)) return;
     if (!recovery_.is_satisfied_by(state_.entry.position)) return;
     Promise& promise = state_.promise;
     promise.member = true;
     promise.no_vote_through = std::max({promise.no_vote_through, recovery_.no_vote_through(), promise.term});
-    promise.voted_for = options_.self;  // nobody else gets its vote in this term
+    promise.voted_for = options_.self;  // no other member gets its vote in this term
     role_ = Role::follower;
     recovery_.finish();
     output_.must_persist = true;
--- a/src/cluster/consensus/recovery_state.hpp
+++ b/src/cluster/consensus/recovery_state.hpp
@@ -1,9 +1,9 @@
-// What a member knows while it finds out whether it belongs to the core: after a lost disk, as a machine that
-// comes anew, or as one that was left out (Liskov and Cowling, "Viewstamped Replication Revisited", section
-// 4.3).
+// What a machine knows while it finds out whether it is a member: after its disk was lost, when it joins, or
+// after it was removed (Liskov and Cowling, "Viewstamped Replication Revisited", section 4.3).
 //
-// If it is still a voter, it is a member again once it holds the newest state that a quorum knew of; it gives
-// no vote in terms in which its lost disk may have voted. If it is none, it asks the leader to be a learner.
+// If it is still a voter, it is a member again once it has the newest state that a quorum reported, and it
+// does not vote in terms in which it may have voted before the loss. Otherwise it asks the leader to become a
+// learner.
 #pragma once
 
 #include <map>
@@ -32,30 +32,30 @@
     // The response with the newest entry. REQUIRES: add_response() was true, and no forget_responses() since.
     const RecoveryResponse& newest_response() const;
     // Whether as many others as a quorum of the newest entry's voters have answered. One of them at least
-    // holds whatever was committed, even if this member had the other copy of it, and has pre-voted in each
-    // term in which this member may have voted.
+    // has stored every committed entry, even if this member had the other replica of it, and has pre-voted in
+    // each term in which this member may have voted.
     bool has_quorum_without(const std::string& self) const;
     void forget_responses() { responses_.clear(); }
 
-    // It does not belong: whatever state a leader sends is taken.
+    // It is no member: any state that a leader sends is accepted.
     void await_invitation();
-    // It belongs: it awaits the newest entry that was reported. current_term: its own, at least as new as
+    // It is a member: it awaits the newest entry that was reported. current_term: its own, at least as new as
     // all that were reported.
     void await_state(Term current_term);
     // The newest term that was reported; 0: none.
     Term newest_term() const;
-    // Whether the leader may bring this member the state: it knows whether it belonged here before. If it
-    // did, a candidate may still count a vote that it gave before its disk was lost, until candidacies of
-    // that time are over.
+    // Whether the leader may bring this member the state: it knows whether it was one before. If it
+    // was, a candidate may still count a vote that it gave before its disk was lost, until all candidacies of
+    // that time have ended.
     bool accepts_state(bool old_candidacies_over) const {
         return awaits_invitation_ || (awaited_state_ && old_candidacies_over);
     }
     bool is_satisfied_by(const LogPosition& position) const {
         return !awaited_state_ || position >= *awaited_state_;
     }
-    // It gives no vote in terms up to this one: its lost disk may have.
+    // It does not vote in terms up to this one: it may have done so before its disk was lost.
     Term no_vote_through() const { return no_vote_through_; }
-    // It is a member: what is known of the inquiry is dropped.
+    // It is a member again: the inquiry is over.
     void finish();
 
   private:
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::size_t kMaxLargeTransfers = 3;  // at once: they share the leader's uplink
-// A leader that no quorum has answered for so many election timeouts steps down: whoever asks it should look
-// for another one.
+// Election timeouts without responses of a quorum after which a leader steps down, so that clients look for
+// another one (thesis, section 6.2).
 constexpr int kTimeoutsUntilStepDown = 2;
-// Followers learn by the next heartbeat that an entry is committed; after a commit it comes sooner.
+// Followers learn of a commit by the next heartbeat, which is therefore sent after this part of the interval.
 constexpr int kHeartbeatSpeedUp = 4;
 
 }  // namespace
@@ -40,7 +40,7 @@
     return is_established_leader() && lease_.is_valid(lease_granted_at(), now);
 }
 
-bool Consensus::hears_quorum() const {
+bool Consensus::has_quorum_contact() const {
     const Micros since = now_ - kTimeoutsUntilStepDown * options_.election_timeout;
     return quorum_agrees([&](const std::string& voter) {
         const Peer* const peer = find_peer(voter);
@@ -60,7 +60,7 @@
     advance_commit();  // a leader without other voters is a quorum
 }
 
-// Bodies that a member is being sent are kept, too: what it gets next is a difference to them.
+// Bodies under transfer are kept, too: the next transfer to that member is a difference to them.
 void Consensus::remember_head() {
     history_.add(state_.entry, [&](const LogPosition& position) {
         return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
@@ -109,7 +109,7 @@
 }
 
 LogPosition Consensus::transfer_base(const Peer& peer) const {
-    // A peer that has not answered in this term most likely holds what was the head before.
+    // A peer that has not answered in this term most likely has the entry before the head.
     if (peer.answered_round == 0)
         if (const std::optional<LogPosition> previous = history_.previous()) return *previous;
     return history_.contains(peer.match_position) ? peer.match_position : LogPosition{};
@@ -120,28 +120,32 @@
 }
 
 void Consensus::handle_append_response(const std::string& from, const AppendResponse& response) {
-    if (response.term > current_term()) return step_down(response.term);
+    if (response.term > current_term()) {
+        step_down(response.term);
+        return;
+    }
     if (role_ != Role::leader || response.term != current_term()) return;
     Peer& peer = peers_[from];
     peer.last_response = now_;
     if (response.leaving)
         leaving_members_.insert(from);
     else
-        leaving_members_.erase(from);  // it has started anew
-    // A round that was not sent yet grants nothing: it is of an earlier incarnation of this leader, answered
-    // by a member that stood still meanwhile.
+        leaving_members_.erase(from);  // it has restarted
+    // A round that was not sent yet grants nothing: a member that was frozen may answer heartbeats of an
+    // earlier incarnation of this leader.
     if (response.round <= lease_.newest_round())
         peer.answered_round = std::max(peer.answered_round, response.round);
     peer.match_position = response.held;
     if (peer.match_position == state_.entry.position) {
         peer.sender.stop();
-        return advance_commit();
+        advance_commit();
+    } else if (peer.sender.active()) {
+        continue_transfer(from, peer, response);
     }
-    if (peer.sender.active()) continue_transfer(from, peer, response);
 }
 
-// An entry that is under way is sent to its end even if it is not the head any more, so that a member makes
-// progress however often the configuration changes.
+// A transfer is completed even if its entry is no longer the head, so that a member makes progress however
+// often the configuration changes.
 void Consensus::continue_transfer(const std::string& to, Peer& peer, const AppendResponse& response) {
     EntrySender& sender = peer.sender;
     const bool is_complete = peer.match_position == sender.position();
--- a/src/cluster/consensus/rules.cpp
+++ b/src/cluster/consensus/rules.cpp
@@ -5,8 +5,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// Entries that a learner may still lack as it becomes a voter: while the configuration changes often it would
-// else never be level with the head.
+// Entries that a learner may still lack when it becomes a voter: while the configuration changes often, it
+// would otherwise never have the head.
 constexpr LogIndex kMaxLearnerLag = 2;
 
 }  // namespace
--- a/src/cluster/consensus/rules.hpp
+++ b/src/cluster/consensus/rules.hpp
@@ -1,6 +1,6 @@
-// The decisions on which the safety of the core and the load on its links rest, apart from the state machine
-// that takes them. Each is a virtual function, so that a test can put a faulty one in its place and show that
-// its checks find it; the programs use standard() only.
+// Decisions on which the safety of the core and the load on its links depend, separate from the state machine
+// that uses them. Each is a virtual function, so that a test can replace it by a faulty one and show that its
+// checks detect the fault. The programs use standard() only.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace gannethold::cluster {
 
-// What a leader knows of a learner that it brings the state.
+// What a leader knows of a learner.
 struct LearnerProgress {
     bool responds = false;       // it answered a heartbeat within the last election timeout
     LogPosition match_position;  // the newest entry that it is known to have on disk
@@ -36,8 +36,7 @@
     // head is not part of another change.
     virtual LogEntry begin_membership_change(const LogEntry& head, std::vector<std::string> members) const;
 
-    // Whether a learner holds enough to be made a voter without holding up commits (Ongaro's thesis, section
-    // 4.2.1).
+    // Whether a learner can become a voter without delaying commits (Ongaro's thesis, section 4.2.1).
     virtual bool has_caught_up(const LearnerProgress& learner, const LogPosition& head) const;
 
     // Whether a transfer is to be started, with the next heartbeat, to a member that lacks the head.
--- a/src/cluster/store/confirmed_record.cpp
+++ b/src/cluster/store/confirmed_record.cpp
@@ -18,7 +18,7 @@
     return std::string(digits - length, '0').append(text, length);
 }
 
-// nullopt: not a number with just so many digits.
+// nullopt: not a number of exactly that many digits.
 std::optional<std::uint64_t> parse(std::string_view text, std::size_t digits, int base) {
     std::uint64_t number = 0;
     const std::from_chars_result read = std::from_chars(text.data(), text.data() + text.size(), number, base);
--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -68,7 +68,7 @@
     const std::string path = folder + kDatabaseName;
     OpenResult opened = open_database(path);
     if (opened.status.IsCorruption() || opened.status.IsInvalidArgument()) {
-        // A lost disk: the member learns its state anew from the others.
+        // A lost disk: the member recovers its state from the others.
         leveldb::DestroyDB(path, database_options());
         opened = open_database(path);
     }
--- a/tests/system/consensus/election_test.cpp
+++ b/tests/system/consensus/election_test.cpp
@@ -5,64 +5,53 @@
 #include <vector>
 
 #include "cluster/consensus/consensus.hpp"
+#include "member_fixture.hpp"
 
-namespace gannethold::cluster {
+namespace gannethold::cluster::tests {
 namespace {
 
-// The requests for votes, or for pre-votes, of that term in an output.
-std::ptrdiff_t count_vote_requests(const ConsensusOutput& output, Number term, bool pre_vote) {
-    return std::count_if(output.messages.begin(), output.messages.end(), [&](const auto& envelope) {
-        const auto* const request = std::get_if<VoteRequest>(&envelope.message);
-        return request && request->term == term && request->pre_vote == pre_vote;
-    });
+std::size_t count_vote_requests(const ConsensusOutput& output, Term term, bool pre_vote) {
+    const auto requests = messages_of<VoteRequest>(output);
+    return static_cast<std::size_t>(std::count_if(requests.begin(), requests.end(), [&](const auto& request) {
+        return request.term == term && request.pre_vote == pre_vote;
+    }));
 }
 
-std::vector<VoteResponse> vote_responses(const ConsensusOutput& output) {
-    std::vector<VoteResponse> responses;
-    for (const auto& envelope : output.messages)
-        if (const auto* const response = std::get_if<VoteResponse>(&envelope.message))
-            responses.push_back(*response);
-    return responses;
-}
-
-// Members a, b and c. In terms 4 and 5 the lost disk of a may have voted.
+// In terms 4 and 5 its lost disk may have voted.
 struct MemberWithLostDisk {
     MemberWithLostDisk() {
-        options.self = "a";
-        options.seeds = {"a", "b", "c"};
-        state.promise = {true, 3, "a", 5, 0, {}};
-        state.entry = {{3, 4}, 1, {"a", "b", "c"}, {}, {}, "x"};
+        state.promise.voted_for = "a";
+        state.promise.no_vote_through = 5;
     }
-    Consensus::Options options;
-    PersistentState state;
+    Consensus::Options options = member_options("a");
+    PersistentState state = member_state();
 };
 
 BOOST_AUTO_TEST_CASE(a_member_that_lost_its_disk_does_not_stand_in_terms_in_which_it_may_have_voted) {
     const MemberWithLostDisk member;
-    Consensus consensus(member.options, member.state, 10'000'000);
+    Consensus consensus(member.options, member.state, kStart);
     ConsensusOutput output = consensus.start();
     BOOST_TEST(output.messages.empty());
     output = consensus.on_timer(12'000'000);
     // Not even by a pre-vote.
-    BOOST_TEST(count_vote_requests(output, 4, true) == 0);
-    BOOST_TEST(count_vote_requests(output, 5, true) == 0);
-    BOOST_TEST(count_vote_requests(output, 6, true) == 2);
-    output = consensus.on_message(12'001'000, "b", VoteResponse{4, true, true, 0});
-    BOOST_TEST(count_vote_requests(output, 4, false) == 0);
-    BOOST_TEST(count_vote_requests(output, 6, false) == 0);
-    output = consensus.on_message(12'002'000, "b", VoteResponse{6, true, true, 0});
-    BOOST_TEST(count_vote_requests(output, 6, false) == 2);
+    BOOST_TEST(count_vote_requests(output, 4, true) == 0U);
+    BOOST_TEST(count_vote_requests(output, 5, true) == 0U);
+    BOOST_TEST(count_vote_requests(output, 6, true) == 2U);
+    output = consensus.on_message(12'001'000, "b", vote(4, true));
+    BOOST_TEST(count_vote_requests(output, 4, false) == 0U);
+    BOOST_TEST(count_vote_requests(output, 6, false) == 0U);
+    output = consensus.on_message(12'002'000, "b", vote(6, true));
+    BOOST_TEST(count_vote_requests(output, 6, false) == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_member_that_lost_its_disk_votes_in_no_term_in_which_it_may_have_voted) {
     MemberWithLostDisk member;
     member.state.promise.term = 4;
     member.state.promise.voted_for.clear();
-    Consensus consensus(member.options, member.state, 10'000'000);
-    static_cast<void>(consensus.start());
-    const ConsensusOutput output =
-        consensus.on_message(12'000'000, "c", VoteRequest{5, {4, 9}, false, false});
-    const std::vector<VoteResponse> responses = vote_responses(output);
+    Consensus consensus(member.options, member.state, kStart);
+    ignore(consensus.start());
+    const ConsensusOutput output = consensus.on_message(12'000'000, "c", vote_request(5, {4, 9}));
+    const std::vector<VoteResponse> responses = messages_of<VoteResponse>(output);
     BOOST_TEST(std::none_of(responses.begin(), responses.end(),
                             [](const VoteResponse& response) { return response.granted; }));
 }
@@ -70,25 +59,78 @@
 // A candidate whose term is behind learns the voter's from the refusal, and asks for one in which it may get
 // the vote.
 BOOST_AUTO_TEST_CASE(a_refused_pre_vote_names_the_term_to_ask_for) {
-    Consensus::Options options;
-    options.self = "a";
-    PersistentState state;
-    state.promise = {true, 1, {}, 0, 0, {}};
-    state.entry = {{1, 8}, 1, {"a", "b", "c"}, {}, {}, "x"};
-    Consensus candidate(options, state, 1'000'000);
-    static_cast<void>(candidate.start());
-    options.self = "b";
-    state.promise = {true, 2, "a", 0, 0, {}};
-    state.entry.position = {1, 7};
-    Consensus voter(options, state, 1'000'000);
-    static_cast<void>(voter.start());
-    BOOST_TEST(count_vote_requests(candidate.on_timer(3'000'000), 2, true) == 2);
-    const std::vector<VoteResponse> responses =
-        vote_responses(voter.on_message(3'000'000, "a", VoteRequest{2, {1, 8}, true, false}));
+    PersistentState state = member_state();
+    state.entry.position = {kTerm, 9};
+    Consensus candidate(member_options("a"), state, kStart);
+    ignore(candidate.start());
+    state.promise.term = kTerm + 1;
+    state.promise.voted_for = "a";
+    state.entry.position = {kTerm, 8};
+    Consensus voter(member_options("b"), state, kStart);
+    ignore(voter.start());
+    BOOST_TEST(count_vote_requests(candidate.on_timer(kElectionDue), kTerm + 1, true) == 2U);
+    VoteRequest request = vote_request(kTerm + 1, {kTerm, 9});
+    request.pre_vote = true;
+    const auto responses = messages_of<VoteResponse>(voter.on_message(kElectionDue, "a", request));
     BOOST_REQUIRE(!responses.empty());
     BOOST_TEST(!responses.front().granted);
-    BOOST_TEST(count_vote_requests(candidate.on_message(3'001'000, "b", responses.front()), 3, true) == 2);
+    const ConsensusOutput next = candidate.on_message(kElectionDue, "b", responses.front());
+    BOOST_TEST(count_vote_requests(next, kTerm + 2, true) == 2U);
+}
+
+class StartedVoter {
+  public:
+    StartedVoter() : member(member_options("b"), member_state(), kStart) { ignore(member.start()); }
+    // Whether it answers, and grants its vote.
+    bool grants(const std::string& candidate, const VoteRequest& request, Micros now = kElectionDue) {
+        const auto responses = messages_of<VoteResponse>(member.on_message(now, candidate, request));
+        return !responses.empty() && responses.front().granted;
+    }
+    Consensus member;
+};
+
+BOOST_AUTO_TEST_CASE(a_member_votes_once_a_term) {
+    StartedVoter voter;
+    const VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
+    BOOST_TEST(voter.member.on_message(kElectionDue, "a", request).must_persist);
+    BOOST_TEST(voter.member.persistent_state().promise.voted_for == "a");
+    BOOST_TEST(!voter.grants("c", request));
+    BOOST_TEST(voter.grants("a", request));
+    BOOST_TEST(voter.grants("c", vote_request(kTerm + 2, {kTerm, 8})));
+}
+
+BOOST_AUTO_TEST_CASE(a_candidate_without_the_newest_entry_gets_no_vote) {
+    StartedVoter voter;
+    BOOST_TEST(!voter.grants("a", vote_request(kTerm + 1, {kTerm, 7})));
+    BOOST_TEST(!voter.grants("a", vote_request(kTerm + 2, {kTerm - 1, 9})));
+    BOOST_TEST(voter.grants("a", vote_request(kTerm + 3, {kTerm, 9})));
+}
+
+BOOST_AUTO_TEST_CASE(a_leader_s_lease_keeps_votes_from_others_unless_it_transfers_leadership) {
+    StartedVoter voter;
+    ignore(voter.member.on_message(kElectionDue, "c", heartbeat(kTerm, 5)));
+    VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
+    BOOST_TEST(voter.member.on_message(kElectionDue + 449'999, "a", request).messages.empty());
+    BOOST_TEST(voter.member.current_term() == kTerm);
+    request.leader_hands_over = true;
+    BOOST_TEST(voter.grants("a", request, kElectionDue + 449'999));
+}
+
+BOOST_AUTO_TEST_CASE(a_leader_that_restarts_gets_votes_at_once) {
+    StartedVoter voter;
+    ignore(voter.member.on_message(kElectionDue, "c", heartbeat(kTerm, 5)));
+    BOOST_TEST(voter.grants("c", vote_request(kTerm + 1, {kTerm, 8}), kElectionDue));
+}
+
+BOOST_AUTO_TEST_CASE(a_pre_vote_raises_no_term_and_is_persisted) {
+    StartedVoter voter;
+    VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
+    request.pre_vote = true;
+    const ConsensusOutput output = voter.member.on_message(kElectionDue, "a", request);
+    BOOST_TEST(output.must_persist);
+    BOOST_TEST(voter.member.current_term() == kTerm);
+    BOOST_TEST(voter.member.persistent_state().promise.pre_voted_through == kTerm + 1);
 }
 
 }  // namespace
-}  // namespace gannethold::cluster
+}  // namespace gannethold::cluster::tests
--- a/tests/system/consensus/faulty_rules.hpp
+++ b/tests/system/consensus/faulty_rules.hpp
@@ -33,7 +33,7 @@
 };
 
 // The complete entry is sent at once, and again on a timer, whatever was confirmed.
-class ResendsWholeEntry final : public ConsensusRules {
+class ResendsCompleteEntry final : public ConsensusRules {
   public:
     bool is_transfer_due(const EntrySender& sender, Micros now) const override {
         return !sender.active() || now >= sender.started_at() + kResendInterval;
--- a/tests/system/world_cores.cpp
+++ b/tests/system/world_cores.cpp
@@ -17,7 +17,7 @@
     static const tests::IncomingMajorityOnly kIncomingMajorityOnly;
     static const tests::LearnersVoteAtOnce kLearnersVoteAtOnce;
     static const tests::NoJointConsensus kNoJointConsensus;
-    static const tests::ResendsWholeEntry kResendsWholeEntry;
+    static const tests::ResendsCompleteEntry kResendsCompleteEntry;
     switch (sabotage) {
         case Sabotage::quorum_of_new_voters:
             return kIncomingMajorityOnly;
@@ -26,7 +26,7 @@
         case Sabotage::change_without_joint_step:
             return kNoJointConsensus;
         case Sabotage::resend_whole_entry:
-            return kResendsWholeEntry;
+            return kResendsCompleteEntry;
         default:
             return ConsensusRules::standard();
     }
