--- a/tests/system/simulation/core_machines.cpp
+++ b/tests/system/simulation/core_machines.cpp
@@ -22,13 +22,13 @@
     static const tests::NoJointConsensus kNoJointConsensus;
     static const tests::ResendsCompleteEntry kResendsCompleteEntry;
     switch (fault) {
-        case PlantedFault::quorum_of_new_voters:
+        case PlantedFault::incoming_majority_only:
             return kIncomingMajorityOnly;
-        case PlantedFault::learner_votes_at_once:
+        case PlantedFault::learners_vote_at_once:
             return kLearnersVoteAtOnce;
-        case PlantedFault::change_without_joint_step:
+        case PlantedFault::no_joint_consensus:
             return kNoJointConsensus;
-        case PlantedFault::resend_full_entry:
+        case PlantedFault::resend_complete_entry:
             return kResendsCompleteEntry;
         default:
             return ConsensusRules::standard();
