--- a/src/cluster/proxy_server/forwarding.cpp
+++ b/src/cluster/proxy_server/forwarding.cpp
@@ -28,7 +28,7 @@
     request.method = downstream.method;
     request.target = downstream.target;
     for (const auto& [name, value] : downstream.fields)
-        if (!of_one_connection(name) && !is_set_by_proxy(name)) request.fields.emplace_back(name, value);
+        if (!is_hop_by_hop(name) && !is_set_by_proxy(name)) request.fields.emplace_back(name, value);
     request.fields.emplace_back(kDeadlineHeader, std::to_string(forward.remaining_ms));
     request.fields.emplace_back(kExpectedRunnerHeader, forward.runner);
     request.body = downstream.body;
@@ -39,7 +39,7 @@
     HttpMessage response;
     response.status = upstream.status;
     for (auto& [name, value] : upstream.fields)
-        if (!of_one_connection(name)) response.fields.emplace_back(std::move(name), std::move(value));
+        if (!is_hop_by_hop(name)) response.fields.emplace_back(std::move(name), std::move(value));
     response.body = std::move(upstream.body);
     return response;
 }
--- a/tests/system/proxy_server/program_test.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -12,7 +12,7 @@
 #include "cluster/configuration/delta.hpp"
 #include "cluster/transport/message_connection.hpp"
 #include "net/listener.hpp"
-#include "../peers.hpp"
+#include "../scripted_peers.hpp"
 #include "../program.hpp"
 
 namespace gannethold::cluster {
@@ -41,14 +41,14 @@
         BOOST_REQUIRE(until([this] { return configuration_held_; }));
     }
 
-    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
+    bool until(const std::function<bool()>& condition) { return run_loop_until(loop, condition); }
     void run_for(Micros span) {
         until([end = net::Loop::now() + span] { return net::Loop::now() > end; });
     }
-    Wire client(const std::string& request) const {
-        Wire wire = Wire::to(frontend_);
-        wire.say(request);
-        return wire;
+    ScriptedConnection client(const std::string& request) const {
+        ScriptedConnection connection = ScriptedConnection::connect_to(frontend_);
+        connection.send(request);
+        return connection;
     }
     static std::string make_request(const std::string& path, const std::string& id,
                                     const std::string& method = "POST", const std::string& body = {}) {
@@ -61,29 +61,30 @@
                "\r\nX-Runner-Seal: s\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     // The runner's connection on which that request arrived last, once it has arrived so often in all.
-    Wire& connection_at_runner(const std::string& id, std::size_t times = 1) {
+    ScriptedConnection& connection_at_runner(const std::string& id, std::size_t times = 1) {
         BOOST_REQUIRE(until([&] { return count_at_runner(id) >= times; }));
-        Wire* found = nullptr;
-        for (Wire& wire : runner.guests())
-            if (wire.has("X-Attempt-Id: " + id + "\r\n")) found = &wire;
+        ScriptedConnection* found = nullptr;
+        for (ScriptedConnection& connection : runner.connections())
+            if (connection.has_received("X-Attempt-Id: " + id + "\r\n")) found = &connection;
         return *found;
     }
     std::size_t count_at_runner(const std::string& id) {
         std::size_t times = 0;
-        for (Wire& wire : runner.guests()) times += count(wire.look().got, "X-Attempt-Id: " + id + "\r\n");
+        for (ScriptedConnection& connection : runner.connections())
+            times += count_occurrences(connection.receive().received, "X-Attempt-Id: " + id + "\r\n");
         return times;
     }
     // The complete response that a client received, after a check that it is the only one.
-    std::string response_to(Wire& client, const std::string& status) {
-        BOOST_TEST(until([&] { return client.has("HTTP/1.1 " + status); }), client.got);
+    std::string response_to(ScriptedConnection& client, const std::string& status) {
+        BOOST_TEST(until([&] { return client.has_received("HTTP/1.1 " + status); }), client.received);
         run_for(20'000);
-        BOOST_TEST(count(client.look().got, "HTTP/1.1 ") == 1U, client.got);
-        return client.got;
+        BOOST_TEST(count_occurrences(client.receive().received, "HTTP/1.1 ") == 1U, client.received);
+        return client.received;
     }
     long resident_kb() const { return proxy_->resident_kb(); }
 
     net::Loop loop{8192};
-    Door runner;
+    ScriptedListener runner;
     bool grants_slots = true;
     std::size_t acquires = 0;     // that the proxy asked for
     std::size_t withdrawals = 0;  // of those, before they were granted
@@ -100,8 +101,8 @@
 
     void on_accept(evutil_socket_t socket) {
         MessageConnection::Events events;
-        events.message_received = [this](const ReceivedMessage& received) { on_message(received.message); };
-        events.ended = [] {};
+        events.on_message = [this](const ReceivedMessage& received) { on_message(received.message); };
+        events.on_disconnected = [] {};
         core_connections_.push_back(std::make_unique<MessageConnection>(loop, socket, std::move(events)));
     }
 
@@ -135,36 +136,36 @@
 BOOST_AUTO_TEST_CASE(a_non_idempotent_request_is_sent_once_whatever_its_connection_does) {
     ProxyFixture fixture;
     const std::string head = "HTTP/1.1 200 OK\r\nX-Runner-Seal: s\r\nX-Attempt-Id: ";
-    const std::vector<std::function<void(Wire&, const std::string&)>> endings = {
-        [](Wire& wire, const std::string&) { wire.reset(); },
-        [](Wire& wire, const std::string&) { wire.hang_up(); },
-        [](Wire& wire, const std::string&) { wire.half_close(); },
-        [](Wire& wire, const std::string&) { wire.say("SSH-2.0\r\n\r\n"); },
-        [&](Wire& wire, const std::string& id) {
-            wire.say(head + id + "\r\nContent-Length: 9\r\n\r\npart");
-            wire.reset();
+    const std::vector<std::function<void(ScriptedConnection&, const std::string&)>> endings = {
+        [](ScriptedConnection& connection, const std::string&) { connection.reset(); },
+        [](ScriptedConnection& connection, const std::string&) { connection.close(); },
+        [](ScriptedConnection& connection, const std::string&) { connection.half_close(); },
+        [](ScriptedConnection& connection, const std::string&) { connection.send("SSH-2.0\r\n\r\n"); },
+        [&](ScriptedConnection& connection, const std::string& id) {
+            connection.send(head + id + "\r\nContent-Length: 9\r\n\r\npart");
+            connection.reset();
         },
-        [&](Wire& wire, const std::string& id) {
-            wire.say(head + id + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n");
-            wire.hang_up();
+        [&](ScriptedConnection& connection, const std::string& id) {
+            connection.send(head + id + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n");
+            connection.close();
         },
-        [&](Wire& wire, const std::string& id) {
-            wire.say(head + id + "\r\n\r\npart");
-            wire.hang_up();
+        [&](ScriptedConnection& connection, const std::string& id) {
+            connection.send(head + id + "\r\n\r\npart");
+            connection.close();
         },
-        [&](Wire& wire, const std::string&) {
-            wire.say("HTTP/1.1 200 OK\r\nX-Runner-Seal: s\r\nContent-Length: 4\r\n\r\npart");
+        [&](ScriptedConnection& connection, const std::string&) {
+            connection.send("HTTP/1.1 200 OK\r\nX-Runner-Seal: s\r\nContent-Length: 4\r\n\r\npart");
         },
-        [&](Wire& wire, const std::string&) {
-            wire.say(ProxyFixture::make_response("another", "x"));
-            wire.hang_up();
+        [&](ScriptedConnection& connection, const std::string&) {
+            connection.send(ProxyFixture::make_response("another", "x"));
+            connection.close();
         },
-        [&](Wire& wire, const std::string& id) {
-            wire.say("HTTP/1.1 503 x\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
+        [&](ScriptedConnection& connection, const std::string& id) {
+            connection.send("HTTP/1.1 503 x\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
         }};
     for (std::size_t n = 0; n < endings.size(); ++n) BOOST_TEST_CONTEXT("end " << n) {
             const std::string id = "once-" + std::to_string(n);
-            Wire client = fixture.client(ProxyFixture::make_request("/once/x", id));
+            ScriptedConnection client = fixture.client(ProxyFixture::make_request("/once/x", id));
             endings[n](fixture.connection_at_runner(id), id);
             const std::string got = fixture.response_to(client, "502");
             BOOST_TEST(got.find("part") == std::string::npos);
@@ -174,16 +175,16 @@
 
 BOOST_AUTO_TEST_CASE(a_rejected_request_is_retried_and_then_answered_as_not_run) {
     ProxyFixture fixture;
-    Wire client = fixture.client(ProxyFixture::make_request("/once/x", "full"));
+    ScriptedConnection client = fixture.client(ProxyFixture::make_request("/once/x", "full"));
     for (std::size_t n = 1; n <= 3; ++n) {
         // Each attempt at the one address has its own connection: a surplus response would bear its id.
-        Wire& wire = fixture.connection_at_runner("full", n);
-        BOOST_TEST(count(wire.got, "X-Attempt-Id: full") == 1U);
+        ScriptedConnection& connection = fixture.connection_at_runner("full", n);
+        BOOST_TEST(count_occurrences(connection.received, "X-Attempt-Id: full") == 1U);
         const std::string not_run =
             "HTTP/1.1 503 x\r\nX-Attempt-Id: full\r\nX-Request-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-        wire.say(not_run);
+        connection.send(not_run);
         fixture.run_for(20'000);
-        wire.say(not_run);
+        connection.send(not_run);
     }
     fixture.response_to(client, "503");
     BOOST_TEST(fixture.count_at_runner("full") == 3U);
@@ -192,19 +193,19 @@
 BOOST_AUTO_TEST_CASE(a_late_or_surplus_response_reaches_no_client) {
     ProxyFixture fixture;
     // Its deadline has passed: the response comes when no client waits for it.
-    Wire slow = fixture.client(ProxyFixture::make_request("/once/x", "slow"));
-    Wire& late = fixture.connection_at_runner("slow");
+    ScriptedConnection slow = fixture.client(ProxyFixture::make_request("/once/x", "slow"));
+    ScriptedConnection& late = fixture.connection_at_runner("slow");
     fixture.response_to(slow, "504");
-    late.say(ProxyFixture::make_response("slow", "late"));
-    Wire first = fixture.client(ProxyFixture::make_request("/again/x", "first"));
-    Wire& wire = fixture.connection_at_runner("first");
-    wire.say(ProxyFixture::make_response("first", "of first"));
+    late.send(ProxyFixture::make_response("slow", "late"));
+    ScriptedConnection first = fixture.client(ProxyFixture::make_request("/again/x", "first"));
+    ScriptedConnection& connection = fixture.connection_at_runner("first");
+    connection.send(ProxyFixture::make_response("first", "of first"));
     BOOST_TEST(fixture.response_to(first, "200").ends_with("of first"));
     // A surplus response, where the next one is due.
-    Wire second = fixture.client(ProxyFixture::make_request("/again/x", "second"));
-    BOOST_TEST(&fixture.connection_at_runner("second") == &wire);
-    wire.say(ProxyFixture::make_response("first", "extra") +
-             ProxyFixture::make_response("second", "of second"));
+    ScriptedConnection second = fixture.client(ProxyFixture::make_request("/again/x", "second"));
+    BOOST_TEST(&fixture.connection_at_runner("second") == &connection);
+    connection.send(ProxyFixture::make_response("first", "extra") +
+                    ProxyFixture::make_response("second", "of second"));
     BOOST_TEST(fixture.response_to(second, "200").ends_with("of second"));
     BOOST_TEST(fixture.count_at_runner("slow") == 1U);
 }
@@ -220,10 +221,10 @@
             const std::size_t withdrawals = fixture.withdrawals;
             const std::string request =
                 ProxyFixture::make_request("/once/x", "left", "POST", std::string(kBodyBytes, 'x'));
-            Wire client = fixture.client({});
+            ScriptedConnection client = fixture.client({});
             std::size_t written = 0;
             BOOST_REQUIRE(fixture.until([&] {
-                written += client.say(std::string_view(request).substr(written));
+                written += client.send(std::string_view(request).substr(written));
                 return fixture.acquires > acquires;
             }));
             client.reset();
