--- a/src/cluster/consensus/follower.cpp
+++ b/src/cluster/consensus/follower.cpp
@@ -60,8 +60,7 @@
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
             BOOST_LEAF_AUTO(payload, decode_payload(bytes));
-            const std::string_view base_body =
-                is_complete ? std::string_view() : std::string_view(state_.entry.body);
+            const std::string_view base_body = is_complete ? std::string_view() : state_.entry.body;
             LogEntry entry;
             BOOST_LEAF_ASSIGN(entry.body, apply_delta(base_body, payload.body_delta));
             entry.position = last_chunk.position;
--- a/tests/system/formats_store.cpp
+++ b/tests/system/formats_store.cpp
@@ -113,12 +113,12 @@
 
 }  // namespace
 
-void write_store_examples(const filesystem::path& folder) {
+void write_store_examples(const filesystem::path& fixtures) {
     for (const StoreExample& example : store_examples()) {
-        write_incarnations(folder / example.folder, example.incarnations);
+        write_incarnations(fixtures / example.folder, example.incarnations);
         // LevelDB writes these anew; the first two name the machine.
         for (const char* name : {"LOG", "LOG.old", "LOCK"})
-            filesystem::remove(folder / example.folder / kDatabase / name);
+            filesystem::remove(fixtures / example.folder / kDatabase / name);
     }
 }
 
