--- a/tests/system/transport/http_client_fixture.hpp
+++ b/tests/system/transport/http_client_fixture.hpp
@@ -8,6 +8,7 @@
 #include <functional>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "cluster/transport/http_client.hpp"
 #include "../scripted_peers.hpp"
@@ -33,6 +34,8 @@
 /// Calls are numbered from 1.
 struct HttpClientFixture {
     static constexpr std::size_t kDefaultBlocks = 8192;
+    static constexpr std::size_t kMaxIdleConnections = 6;
+    static constexpr Micros kIdleTimeout = 8'000'000;
     using Script = std::function<void(ScriptedConnection&)>;
     struct Completion {
         std::uint64_t call = 0;
@@ -46,14 +49,18 @@
           listener(receive_buffer),
           client(loop,
                  {.connect_timeout = 500'000,
-                  .idle_timeout = 8'000'000,
-                  .max_idle_connections = 6,
+                  .idle_timeout = kIdleTimeout,
+                  .max_idle_connections = kMaxIdleConnections,
                   .max_response_bytes = 16U << 20,
                   .id_field = "X-Attempt-Id"},
-                 {.on_call_completed = [this](CompletedCall&& completed) {
-                     completions.push_back({static_cast<std::uint64_t>(completed.id), completed.result,
-                                            std::move(completed.response), is_in_call});
-                 }}) {}
+                 {.on_call_completed =
+                      [this](CompletedCall&& completed) {
+                          completions.push_back({static_cast<std::uint64_t>(completed.id), completed.result,
+                                                 std::move(completed.response), is_in_call});
+                      },
+                  .on_preconnected = [this](const std::string& address) { preconnected.push_back(address); },
+                  .on_preconnect_failed =
+                      [this](const std::string& address) { preconnect_failed.push_back(address); }}) {}
 
     void call(const HttpMessage& request, bool on_new_connection = false) {
         call_to(listener.address(), request, on_new_connection);
@@ -121,6 +128,8 @@
     bool is_in_call = false;
     std::uint64_t last_call = 0;
     std::deque<Completion> completions;
+    std::vector<std::string> preconnected;
+    std::vector<std::string> preconnect_failed;
     HttpClient client;
 };
 
