--- a/tests/system/consensus/follower_test.cpp
+++ b/tests/system/consensus/follower_test.cpp
@@ -95,7 +95,7 @@
     BOOST_TEST((responses.front().held == member_state().entry.position));
 }
 
-BOOST_AUTO_TEST_CASE(the_head_counts_as_committed_once_the_leader_says_so) {
+BOOST_AUTO_TEST_CASE(the_head_counts_as_committed_once_a_heartbeat_names_it) {
     Consensus follower = started_follower();
     BOOST_TEST((follower.committed_entry() == nullptr));
     AppendRequest request = heartbeat(kTerm, 5);
--- a/tests/system/consensus/membership_test.cpp
+++ b/tests/system/consensus/membership_test.cpp
@@ -57,7 +57,7 @@
     BOOST_TEST(!leader.member.may_stop());
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_that_leaves_may_stop_when_its_leader_says_so) {
+BOOST_AUTO_TEST_CASE(a_follower_that_leaves_may_stop_after_the_response_of_its_leader) {
     Consensus follower(member_options("b"), member_state(), kStart);
     ignore(follower.start());
     ignore(follower.on_message(kStart, "a", heartbeat(kTerm, 5)));
