--- a/src/cluster/transport/http_client.cpp
+++ b/src/cluster/transport/http_client.cpp
@@ -230,7 +230,7 @@
 }
 
 void HttpClient::add_idle(UpstreamConnection* connection) {
-    auto& idle = idle_[connection->address()];
+    ConnectionList& idle = idle_[connection->address()];
     idle.push_back(connection);
     if (idle.size() > options_.max_idle_connections) idle.front()->close();
 }
@@ -287,7 +287,7 @@
     const auto idle = idle_.find(address);
     if (idle == idle_.end()) return;
     // close() takes each out of the pool.
-    const std::list<UpstreamConnection*> connections = idle->second;
+    const ConnectionList connections = idle->second;
     for (UpstreamConnection* const connection : connections) connection->close();
 }
 
--- a/src/cluster/transport/http_client.hpp
+++ b/src/cluster/transport/http_client.hpp
@@ -85,6 +85,7 @@
   private:
     class UpstreamConnection;
     friend class UpstreamConnection;
+    using ConnectionList = std::list<UpstreamConnection*>;  // the last used is at the back
     struct FailedCall {
         CallId id{};
         CallResult result = CallResult::connect_failed;
@@ -104,9 +105,9 @@
     // Freed by close_expired(): a connection may be closed within its own callback.
     std::vector<std::unique_ptr<UpstreamConnection>> closed_;
     std::unordered_map<CallId, UpstreamConnection*> calls_;  // in progress
-    std::unordered_map<std::string, std::list<UpstreamConnection*>>
-        idle_;                       // by address, last used at the back
-    std::deque<FailedCall> failed_;  // within call(), so that their events are due in the next turn
+    std::unordered_map<std::string, ConnectionList> idle_;   // by address
+    // In call(); their events are due in the loop's next turn.
+    std::deque<FailedCall> failed_;
     net::Timer report_timer_;
 };
 
