--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -263,8 +263,8 @@
     front.best_version = 0;
     front.watches.clear();
     front.shutdown = {};
-    front.handler = std::make_unique<RequestHandler>(RequestHandler::Options{
-        front.name, front.zone, front.life + 1, shape_.seed + f + front.life * 100});
+    front.handler = std::make_unique<RequestHandler>(
+        RequestHandler::Options{front.name, front.zone, front.life + 1, shape_.seed + f + front.life * 100});
     at(now_ + 500'000, [this, f] { tick_front(f); });
 }
 
