--- a/rehearsal/ceiling/keeping.cpp
+++ b/rehearsal/ceiling/keeping.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 
 #include "dispatcher/dispatcher.hpp"
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace gannethold::rehearsal {
 namespace {
--- a/rehearsal/sockets/lane.cpp
+++ b/rehearsal/sockets/lane.cpp
@@ -14,7 +14,7 @@
 
 #include "control/caller.hpp"
 #include "control/desk.hpp"
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 #include "model/poison.hpp"
 #include "sockets/callers_stand_in.hpp"
 #include "sockets/child.hpp"
--- a/rehearsal/virtual/world.cpp
+++ b/rehearsal/virtual/world.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "dispatcher/posting.hpp"
-#include "keepsake/ageing.hpp"
+#include "snapshot/decay.hpp"
 #include "model/poison.hpp"
 
 namespace gannethold::rehearsal {
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -21,7 +21,7 @@
 #include "drain/drain.hpp"
 #include "figures/tally.hpp"
 #include "handover/passage.hpp"
-#include "keepsake/keeper.hpp"
+#include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
 #include "orders/terms.hpp"
 #include "roster/book.hpp"
--- a/src/house/house_rules.hpp
+++ b/src/house/house_rules.hpp
@@ -7,7 +7,7 @@
 #include "beanstalk/server.hpp"
 #include "control/desk.hpp"
 #include "drain/drain.hpp"
-#include "keepsake/keeper.hpp"
+#include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
 #include "storms/run_book.hpp"
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,7 +14,7 @@
 #include "control/commands.hpp"
 #include "dispatcher/dispatcher.hpp"
 #include "house/house_rules.hpp"
-#include "keepsake/show.hpp"
+#include "snapshot/print_snapshot.hpp"
 #include "standing_orders.hpp"
 
 namespace options = boost::program_options;
--- a/src/keepsake/ageing.cpp
+++ b/src/snapshot/decay.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/ageing.hpp"
+#include "snapshot/decay.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/keepsake/ageing.hpp
+++ b/src/snapshot/decay.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "keepsake/record.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 namespace gannethold::keepsake {
 
--- a/src/keepsake/disk.cpp
+++ b/src/snapshot/file_system.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/disk.hpp"
+#include "snapshot/file_system.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/src/keepsake/show.cpp
+++ b/src/snapshot/print_snapshot.cpp
@@ -1,11 +1,11 @@
-#include "keepsake/show.hpp"
+#include "snapshot/print_snapshot.hpp"
 
 #include <chrono>
 #include <cmath>
 #include <iomanip>
 #include <ostream>
 
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace gannethold::keepsake {
 
--- a/src/keepsake/show.hpp
+++ b/src/snapshot/print_snapshot.hpp
@@ -4,7 +4,7 @@
 #include <iosfwd>
 #include <string>
 
-#include "keepsake/ageing.hpp"
+#include "snapshot/decay.hpp"
 
 namespace gannethold::keepsake {
 
--- a/src/keepsake/record.cpp
+++ b/src/snapshot/snapshot_format.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/record.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 #include <zlib.h>
 
--- a/src/keepsake/keeper.cpp
+++ b/src/snapshot/snapshot_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/keeper.hpp"
+#include "snapshot/snapshot_scheduler.hpp"
 
 #include <algorithm>
 #include <exception>
--- a/src/keepsake/keeper.hpp
+++ b/src/snapshot/snapshot_scheduler.hpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "keepsake/ageing.hpp"
-#include "keepsake/scribe.hpp"
+#include "snapshot/decay.hpp"
+#include "snapshot/snapshot_writer.hpp"
 #include "net/loop.hpp"
 
 namespace gannethold::keepsake {
--- a/src/keepsake/shelf.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/keepsake/shelf.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "keepsake/disk.hpp"
-#include "keepsake/record.hpp"
+#include "snapshot/file_system.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 namespace gannethold::keepsake {
 
--- a/src/keepsake/scribe.cpp
+++ b/src/snapshot/snapshot_writer.cpp
@@ -1,4 +1,4 @@
-#include "keepsake/scribe.hpp"
+#include "snapshot/snapshot_writer.hpp"
 
 #include <fcntl.h>
 #include <malloc.h>
--- a/src/keepsake/scribe.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace gannethold::keepsake {
 
--- a/tests/fuzz/keepsake.cpp
+++ b/tests/fuzz/keepsake.cpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "keepsake/record.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 using namespace gannethold::keepsake;
 
--- a/tests/keepsake_stories.cpp
+++ b/tests/keepsake_stories.cpp
@@ -7,8 +7,8 @@
 #include <csignal>
 #include <filesystem>
 
-#include "keepsake/keeper.hpp"
-#include "keepsake/show.hpp"
+#include "snapshot/snapshot_scheduler.hpp"
+#include "snapshot/print_snapshot.hpp"
 #include "played_disk.hpp"
 
 #include <nlohmann/json.hpp>
--- a/tests/played_disk.hpp
+++ b/tests/played_disk.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "keepsake/disk.hpp"
+#include "snapshot/file_system.hpp"
 
 namespace gannethold::keepsake {
 
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -16,7 +16,7 @@
 #include "handover/words.hpp"
 #include "house/house_rules.hpp"
 #include "json/json.hpp"
-#include "keepsake/shelf.hpp"
+#include "snapshot/snapshot_store.hpp"
 #include "sheets/sheet.hpp"
 
 using namespace gannethold;
