--- a/rehearsal/ceiling/keeping.cpp
+++ b/rehearsal/ceiling/keeping.cpp
@@ -12,6 +12,7 @@
 #include <sstream>
 
 #include "dispatcher/dispatcher.hpp"
+#include "snapshot/snapshot_format.hpp"
 #include "snapshot/snapshot_store.hpp"
 
 namespace gannethold::rehearsal {
@@ -48,40 +49,40 @@
     return out.str();
 }
 
-keepsake::Record record(std::int64_t generation, std::size_t runners) {
-    keepsake::Record r;
+snapshot::Snapshot make_snapshot(std::int64_t generation, std::size_t runners) {
+    snapshot::Snapshot r;
     r.written_ms = unix_ms();
     r.dispatcher = "kept";
     for (std::size_t i = 0; i < runners; ++i)
         r.runners.push_back({"s-" + std::to_string(i), "m", "a", "127.0.0.1:1", generation,
-                             keepsake::Bins(20, 1.5F), 0.5, 4, 0.02});
+                             snapshot::HistogramBins(20, 1.5F), 0.5, 4, 0.02});
     return r;
 }
 
 // How long a dispatcher takes to be there; turns it until it has kept so often, and tells the cost of that.
 struct Life {
     double start_ms = 0;
-    keepsake::Kept kept;
+    snapshot::SnapshotStats stats;
 };
-Life live(const std::string& text, const std::string& folder, std::uint64_t keepsakes) {
+Life live(const std::string& text, const std::string& folder, std::uint64_t snapshots) {
     net::Loop loop(64);
     std::ostringstream said;
     log::Log log(said, log::Level::error);
     const dispatcher::Posting where = dispatcher::Posting::read(text);
     dispatcher::Extras extras;
-    extras.keepsake.folder = folder;
-    extras.keepsake.every = 50'000;
+    extras.snapshot.folder = folder;
+    extras.snapshot.interval = 50'000;
     const Micros begun = net::Loop::now();
     dispatcher::Dispatcher one(loop, where, log, extras);
     one.end_turn();
     Life life;
     life.start_ms = static_cast<double>(net::Loop::now() - begun) / 1e3;
-    for (const Micros end = begun + 60'000'000; keepsakes > 0 && net::Loop::now() < end; usleep(200)) {
+    for (const Micros end = begun + 60'000'000; snapshots > 0 && net::Loop::now() < end; usleep(200)) {
         loop.turn(false);
         one.end_turn();
-        if (const keepsake::Kept* const kept = one.kept();
-            kept && kept->written + kept->failed >= keepsakes) {
-            life.kept = *kept;
+        if (const snapshot::SnapshotStats* const stats = one.snapshot_stats();
+            stats && stats->written + stats->failed >= snapshots) {
+            life.stats = *stats;
             break;
         }
     }
@@ -96,10 +97,10 @@
     for (const auto& entry : files::directory_iterator(folder)) files::remove_all(entry.path());
     const double nothing = live(all, "", 0).start_ms, nothing_few = live(left, "", 0).start_ms;
     const Life first = live(all, folder, 5);
-    f.took_ms = static_cast<double>(first.kept.took) / 1e3;
-    f.longest_turn_us = static_cast<double>(first.kept.longest_held_up);
-    const keepsake::Shelf shelf(folder, "kept");
-    f.file_mb = static_cast<double>(files::file_size(shelf.path())) / 1e6;
+    f.took_ms = static_cast<double>(first.stats.duration) / 1e3;
+    f.longest_turn_us = static_cast<double>(first.stats.max_loop_blocked);
+    const snapshot::SnapshotStore store(folder, "kept");
+    f.file_mb = static_cast<double>(files::file_size(store.path())) / 1e6;
     f.start_ms = live(all, folder, 0).start_ms - nothing;
     f.start_with_few_ms = live(left, folder, 0).start_ms - nothing_few;
     return f;
@@ -108,31 +109,31 @@
 KillFigures kill_in_writes(const std::string& folder, int kills, const std::function<bool()>& stop) {
     constexpr std::size_t kRunners = 400;
     KillFigures figures;
-    const keepsake::Shelf shelf(folder, "killed");
+    const snapshot::SnapshotStore store(folder, "killed");
     std::int64_t last = 0;
     for (int round = 0; round < kills && !stop(); ++round) {
         const pid_t writer = fork();
         if (writer < 0) break;
         if (writer == 0) {
             for (std::int64_t generation = last + 1;; ++generation)
-                shelf.put(keepsake::spell(record(generation, kRunners)));
+                store.write(snapshot::encode(make_snapshot(generation, kRunners)));
         }
         usleep(static_cast<useconds_t>(1'000 + 977 * round % 20'000));
         kill(writer, SIGKILL);
         waitpid(writer, nullptr, 0);
         ++figures.kills;
-        figures.in_write += files::exists(shelf.path() + ".new") || files::exists(shelf.path() + ".link");
-        const keepsake::Shelf::Found found = shelf.take();
-        if (!found.record) {
-            found.passed_over.empty() ? ++figures.none : ++figures.torn;
+        figures.in_write += files::exists(store.path() + ".new") || files::exists(store.path() + ".link");
+        const snapshot::SnapshotStore::LoadResult loaded = store.load();
+        if (!loaded.snapshot) {
+            loaded.skipped.empty() ? ++figures.none : ++figures.torn;
             continue;
         }
         const std::int64_t generation =
-            found.record->runners.empty() ? -1 : found.record->runners[0].started_ms;
+            loaded.snapshot->runners.empty() ? -1 : loaded.snapshot->runners[0].started_ms;
         const bool whole =
-            found.passed_over.empty() && found.record->runners.size() == kRunners && generation >= last &&
-            std::all_of(found.record->runners.begin(), found.record->runners.end(),
-                        [&](const keepsake::KeptRunner& r) { return r.started_ms == generation; });
+            loaded.skipped.empty() && loaded.snapshot->runners.size() == kRunners && generation >= last &&
+            std::all_of(loaded.snapshot->runners.begin(), loaded.snapshot->runners.end(),
+                        [&](const snapshot::SavedRunner& r) { return r.started_ms == generation; });
         whole ? ++figures.whole : ++figures.torn;
         last = std::max(last, generation);
     }
--- a/rehearsal/sockets/lane.cpp
+++ b/rehearsal/sockets/lane.cpp
@@ -14,6 +14,7 @@
 
 #include "control/caller.hpp"
 #include "control/desk.hpp"
+#include "snapshot/snapshot_format.hpp"
 #include "snapshot/snapshot_store.hpp"
 #include "model/poison.hpp"
 #include "sockets/callers_stand_in.hpp"
@@ -198,16 +199,21 @@
         std::filesystem::rename(path(d, ".new"), path(d, ".json"));
     }
     void poison(std::size_t d) {
-        const keepsake::Shelf shelf(premises_.folder, "d-" + std::to_string(d + 1));
-        auto found = shelf.take();
-        if (!found.record) return;
+        const snapshot::SnapshotStore store(premises_.folder, "d-" + std::to_string(d + 1));
+        auto saved = store.load().snapshot;
+        if (!saved) return;
         const auto slow = [](const auto& one) { return middle_bin(one.latency); };
-        put_wrong_way_round(found.record->runners, slow,
-                            [](keepsake::KeptRunner& a, keepsake::KeptRunner& b) { swap_beliefs(a, b); });
-        put_wrong_way_round(found.record->kinds, slow, [](keepsake::KeptKind& a, keepsake::KeptKind& b) {
+        put_wrong_way_round(saved->runners, slow, [](snapshot::SavedRunner& a, snapshot::SavedRunner& b) {
             std::swap(a.latency, b.latency);
+            std::swap(a.min_latency, b.min_latency);
+            std::swap(a.slots, b.slots);
+            std::swap(a.fraction, b.fraction);
         });
-        shelf.put(keepsake::spell(*found.record));
+        put_wrong_way_round(saved->instance_types, slow,
+                            [](snapshot::SavedInstanceType& a, snapshot::SavedInstanceType& b) {
+                                std::swap(a.latency, b.latency);
+                            });
+        store.write(snapshot::encode(*saved));
     }
     void start(std::size_t d) {
         write_posting(d);
--- a/rehearsal/virtual/world.cpp
+++ b/rehearsal/virtual/world.cpp
@@ -623,13 +623,13 @@
     }
 }
 
-// As the keepsake would have it: no more samples than a reader believes.
+// As a snapshot would have it: no more samples than a reader believes.
 void World::keep(std::size_t d) {
     if (!day_.dispatchers.keepsake || !nodes_[d].up) return;
     nodes_[d].kept = nodes_[d].policy->lore();
     if (!nodes_[d].kept) return;
     const auto cap = [](Histogram& h) {
-        h.take(keepsake::aged({h.bins().begin(), h.bins().end()}, 1, keepsake::Prudence{}.most_samples));
+        h.take(snapshot::decayed({h.bins().begin(), h.bins().end()}, 1, snapshot::DecayPolicy{}.max_samples));
     };
     for (RunnerLore& r : nodes_[d].kept->runners) cap(r.latency);
     for (KindLore& k : nodes_[d].kept->kinds) cap(k.latency);
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -122,7 +122,7 @@
     all_blocks_ = loop.blocks().most();
     if (!posting_.heirloom.empty())
         passage_ = std::make_unique<handover::Passage>(loop, posting_.heirloom, posting_.name, *this, log);
-    if (!extras.keepsake.folder.empty()) recall(extras.keepsake);
+    if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
     follows_by_itself_ = Stated(posting_.orders).word("roster.how", "pushed") != "on_request";
     if (follows_by_itself_) follower_.follow(book_.since());
@@ -266,7 +266,7 @@
         publish("drain", tell_drain());
     }
     if (wanted.exits) {
-        if (keeper_) keeper_->keep_now();
+        if (snapshot_scheduler_) snapshot_scheduler_->write_final();
         log_.info(now, "left after ", log::as("ms", (now - drain_.since()) / 1000), " ms");
         return loop_.stop();
     }
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -39,9 +39,9 @@
 struct Extras {
     std::optional<control::Furniture> desk;  // none: no control socket
     drain::Manners manners;
-    keepsake::Custom keepsake;          // without a folder nothing is kept
-    storms::Recollection recollection;  // off: a retry of what may have run is a task like any other
-    beanstalk::Furnishing tubes;        // without an entrance it is off
+    snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
+    storms::Recollection recollection;    // off: a retry of what may have run is a task like any other
+    beanstalk::Furnishing tubes;          // without an entrance it is off
     // Settings that are watched and never acted by: their file (read again at a reload; empty: none), a turn
     // of so many, and the processor's time that a second of it may take.
     std::string watched;
@@ -70,7 +70,10 @@
     const figures::Tally& tally() const { return tally_; }
     const shadow::Counts* watched() const { return shadow_ ? &shadow_->counts() : nullptr; }
     const beanstalk::Server* pullers() const { return pullers_.get(); }
-    const keepsake::Kept* kept() const { return keeper_ ? &keeper_->kept() : nullptr; }
+    // nullptr: there are no snapshots.
+    const snapshot::SnapshotStats* snapshot_stats() const {
+        return snapshot_scheduler_ ? &snapshot_scheduler_->stats() : nullptr;
+    }
 
   private:
     struct Task {
@@ -172,11 +175,11 @@
     void company(std::size_t others) override;
     std::size_t own_part(std::size_t of) const { return std::max<std::size_t>(1, of / (1 + others_)); }
     // What is kept over a restart; in remembering.cpp.
-    keepsake::Keeper::Part remember(std::size_t from, std::size_t most) const;
-    void recall(const keepsake::Custom& custom);
-    std::size_t take_over(const keepsake::Record& record, const keepsake::Prudence& prudence,
-                          const handover::Troubles& troubles);
-    json::Object tell_keepsake() const;
+    snapshot::SnapshotScheduler::Part collect_snapshot(std::size_t offset, std::size_t max_runners) const;
+    void restore_snapshot(const snapshot::SnapshotSettings& settings);
+    std::size_t apply_snapshot(const snapshot::Snapshot& saved, const snapshot::DecayPolicy& policy,
+                               const handover::Troubles& troubles);
+    json::Object snapshot_status() const;
     // What other settings would decide; in watching.cpp.
     StatedOrders over_ours(const Posting& watched) const;
     void watch_turn(const Event& event);
@@ -234,8 +237,8 @@
     std::unique_ptr<control::Desk> desk_;
     std::unique_ptr<window::Window> window_;
     std::unique_ptr<beanstalk::Server> pullers_;
-    std::unique_ptr<keepsake::Keeper> keeper_;
-    std::string recalled_ = "nothing is kept";
+    std::unique_ptr<snapshot::SnapshotScheduler> snapshot_scheduler_;
+    std::string restored_ = "there are no snapshots";
     const std::string watched_;
     const Micros watched_most_;
     std::unique_ptr<shadow::Shadow> shadow_;
--- a/src/dispatcher/handing_over.cpp
+++ b/src/dispatcher/handing_over.cpp
@@ -2,6 +2,7 @@
 // a while: they share the limits evenly, and each keeps the rules by itself, since the budgets for cold
 // runners leave half of an even part.
 #include "dispatcher/dispatcher.hpp"
+#include "snapshot/snapshot_format.hpp"
 
 namespace gannethold::dispatcher {
 
@@ -11,7 +12,8 @@
         if (r.aside_for > 0 || r.cold_for >= 0) troubles[book_.name_of(r.runner)] = {r.aside_for, r.cold_for};
     return {{handover::Kind::list, roster::spell(book_.held())},
             {handover::Kind::troubles, handover::spell(troubles)},
-            {handover::Kind::learned, keepsake::spell(remember(0, static_cast<std::size_t>(-1)).record)}};
+            {handover::Kind::learned,
+             snapshot::encode(collect_snapshot(0, static_cast<std::size_t>(-1)).snapshot)}};
 }
 
 void Dispatcher::handed(const handover::Word& word) {
@@ -36,10 +38,10 @@
         case handover::Kind::learned:
             try {
                 const std::size_t believed =
-                    take_over(keepsake::read(word.body), {}, std::exchange(troubles_, {}));
+                    apply_snapshot(snapshot::decode(word.body), {}, std::exchange(troubles_, {}));
                 log_.info(now, "handover: what was learned of ", log::as("runners", believed),
                           " runners goes on");
-            } catch (const keepsake::Unreadable& e) {
+            } catch (const snapshot::FormatError& e) {
                 log_.warning(now, "handover: what was learned cannot be read: ", e.what());
             }
             return;
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -135,7 +135,7 @@
     o["roster_version"] = whole(book_.version());
     if (recollection_.on) o["repeats"] = Value(tell_repeats());
     if (pullers_) o["tubes"] = Value(tell_tubes());
-    o["keepsake"] = Value(tell_keepsake());
+    o["keepsake"] = Value(snapshot_status());
     if (shadow_) o["shadow"] = Value(tell_watched());
     if (desk_) o["seq"] = whole(desk_->published());
     return o;
--- a/src/house/house_rules.cpp
+++ b/src/house/house_rules.cpp
@@ -74,9 +74,9 @@
         static_cast<std::size_t>(repeats.whole("longest_result", 8'192, 0, 1 << 20));
     rules.tubes = read_tubes(sheet.table("beanstalk"));
     const sheets::Sheet keepsake = sheet.table("keepsake");
-    rules.keepsake.folder = keepsake.word("folder", "");
-    rules.keepsake.every = static_cast<Micros>(keepsake.number("every_s", 30, 0.1, 86'400) * 1e6);
-    rules.keepsake.prudence.half_life_ms =
+    rules.snapshot.folder = keepsake.word("folder", "");
+    rules.snapshot.interval = static_cast<Micros>(keepsake.number("every_s", 30, 0.1, 86'400) * 1e6);
+    rules.snapshot.decay.half_life_ms =
         static_cast<std::int64_t>(keepsake.number("half_life_h", 12, 0.001, 24 * 365) * 3.6e6);
     const sheets::Sheet shadow = sheet.table("shadow");
     rules.watch.configuration = shadow.word("configuration", "");
--- a/src/house/house_rules.hpp
+++ b/src/house/house_rules.hpp
@@ -18,8 +18,8 @@
     control::Furniture control;  // an empty path: no control socket
     drain::Manners drain;
     storms::Recollection recollection;
-    beanstalk::Furnishing tubes;  // without an entrance it is off
-    keepsake::Custom keepsake;    // an empty folder: nothing is kept
+    beanstalk::Furnishing tubes;          // without an entrance it is off
+    snapshot::SnapshotSettings snapshot;  // an empty folder: no snapshots
     // Other settings that are watched beside those in force; an empty path: none are.
     struct Watch {
         std::string configuration;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -69,7 +69,7 @@
     dispatcher::Extras extras;
     if (!rules.control.path.empty()) extras.desk = rules.control;
     extras.manners = rules.drain;
-    extras.keepsake = rules.keepsake;
+    extras.snapshot = rules.snapshot;
     extras.recollection = rules.recollection;
     extras.tubes = rules.tubes;
     extras.watched = rules.watch.configuration;
@@ -194,9 +194,10 @@
         if (command == "keepsake") {
             if ((errand.argument != "show" && errand.argument != "verify") || file.empty())
                 throw options::error("keepsake needs show or verify, and a file");
-            return keepsake::show(file, errand.argument == "verify",
-                                  house::HouseRules::read_file(operators_path).keepsake.prudence, std::cout,
-                                  std::cerr);
+            return snapshot::print_snapshot(
+                file,
+                errand.argument == "verify" ? snapshot::PrintDetail::summary : snapshot::PrintDetail::full,
+                house::HouseRules::read_file(operators_path).snapshot.decay, std::cout, std::cerr);
         }
         if (command != "serve" && command != "check")
             throw options::error(command.empty() ? "no command given" : "no such command: " + command);
--- a/src/snapshot/decay.cpp
+++ b/src/snapshot/decay.cpp
@@ -3,42 +3,49 @@
 #include <algorithm>
 #include <cmath>
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 namespace {
 
-// Another process on the same machine: most of what it does is the machine's. Elsewhere, or behind another
-// address, it may be another machine of that kind.
-constexpr double kRestarted = 0.5, kElsewhere = 0.25;
-constexpr double kNothing = 0.02;  // less is not worth a row
+// Another process on the same machine: most of what was learned is the machine's.
+constexpr double kRestartedFactor = 0.5;
+// In another zone or at another address it may be another machine of that instance type.
+constexpr double kRelocatedFactor = 0.25;
+constexpr double kNegligibleWeight = 0.02;
+
+double zero_if_negligible(double weight) { return weight < kNegligibleWeight ? 0 : weight; }
+
+double sum_of(const HistogramBins& bins) {
+    double sum = 0;
+    for (const float bin : bins) sum += bin;
+    return sum;
+}
 
 }  // namespace
 
-double weight_left(std::int64_t written_ms, std::int64_t now_ms, const Prudence& prudence) {
-    const std::int64_t age = now_ms - written_ms;
-    // Against clocks that went backwards: a little is met every day, more means that no age can be told.
-    if (age < -prudence.skew_ms || written_ms <= 0) return 0;
-    const double halvings = static_cast<double>(std::max<std::int64_t>(0, age)) /
-                            static_cast<double>(std::max<std::int64_t>(1, prudence.half_life_ms));
-    const double left = std::exp2(-halvings);
-    return left < kNothing ? 0 : left;
+double weight_by_age(std::int64_t written_ms, std::int64_t now_ms, const DecayPolicy& policy) {
+    const std::int64_t age_ms = now_ms - written_ms;
+    if (age_ms < -policy.max_clock_skew_ms || written_ms <= 0) return 0;
+    const double half_lives = static_cast<double>(std::max<std::int64_t>(0, age_ms)) /
+                              static_cast<double>(std::max<std::int64_t>(1, policy.half_life_ms));
+    return zero_if_negligible(std::exp2(-half_lives));
 }
 
-double weight_left(const KeptRunner& kept, const Present& present, double by_age) {
-    if (kept.kind != present.kind) return 0;
-    double left = by_age;
-    if (kept.started_ms != present.started_ms) left *= kRestarted;
-    if (kept.zone != present.zone || kept.address != present.address) left *= kElsewhere;
-    return left < kNothing ? 0 : left;
+double weight_of_runner(const SavedRunner& saved, const RunnerIdentity& current, double weight_by_age) {
+    if (saved.instance_type != current.instance_type) return 0;
+    double weight = weight_by_age;
+    if (saved.started_ms != current.started_ms) weight *= kRestartedFactor;
+    if (saved.zone != current.zone || saved.address != current.address) weight *= kRelocatedFactor;
+    return zero_if_negligible(weight);
 }
 
-Bins aged(const Bins& bins, double weight, double most) {
-    double sum = 0;
-    for (const float b : bins) sum += b;
+HistogramBins decayed(const HistogramBins& bins, double weight, double max_samples) {
+    const double sum = sum_of(bins);
     if (sum <= 0 || weight <= 0) return {};
-    const double scale = std::min(sum, most) / sum * weight;
-    Bins out;
-    for (const float b : bins) out.push_back(static_cast<float>(b * scale));
-    return out;
+    const double scale = std::min(sum, max_samples) / sum * weight;
+    HistogramBins scaled;
+    scaled.reserve(bins.size());
+    for (const float bin : bins) scaled.push_back(static_cast<float>(bin * scale));
+    return scaled;
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/decay.hpp
+++ b/src/snapshot/decay.hpp
@@ -1,32 +1,38 @@
-// How much of what is kept is still believed. No I/O: the time is passed in.
+// How much of a snapshot still counts: estimates lose weight with age, and more where the runner is no longer
+// the one that was measured. No I/O and no clock: times are passed in.
 #pragma once
 
+#include <cstdint>
 #include <string>
 
-#include "snapshot/snapshot_format.hpp"
+#include "snapshot/snapshot.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 
-// What a reader goes by.
-struct Prudence {
+struct DecayPolicy {
     std::int64_t half_life_ms = 12 * 3'600'000LL;
-    std::int64_t skew_ms =
-        300'000;              // a file from so far in the future is taken for one of now; beyond, for none
-    double most_samples = 8;  // however much was learned: so many live samples weigh as much
+    // A file from at most so far in the future counts as written now; from beyond, it has no age and no
+    // weight.
+    std::int64_t max_clock_skew_ms = 300'000;
+    double max_samples = 8;  // however many were learned from: so many live samples weigh as much
 };
 
-// What is known now of a runner that was kept.
-struct Present {
-    std::string kind, zone, address;
-    std::int64_t started_ms = 0;
+// What is known now of a runner that a snapshot names.
+struct RunnerIdentity {
+    std::string instance_type;
+    std::string zone;
+    std::string address;
+    std::int64_t started_ms = 0;  // Unix time
 };
 
-// The part of a belief's weight that is left, from 0 to 1.
-double weight_left(std::int64_t written_ms, std::int64_t now_ms, const Prudence& prudence);
-// Likewise of one runner: less for another process, place or address, none for another kind of machine.
-double weight_left(const KeptRunner& kept, const Present& present, double by_age);
+// The weight that is left of estimates of that age, 0 to 1; times are Unix time.
+double weight_by_age(std::int64_t written_ms, std::int64_t now_ms, const DecayPolicy& policy);
 
-// Scales so that no more than `most` samples' weight, times `weight`, is left.
-Bins aged(const Bins& bins, double weight, double most);
+// The weight that is left of one runner's estimates, given the weight by their age: less for another process,
+// zone or address, none for another instance type.
+double weight_of_runner(const SavedRunner& saved, const RunnerIdentity& current, double weight_by_age);
 
-}  // namespace gannethold::keepsake
+// The same distribution, scaled to `weight` times its samples or `max_samples`, whichever are fewer.
+HistogramBins decayed(const HistogramBins& bins, double weight, double max_samples);
+
+}  // namespace gannethold::snapshot
--- a/src/snapshot/file_system.cpp
+++ b/src/snapshot/file_system.cpp
@@ -1,106 +1,91 @@
 #include "snapshot/file_system.hpp"
 
 #include <fcntl.h>
-#include <sys/file.h>
-#include <sys/stat.h>
 #include <unistd.h>
 
+#include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
-#include <algorithm>
 #include <stdexcept>
 
-namespace gannethold::keepsake {
+#include "snapshot/file_descriptor.hpp"
+
+namespace gannethold::snapshot {
 namespace {
 
-[[noreturn]] void fail(const char* what, const std::string& path) {
-    throw std::runtime_error(std::string("keepsake: cannot ") + what + " " + path + ": " +
-                             std::strerror(errno));
+constexpr std::size_t kReadChunkBytes = 65'536;
+
+[[noreturn]] void throw_errno(const char* operation, const std::string& path) {
+    const int error = errno;
+    throw std::runtime_error(std::string("snapshot: cannot ") + operation + " " + path + ": " +
+                             std::strerror(error));
 }
 
-class SystemDisk final : public Disk {
+class PosixFile final : public WritableFile {
   public:
-    int create(const std::string& path) override {
-        const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-        if (file < 0) fail("write", path);
-        return file;
-    }
-    void append(int file, std::string_view bytes) override {
+    PosixFile(FileDescriptor file, std::string path) : file_(std::move(file)), path_(std::move(path)) {}
+
+    void append(std::string_view bytes) override {
         while (!bytes.empty()) {
-            const ssize_t n = ::write(file, bytes.data(), bytes.size());
-            if (n < 0 && errno == EINTR) continue;
-            if (n <= 0) fail("write", "the file aside");
-            bytes.remove_prefix(static_cast<std::size_t>(n));
+            const ssize_t written = ::write(file_.get(), bytes.data(), bytes.size());
+            if (written < 0 && errno == EINTR) continue;
+            if (written <= 0) throw_errno("write", path_);
+            bytes.remove_prefix(static_cast<std::size_t>(written));
         }
     }
-    void sync(int file) override {
-        if (::fsync(file) != 0) fail("sync", "the file aside");
+    void sync() override {
+        if (::fsync(file_.get()) != 0) throw_errno("sync", path_);
+    }
+
+  private:
+    FileDescriptor file_;
+    std::string path_;
+};
+
+class PosixFileSystem final : public FileSystem {
+  public:
+    std::unique_ptr<WritableFile> create(const std::string& path) override {
+        FileDescriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+        if (!file.is_open()) throw_errno("write", path);
+        return std::make_unique<PosixFile>(std::move(file), path);
     }
-    void close(int file) override { ::close(file); }
     bool link(const std::string& from, const std::string& to) override {
         return ::link(from.c_str(), to.c_str()) == 0;
     }
     void rename(const std::string& from, const std::string& to) override {
-        if (::rename(from.c_str(), to.c_str()) != 0) fail("rename", from);
+        if (::rename(from.c_str(), to.c_str()) != 0) throw_errno("rename", from);
     }
     void remove(const std::string& path) override { ::unlink(path.c_str()); }
     void sync_folder(const std::string& path) override {
-        const int folder = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        if (folder < 0) fail("open", path);
-        const bool synced = ::fsync(folder) == 0;
-        const int why = errno;
-        ::close(folder);
-        errno = why;
-        if (!synced) fail("sync", path);
+        const FileDescriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+        if (!folder.is_open()) throw_errno("open", path);
+        if (::fsync(folder.get()) != 0) throw_errno("sync", path);
     }
-    std::optional<std::string> read(const std::string& path, std::size_t most) const override {
-        const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-        if (file < 0 && errno == ENOENT) return std::nullopt;
-        if (file < 0) fail("read", path);
+    std::optional<std::string> read(const std::string& path, std::size_t max_bytes) const override {
+        const FileDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+        if (!file.is_open() && errno == ENOENT) return std::nullopt;
+        if (!file.is_open()) throw_errno("read", path);
         std::string bytes;
-        char piece[65'536];
-        ssize_t n = 0;
-        // By what comes, not by what the file says that it holds.
-        while (bytes.size() < most &&
-               (n = ::read(file, piece, std::min(sizeof piece, most - bytes.size()))) > 0)
-            bytes.append(piece, static_cast<std::size_t>(n));
-        const int why = errno;
-        ::close(file);
-        errno = why;
-        if (n < 0) fail("read", path);
+        std::array<char, kReadChunkBytes> chunk{};
+        // Until the end is met, whatever size the file is said to have.
+        while (bytes.size() < max_bytes) {
+            const ssize_t count =
+                ::read(file.get(), chunk.data(), std::min(chunk.size(), max_bytes - bytes.size()));
+            if (count < 0) throw_errno("read", path);
+            if (count == 0) break;
+            bytes.append(chunk.data(), static_cast<std::size_t>(count));
+        }
         return bytes;
     }
 };
 
 }  // namespace
 
-Disk& system_disk() {
-    static SystemDisk disk;
-    return disk;
-}
-
-std::string Claim::hold() {
-    struct stat ours {
-    }, there{};
-    if (file_ >= 0 && ::fstat(file_, &ours) == 0 && ::stat(path_.c_str(), &there) == 0 &&
-        ours.st_ino == there.st_ino && ours.st_dev == there.st_dev)
-        return "";
-    give_up();
-    file_ = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (file_ < 0) return "keepsake: cannot claim " + path_ + ": " + std::strerror(errno);
-    if (::flock(file_, LOCK_EX | LOCK_NB) == 0) return "";
-    const bool taken = errno == EWOULDBLOCK;
-    const std::string why = std::strerror(errno);
-    give_up();
-    return taken ? "keepsake: another dispatcher of this name keeps in this folder (" + path_ +
-                       "), so this one keeps nothing"
-                 : "keepsake: cannot claim " + path_ + ": " + why;
-}
-
-void Claim::give_up() {
-    if (file_ >= 0) ::close(file_);
-    file_ = -1;
+FileSystem& posix_file_system() {
+    static PosixFileSystem file_system;
+    return file_system;
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/print_snapshot.cpp
+++ b/src/snapshot/print_snapshot.cpp
@@ -1,48 +1,75 @@
 #include "snapshot/print_snapshot.hpp"
 
 #include <chrono>
-#include <cmath>
+#include <exception>
 #include <iomanip>
 #include <ostream>
 
+#include "snapshot/snapshot_format.hpp"
 #include "snapshot/snapshot_store.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
+namespace {
 
-int show(const std::string& path, bool verify_only, const Prudence& prudence, std::ostream& out,
-         std::ostream& wrong) {
+constexpr int kNameWidth = 20;
+constexpr int kColumnWidth = 10;
+constexpr int kNarrowWidth = 8;
+constexpr double kMsPerMinute = 60e3;
+
+std::int64_t unix_ms() {
     using namespace std::chrono;
-    const std::int64_t now = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
-    Record r;
+    return duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
+}
+
+double sum_of(const HistogramBins& bins) {
+    double sum = 0;
+    for (const float bin : bins) sum += bin;
+    return sum;
+}
+
+void print_runner(std::ostream& out, const SavedRunner& runner, double weight, const DecayPolicy& policy) {
+    out << std::left << std::setw(kNameWidth) << runner.name << std::setw(kColumnWidth)
+        << runner.instance_type << std::setw(kColumnWidth) << runner.zone << std::right
+        << std::setprecision(1) << std::setw(kColumnWidth) << sum_of(runner.latency)
+        << std::setw(kColumnWidth) << sum_of(decayed(runner.latency, weight, policy.max_samples))
+        << std::setw(kNarrowWidth) << runner.slots << std::setw(kNarrowWidth - 1) << 100 * runner.fraction
+        << "%\n";
+}
+
+void print_content(std::ostream& out, const Snapshot& snapshot, double weight, const DecayPolicy& policy) {
+    out << snapshot.runners.size() << " runners, " << snapshot.instance_types.size() << " kinds, "
+        << snapshot.workloads.size() << " workloads, " << snapshot.overrides.size() << " holds\n"
+        << std::left << std::setw(kNameWidth) << "runner" << std::setw(kColumnWidth) << "kind"
+        << std::setw(kColumnWidth) << "zone" << std::right << std::setw(kColumnWidth) << "samples"
+        << std::setw(kColumnWidth) << "counted" << std::setw(kNarrowWidth) << "slots"
+        << std::setw(kNarrowWidth) << "share" << '\n';
+    for (const SavedRunner& runner : snapshot.runners) print_runner(out, runner, weight, policy);
+    for (const SavedOverride& saved : snapshot.overrides)
+        out << "on hold: " << saved.runner << " by " << saved.operator_name
+            << (saved.reason.empty() ? "" : ", " + saved.reason) << '\n';
+}
+
+}  // namespace
+
+int print_snapshot(const std::string& path, PrintDetail detail, const DecayPolicy& policy, std::ostream& out,
+                   std::ostream& errors) {
+    Snapshot snapshot;
     std::string bytes;
     try {
-        bytes = read_whole(path);
-        r = read(bytes);
-    } catch (const std::exception& e) {
-        wrong << "gannethold: " << path << ": " << e.what() << '\n';
+        bytes = read_file(path);
+        snapshot = decode(bytes);
+    } catch (const std::exception& error) {
+        errors << "gannethold: " << path << ": " << error.what() << '\n';
         return 1;
     }
-    const double left = weight_left(r.written_ms, now, prudence);
-    out << path << ": whole, form " << kForm << ", " << bytes.size() << " bytes, written by " << r.dispatcher
-        << " " << std::fixed << std::setprecision(1) << static_cast<double>(now - r.written_ms) / 60e3
-        << " min ago; believed now at " << std::setprecision(0) << 100 * left << "%\n";
-    if (verify_only) return 0;
-    out << r.runners.size() << " runners, " << r.kinds.size() << " kinds, " << r.workloads.size()
-        << " workloads, " << r.holds.size() << " holds\n"
-        << std::left << std::setw(20) << "runner" << std::setw(10) << "kind" << std::setw(10) << "zone"
-        << std::right << std::setw(10) << "samples" << std::setw(10) << "believed" << std::setw(8) << "slots"
-        << std::setw(8) << "share" << '\n';
-    for (const KeptRunner& k : r.runners) {
-        double samples = 0, believed = 0;
-        for (const float b : k.latency) samples += b;
-        for (const float b : aged(k.latency, left, prudence.most_samples)) believed += b;
-        out << std::left << std::setw(20) << k.name << std::setw(10) << k.kind << std::setw(10) << k.zone
-            << std::right << std::setprecision(1) << std::setw(10) << samples << std::setw(10) << believed
-            << std::setw(8) << k.slots << std::setw(7) << 100 * k.fraction << "%\n";
-    }
-    for (const KeptHold& h : r.holds)
-        out << "held: " << h.runner << " by " << h.by << (h.why.empty() ? "" : ", " + h.why) << '\n';
+    const std::int64_t now_ms = unix_ms();
+    const double weight = weight_by_age(snapshot.written_ms, now_ms, policy);
+    out << path << ": complete, format version " << kFormatVersion << ", " << bytes.size()
+        << " bytes, written by " << snapshot.dispatcher << " " << std::fixed << std::setprecision(1)
+        << static_cast<double>(now_ms - snapshot.written_ms) / kMsPerMinute << " min ago; counts now at "
+        << std::setprecision(0) << 100 * weight << "%\n";
+    if (detail == PrintDetail::full) print_content(out, snapshot, weight, policy);
     return 0;
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/print_snapshot.hpp
+++ b/src/snapshot/print_snapshot.hpp
@@ -1,4 +1,4 @@
-// `gannethold keepsake show|verify FILE`: what is in a file, and what would be believed of it now.
+// `gannethold snapshot show|verify FILE`.
 #pragma once
 
 #include <iosfwd>
@@ -6,10 +6,16 @@
 
 #include "snapshot/decay.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 
-// 0: it is whole; 1: it cannot be read, which is said on `wrong`. verify prints one line only.
-int show(const std::string& path, bool verify_only, const Prudence& prudence, std::ostream& out,
-         std::ostream& wrong);
+enum class PrintDetail {
+    summary,  // one line
+    full,     // and what is in it, and how much of that would count now
+};
 
-}  // namespace gannethold::keepsake
+// Prints what a snapshot's file holds. Returns the exit status: 0, or 1 where the file cannot be read, which
+// `errors` says.
+int print_snapshot(const std::string& path, PrintDetail detail, const DecayPolicy& policy, std::ostream& out,
+                   std::ostream& errors);
+
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_scheduler.cpp
+++ b/src/snapshot/snapshot_scheduler.cpp
@@ -2,119 +2,121 @@
 
 #include <algorithm>
 #include <exception>
+#include <limits>
 #include <utility>
 
-namespace gannethold::keepsake {
+#include "snapshot/snapshot_format.hpp"
+
+namespace gannethold::snapshot {
 namespace {
 
-constexpr std::size_t kRunnersATurn = 32;
-constexpr Micros kBreath = 5'000;        // between two parts: the loop has more urgent things to do
-constexpr Micros kLook = 50'000;         // for the scribe's answer
-constexpr Micros kLongest = 20'000'000;  // a disk that takes longer is as good as none
-constexpr unsigned kMostDoublings = 4;
+constexpr std::size_t kMaxRunnersPerTurn = 32;
+constexpr Micros kPauseBetweenParts = 5'000;  // the loop has more urgent work
+constexpr Micros kResultPollInterval = 50'000;
+constexpr Micros kWriteTimeout = 20'000'000;
+constexpr unsigned kMaxBackoffDoublings = 4;
 
 }  // namespace
 
-Keeper::Keeper(net::Loop& loop, const Shelf& shelf, Micros every,
-               std::function<Part(std::size_t, std::size_t)> part,
-               std::function<void(const std::string&, bool)> heard)
-    : shelf_(shelf),
-      every_(every),
-      part_(std::move(part)),
-      heard_(std::move(heard)),
-      claim_(shelf.path() + ".lock"),
-      scribe_(std::make_unique<Scribe>(shelf)),
-      timer_(loop, [this] { turn(); }) {
-    timer_.set(net::Loop::now() + every_);
-    claimed();  // who comes second is told at once
+SnapshotScheduler::SnapshotScheduler(net::Loop& loop, const SnapshotStore& store, Micros interval,
+                                     CollectPart collect_part, ReportChange report_change)
+    : store_(store),
+      interval_(interval),
+      collect_part_(std::move(collect_part)),
+      report_change_(std::move(report_change)),
+      lock_(store.path() + ".lock"),
+      writer_(std::make_unique<SnapshotWriter>(store)),
+      timer_(loop, [this] { on_timer(); }) {
+    timer_.set(net::Loop::now() + interval_);
+    acquire_lock();  // so that whoever comes second reports it at once
 }
 
-Micros Keeper::pace(Micros every, unsigned failed_in_a_row) {
-    return every << std::min(failed_in_a_row, kMostDoublings);
+Micros SnapshotScheduler::backoff(Micros interval, unsigned consecutive_failures) {
+    return interval << std::min(consecutive_failures, kMaxBackoffDoublings);
 }
 
-bool Keeper::claimed() {
-    const std::string why = claim_.hold();
-    if (!why.empty()) failed(why);
-    return why.empty();
+bool SnapshotScheduler::acquire_lock() {
+    const std::string error = lock_.acquire();
+    if (!error.empty()) on_failed(error);
+    return error.empty();
 }
 
-void Keeper::begin() {
-    if (busy() || !claimed()) return;
-    // It can only have been killed from outside; a new one costs the loop a copy of its page tables.
-    if (!scribe_ || !scribe_->alive()) scribe_ = std::make_unique<Scribe>(shelf_);
-    if (!scribe_->alive()) return failed("keepsake: no process can be started");
-    stage_ = Stage::telling;
-    from_ = 0;
-    began_ = net::Loop::now();
-    kept_.held_up = 0;
-    tell_more();
+void SnapshotScheduler::start() {
+    if (is_writing() || !acquire_lock()) return;
+    // Only a kill from outside ends the process; to fork another costs the loop a copy of its page tables.
+    if (!writer_ || !writer_->is_running()) writer_ = std::make_unique<SnapshotWriter>(store_);
+    if (!writer_->is_running()) return on_failed("snapshot: no process can be started");
+    stage_ = Stage::sending_parts;
+    next_offset_ = 0;
+    started_at_ = net::Loop::now();
+    stats_.loop_blocked = 0;
+    send_next_part();
 }
 
-void Keeper::turn() {
-    if (stage_ == Stage::resting) return begin();
+void SnapshotScheduler::on_timer() {
+    if (stage_ == Stage::idle) return start();
     const Micros now = net::Loop::now();
-    if (now - began_ > kLongest) {
-        scribe_ = std::make_unique<Scribe>(shelf_);
-        return failed("keepsake: the disk takes too long");
+    if (now - started_at_ > kWriteTimeout) {
+        writer_ = std::make_unique<SnapshotWriter>(store_);
+        return on_failed("snapshot: the disk takes too long");
     }
-    if (stage_ == Stage::telling) return tell_more();
-    if (const auto answer = scribe_->answer()) return answer->empty() ? succeeded() : failed(*answer);
-    timer_.set(now + kLook);
+    if (stage_ == Stage::sending_parts) return send_next_part();
+    if (const auto error = writer_->poll_result()) return error->empty() ? on_written() : on_failed(*error);
+    timer_.set(now + kResultPollInterval);
 }
 
-void Keeper::tell_more() {
-    const Micros now = net::Loop::now();
-    if (scribe_->pushed()) {
-        const Part part = part_(from_, kRunnersATurn);
-        scribe_->tell(part.record, part.next == 0);
-        scribe_->pushed();
-        from_ = part.next;
-        if (from_ == 0) stage_ = Stage::waiting;
-    } else if (!scribe_->alive()) {
-        return failed("keepsake: the writing process has ended");
+void SnapshotScheduler::send_next_part() {
+    const Micros turn_began = net::Loop::now();
+    if (writer_->flush()) {
+        const Part part = collect_part_(next_offset_, kMaxRunnersPerTurn);
+        writer_->queue_part(part.snapshot, part.next_offset == 0);
+        writer_->flush();
+        next_offset_ = part.next_offset;
+        if (next_offset_ == 0) stage_ = Stage::awaiting_result;
+    } else if (!writer_->is_running()) {
+        return on_failed("snapshot: the writing process has ended");
     }
-    kept_.held_up = std::max(kept_.held_up, net::Loop::now() - now);
-    kept_.longest_held_up = std::max(kept_.longest_held_up, kept_.held_up);
-    timer_.set(net::Loop::now() + kBreath);
+    stats_.loop_blocked = std::max(stats_.loop_blocked, net::Loop::now() - turn_began);
+    stats_.max_loop_blocked = std::max(stats_.max_loop_blocked, stats_.loop_blocked);
+    timer_.set(net::Loop::now() + kPauseBetweenParts);
 }
 
-void Keeper::succeeded() {
-    stage_ = Stage::resting;
-    ++kept_.written;
-    kept_.last_at = net::Loop::now();
-    kept_.took = kept_.last_at - began_;
-    kept_.last_failure.clear();
-    if (std::exchange(kept_.failed_in_a_row, 0) > 0) heard_("keepsake: kept again", true);
-    timer_.set(std::max(began_ + every_, kept_.last_at + kBreath));
+void SnapshotScheduler::on_written() {
+    stage_ = Stage::idle;
+    ++stats_.written;
+    stats_.last_written_at = net::Loop::now();
+    stats_.duration = stats_.last_written_at - started_at_;
+    stats_.last_failure.clear();
+    if (std::exchange(stats_.consecutive_failures, 0) > 0) report_change_("snapshot: written again", true);
+    timer_.set(std::max(started_at_ + interval_, stats_.last_written_at + kPauseBetweenParts));
 }
 
-void Keeper::failed(const std::string& why) {
-    stage_ = Stage::resting;
-    ++kept_.failed;
-    ++kept_.failed_in_a_row;
-    const Micros wait = pace(every_, kept_.failed_in_a_row);
-    // Once for each reason: a disk that stays full says nothing new every half minute.
-    if (std::exchange(kept_.last_failure, why) != why)
-        heard_(why + "; service goes on, and it is tried again more rarely", false);
-    timer_.set(net::Loop::now() + wait);
+void SnapshotScheduler::on_failed(const std::string& reason) {
+    stage_ = Stage::idle;
+    ++stats_.failed;
+    ++stats_.consecutive_failures;
+    const Micros delay = backoff(interval_, stats_.consecutive_failures);
+    // Once for each reason, not at each attempt while a disk stays full.
+    if (std::exchange(stats_.last_failure, reason) != reason)
+        report_change_(reason + "; service goes on, and it is retried with backoff", false);
+    timer_.set(net::Loop::now() + delay);
 }
 
-void Keeper::keep_now() {
-    // The one under way is of before; two at once would write the same file aside.
-    scribe_.reset();
-    stage_ = Stage::resting;
+void SnapshotScheduler::write_final() {
+    // One that is being written is older, and two writers would share the temporary file.
+    writer_.reset();
+    stage_ = Stage::idle;
     timer_.cancel();
-    if (!claimed()) return timer_.cancel();
+    if (!acquire_lock()) return timer_.cancel();
     try {
-        const Part all = part_(0, static_cast<std::size_t>(-1));
-        shelf_.put(spell(all.record));
-        ++kept_.written;
-        kept_.last_at = net::Loop::now();
-    } catch (const std::exception& e) {
-        failed(e.what());
+        const Part everything = collect_part_(0, std::numeric_limits<std::size_t>::max());
+        store_.write(encode(everything.snapshot));
+        ++stats_.written;
+        stats_.last_written_at = net::Loop::now();
+    } catch (const std::exception& error) {
+        on_failed(error.what());
         timer_.cancel();
     }
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_scheduler.hpp
+++ b/src/snapshot/snapshot_scheduler.hpp
@@ -1,75 +1,90 @@
-// Has a keepsake written now and then without holding up the loop: a few runners a turn are told to a scribe,
-// which spells, writes and syncs while the dispatcher goes on. One at a time, and not for long.
+// Writes a snapshot at intervals without holding up the loop: each turn collects a few runners for a
+// SnapshotWriter, which does the rest in a process of its own. One snapshot at a time, each within a time
+// limit.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 
+#include "net/loop.hpp"
 #include "snapshot/decay.hpp"
+#include "snapshot/folder_lock.hpp"
+#include "snapshot/snapshot_store.hpp"
 #include "snapshot/snapshot_writer.hpp"
-#include "net/loop.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 
-// What a keeper goes by.
-struct Custom {
-    std::string folder;  // empty: nothing is kept
-    Micros every = 30'000'000;
-    Prudence prudence;
+struct SnapshotSettings {
+    std::string folder;  // empty: no snapshots
+    Micros interval = 30'000'000;
+    DecayPolicy decay;
 };
 
-struct Kept {
-    std::uint64_t written = 0, failed = 0;
-    Micros last_at = 0;                       // of the last that was written; 0: none yet
-    Micros held_up = 0, longest_held_up = 0;  // the loop, by the longest turn of the last keepsake and of all
-    Micros took = 0;                          // from the first part told to the word that it lies on the disk
-    std::string last_failure;
-    unsigned failed_in_a_row = 0;
+struct SnapshotStats {
+    std::uint64_t written = 0;
+    std::uint64_t failed = 0;
+    Micros last_written_at = 0;   // on the loop's clock; 0: none yet
+    Micros loop_blocked = 0;      // by the longest turn of the last snapshot
+    Micros max_loop_blocked = 0;  // by the longest turn of all
+    Micros duration = 0;          // of the last, from its first part to its being synced
+    std::string last_failure;     // "": the last was written
+    unsigned consecutive_failures = 0;
 };
 
-class Keeper {
+class SnapshotScheduler {
   public:
     struct Part {
-        Record record;
-        std::size_t next = 0;  // where the next one begins; 0: this was the last
+        Snapshot snapshot;
+        std::size_t next_offset = 0;  // where the next part begins; 0: this is the last
     };
-    // part: of all that is known, from that place on, about so many runners. Places that come or go meanwhile
-    // may be missed once or told twice. heard: one line when the keeping begins to fail, fails otherwise, or
-    // works again.
-    Keeper(net::Loop& loop, const Shelf& shelf, Micros every,
-           std::function<Part(std::size_t from, std::size_t most)> part,
-           std::function<void(const std::string& line, bool good)> heard);
-    Keeper(const Keeper&) = delete;
-    Keeper& operator=(const Keeper&) = delete;
+    // Of all that is known, about `max_runners` runners from that offset on. Runners that come or go between
+    // two parts may be missing or be there twice.
+    using CollectPart = std::function<Part(std::size_t offset, std::size_t max_runners)>;
+    // Called with one line when writing begins to fail, fails for another reason, or works again.
+    using ReportChange = std::function<void(const std::string& line, bool is_working)>;
+
+    // The first snapshot follows one interval later. REQUIRES: loop outlives the scheduler.
+    SnapshotScheduler(net::Loop& loop, const SnapshotStore& store, Micros interval, CollectPart collect_part,
+                      ReportChange report_change);
+    SnapshotScheduler(const SnapshotScheduler&) = delete;
+    SnapshotScheduler& operator=(const SnapshotScheduler&) = delete;
 
-    void begin();     // now
-    void keep_now();  // by this process itself, for the last one at an end: blocks as long as the disk does
-    const Kept& kept() const { return kept_; }
-    bool busy() const { return stage_ != Stage::resting; }
-    pid_t scribe() const { return scribe_ ? scribe_->process() : -1; }
-    // The pace after so many failures in a row, in microseconds: doubled with each, to sixteen times.
-    static Micros pace(Micros every, unsigned failed_in_a_row);
+    // Begins a snapshot now, unless one is being written.
+    void start();
+    // Writes one in this process, blocking as long as the disk does, and schedules no more: for a graceful
+    // end.
+    void write_final();
+
+    const SnapshotStats& stats() const { return stats_; }
+    bool is_writing() const { return stage_ != Stage::idle; }
+    pid_t writer_process() const { return writer_ ? writer_->process() : -1; }
+
+    // Exponential backoff: the interval doubled with each consecutive failure, to sixteen times at most.
+    static Micros backoff(Micros interval, unsigned consecutive_failures);
 
   private:
-    enum class Stage { resting, telling, waiting };
-    void turn();
-    void tell_more();
-    bool claimed();
-    void succeeded();
-    void failed(const std::string& why);
+    enum class Stage { idle, sending_parts, awaiting_result };
+
+    void on_timer();
+    void send_next_part();
+    bool acquire_lock();
+    void on_written();
+    void on_failed(const std::string& reason);
 
-    const Shelf shelf_;
-    const Micros every_;
-    const std::function<Part(std::size_t, std::size_t)> part_;
-    const std::function<void(const std::string&, bool)> heard_;
-    Claim claim_;
-    std::unique_ptr<Scribe> scribe_;
-    Stage stage_ = Stage::resting;
-    std::size_t from_ = 0;
-    Micros began_ = 0;
-    Kept kept_;
+    const SnapshotStore store_;
+    const Micros interval_;
+    const CollectPart collect_part_;
+    const ReportChange report_change_;
+    FolderLock lock_;
+    std::unique_ptr<SnapshotWriter> writer_;
+    Stage stage_ = Stage::idle;
+    std::size_t next_offset_ = 0;
+    Micros started_at_ = 0;
+    SnapshotStats stats_;
     net::Timer timer_;
 };
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -1,65 +1,82 @@
 #include "snapshot/snapshot_store.hpp"
 
 #include <algorithm>
+#include <memory>
 #include <stdexcept>
+#include <utility>
 
-namespace gannethold::keepsake {
+#include "snapshot/snapshot_format.hpp"
+
+namespace gannethold::snapshot {
 namespace {
 
-constexpr std::size_t kPiece = 64 * 1024;
+constexpr std::size_t kWriteChunkBytes = 64 * 1024;
+constexpr const char* kPreviousSuffix = ".before";
+constexpr const char* kTemporarySuffix = ".new";
+constexpr const char* kLinkSuffix = ".link";
 
-// A file that is longer than any of ours is cut there, and found wrong by its length.
-constexpr std::size_t kMost = kLongestFile + 1;
+// A longer file is read up to here, and rejected for its length.
+constexpr std::size_t kMaxReadBytes = kMaxFileBytes + 1;
 
 }  // namespace
 
-std::string read_whole(const std::string& path) {
-    const auto bytes = system_disk().read(path, kMost);
+std::string read_file(const std::string& path) {
+    auto bytes = posix_file_system().read(path, kMaxReadBytes);
     if (!bytes) throw std::runtime_error("cannot be opened");
-    return *bytes;
+    return *std::move(bytes);
 }
 
-Shelf::Shelf(std::string folder, const std::string& name, Disk& disk)
-    : folder_(std::move(folder)), path_(folder_ + "/" + name + ".keep"), disk_(&disk) {}
+SnapshotStore::SnapshotStore(std::string folder, const std::string& name, FileSystem& file_system)
+    : folder_(std::move(folder)), path_(folder_ + "/" + name + ".keep"), file_system_(&file_system) {}
+
+void SnapshotStore::write(std::string_view bytes) const {
+    refuse_newer_format();
+    const std::string temporary = path_ + kTemporarySuffix;
+    write_and_sync(temporary, bytes);
+    // The generation before is linked, not renamed, so that at no moment there is no file in place.
+    const std::string linked = path_ + kLinkSuffix;
+    file_system_->remove(linked);
+    if (file_system_->link(path_, linked)) file_system_->rename(linked, path_ + kPreviousSuffix);
+    file_system_->rename(temporary, path_);
+    file_system_->sync_folder(folder_);
+}
+
+// After a downgrade, what the newer program learned is not the older one's to overwrite.
+void SnapshotStore::refuse_newer_format() const {
+    const auto header = file_system_->read(path_, kHeaderBytes);
+    if (!header) return;
+    const std::uint32_t version = format_version_of(*header);
+    if (version > kFormatVersion)
+        throw std::runtime_error("snapshot: " + path_ + " is of a newer format version (" +
+                                 std::to_string(version) + ") and is left alone");
+}
 
-void Shelf::put(const std::string& bytes) const {
-    const std::string aside = path_ + ".new", before = path_ + ".before", linked = path_ + ".link";
-    // Against going back to an older program: what the newer one learned is not ours to write over.
-    if (const auto there = disk_->read(path_, kHeadBytes); there && form_of(*there) > kForm)
-        throw std::runtime_error("keepsake: " + path_ + " is of a newer form (" +
-                                 std::to_string(form_of(*there)) + ") and is left alone");
-    const int file = disk_->create(aside);
+void SnapshotStore::write_and_sync(const std::string& path, std::string_view bytes) const {
+    const std::unique_ptr<WritableFile> file = file_system_->create(path);
     try {
-        for (std::string_view left = bytes; !left.empty(); left.remove_prefix(std::min(kPiece, left.size())))
-            disk_->append(file, left.substr(0, kPiece));
-        disk_->sync(file);
+        for (; !bytes.empty(); bytes.remove_prefix(std::min(kWriteChunkBytes, bytes.size())))
+            file->append(bytes.substr(0, kWriteChunkBytes));
+        file->sync();
     } catch (...) {
-        disk_->close(file);
-        disk_->remove(aside);  // on a full disk it is in the way of everybody else
+        file_system_->remove(path);  // on a full disk its space is needed
         throw;
     }
-    disk_->close(file);
-    // By a link, so that there is no moment without a file in its place.
-    disk_->remove(linked);
-    if (disk_->link(path_, linked)) disk_->rename(linked, before);
-    disk_->rename(aside, path_);
-    disk_->sync_folder(folder_);
 }
 
-Shelf::Found Shelf::take() const {
-    Found found;
-    for (const std::string& path : {path_, path_ + ".before"}) {
+SnapshotStore::LoadResult SnapshotStore::load() const {
+    LoadResult result;
+    for (const std::string& path : {path_, path_ + kPreviousSuffix}) {
         try {
-            const auto bytes = disk_->read(path, kMost);
+            const auto bytes = file_system_->read(path, kMaxReadBytes);
             if (!bytes) continue;
-            found.record = read(*bytes);
-            found.file = path;
-            return found;
-        } catch (const std::exception& e) {
-            found.passed_over.push_back(path + ": " + e.what());
+            result.snapshot = decode(*bytes);
+            result.file = path;
+            return result;
+        } catch (const std::exception& error) {
+            result.skipped.push_back(path + ": " + error.what());
         }
     }
-    return found;
+    return result;
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -1,40 +1,47 @@
-// Where a keepsake lies: a file that is whole or not there, and the generation before it.
+// Where a snapshot lies on disk: a file that is complete or absent, and beside it the generation before.
 #pragma once
 
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "snapshot/file_system.hpp"
-#include "snapshot/snapshot_format.hpp"
+#include "snapshot/snapshot.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 
-class Shelf {
+class SnapshotStore {
   public:
-    // folder/name.keep, with name.keep.before beside it. The folder must be there; the disk outlives the
-    // shelf.
-    Shelf(std::string folder, const std::string& name, Disk& disk = system_disk());
-
-    // Writes aside, syncs, puts it in the place of the one before, syncs the folder: whatever happens in
-    // between, a reader finds a whole file. Blocks as long as the disk does. Throws std::runtime_error, also
-    // where a file of a newer form lies there: that is left alone.
-    void put(const std::string& bytes) const;
-
-    struct Found {
-        std::optional<Record> record;
-        std::string file;                      // that it is from
-        std::vector<std::string> passed_over;  // which could not be read, and why
+    // Writes FOLDER/NAME.keep, and NAME.keep.before beside it.
+    // REQUIRES: the folder exists; file_system outlives the store and its copies.
+    SnapshotStore(std::string folder, const std::string& name, FileSystem& file_system = posix_file_system());
+
+    // Writes a temporary file, syncs it, renames it into place, syncs the folder: whatever fails in between,
+    // a reader finds a complete file. Blocks as long as the disk does. Throws std::runtime_error, also where
+    // a file of a newer format version is in place, which is left alone.
+    void write(std::string_view bytes) const;
+
+    struct LoadResult {
+        std::optional<Snapshot> snapshot;
+        std::string file;                  // that it was read from
+        std::vector<std::string> skipped;  // one line for each file that could not be read
     };
-    // The newest that can be read.
-    Found take() const;
+    // The newest generation that can be read.
+    LoadResult load() const;
+
     const std::string& path() const { return path_; }
 
   private:
-    std::string folder_, path_;
-    Disk* disk_;
+    void refuse_newer_format() const;
+    void write_and_sync(const std::string& path, std::string_view bytes) const;
+
+    std::string folder_;
+    std::string path_;
+    FileSystem* file_system_;
 };
 
-std::string read_whole(const std::string& path);  // throws std::runtime_error
+// All bytes of a snapshot's file. Throws std::runtime_error where there is none.
+std::string read_file(const std::string& path);
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_writer.cpp
+++ b/src/snapshot/snapshot_writer.cpp
@@ -8,6 +8,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 #include <csignal>
 #include <cstring>
@@ -15,120 +16,146 @@
 #include <iterator>
 #include <utility>
 
-namespace gannethold::keepsake {
+#include "snapshot/snapshot_format.hpp"
+
+namespace gannethold::snapshot {
 namespace {
 
-// Both ends are this program, so a part has this machine's byte order.
-struct Head {
-    std::uint32_t length = 0, last = 0;
+// Precedes each part on the socket; in host byte order, since both ends are this program.
+struct PartHeader {
+    std::uint32_t length = 0;
+    std::uint32_t is_last = 0;
 };
-constexpr std::size_t kMostAnswer = 400;
-
-bool read_all(int line, void* to, std::size_t size) {
-    for (auto* at = static_cast<char*>(to); size > 0;) {
-        const ssize_t n = ::read(line, at, size);
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
-        at += n, size -= static_cast<std::size_t>(n);
+// Precedes each result likewise.
+using ResultLength = std::uint32_t;
+
+constexpr std::size_t kMaxResultBytes = 400;
+constexpr int kSocketOfChild = 3;
+constexpr const char* kProcessEnded = "the writing process has ended";
+
+bool read_exactly(int socket, void* to, std::size_t size) {
+    auto* at = static_cast<char*>(to);
+    while (size > 0) {
+        const ssize_t count = ::read(socket, at, size);
+        if (count < 0 && errno == EINTR) continue;
+        if (count <= 0) return false;
+        at += count;
+        size -= static_cast<std::size_t>(count);
     }
     return true;
 }
 
 template <class List>
-void add(List& to, List&& more) {
+void append(List& to, List&& more) {
     to.insert(to.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
 }
 
+void append_part(Snapshot& snapshot, Snapshot&& part) {
+    append(snapshot.runners, std::move(part.runners));
+    append(snapshot.instance_types, std::move(part.instance_types));
+    append(snapshot.workloads, std::move(part.workloads));
+    append(snapshot.overrides, std::move(part.overrides));
+}
+
+bool send_result(int socket, const std::string& error) {
+    const auto length = static_cast<ResultLength>(error.size());
+    std::string message(reinterpret_cast<const char*>(&length), sizeof length);
+    message += error;
+    return ::write(socket, message.data(), message.size()) == static_cast<ssize_t>(message.size());
+}
+
+// What the child process does until the dispatcher's end of the socket closes.
+void serve_parts(int socket, const SnapshotStore& store) {
+    std::optional<Snapshot> snapshot;
+    PartHeader header;
+    while (read_exactly(socket, &header, sizeof header)) {
+        std::string bytes(header.length, '\0');
+        if (!read_exactly(socket, bytes.data(), bytes.size())) return;
+        std::string error;
+        try {
+            Snapshot part = decode(bytes);
+            if (snapshot)
+                append_part(*snapshot, std::move(part));
+            else
+                snapshot = std::move(part);
+            if (header.is_last == 0) continue;
+            store.write(encode(*snapshot));
+        } catch (const std::exception& failure) {
+            error = std::string(failure.what()).substr(0, kMaxResultBytes);
+        }
+        snapshot.reset();
+        malloc_trim(0);  // what encoding took is not needed again until the next snapshot
+        if (!send_result(socket, error)) return;
+    }
+}
+
+[[noreturn]] void run_child(int socket, pid_t parent, const SnapshotStore& store) {
+    prctl(PR_SET_PDEATHSIG, SIGKILL);
+    if (getppid() != parent) _exit(1);  // it ended before the call above
+    // Signals to the whole process group are for the dispatcher, which still has its last snapshot to write.
+    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) std::signal(signal, SIG_IGN);
+    // A listening socket or a folder's lock must not live on here while the dispatcher is started again.
+    dup2(socket, kSocketOfChild);
+    syscall(SYS_close_range, static_cast<unsigned>(kSocketOfChild) + 1, ~0U, 0U);
+    serve_parts(kSocketOfChild, store);
+    _exit(0);
+}
+
 }  // namespace
 
-Scribe::Scribe(const Shelf& shelf) {
-    int ends[2];
-    if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) return;
+SnapshotWriter::SnapshotWriter(const SnapshotStore& store) {
+    std::array<int, 2> ends{};
+    if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends.data()) != 0) return;
+    FileDescriptor ours(ends[0]);
+    const FileDescriptor theirs(ends[1]);
     const pid_t parent = getpid();
     process_ = fork();
-    if (process_ == 0) {
-        prctl(PR_SET_PDEATHSIG, SIGKILL);
-        if (getppid() != parent) _exit(1);
-        // Signals to the whole group are the dispatcher's to heed, which has the last keepsake to write.
-        for (const int number : {SIGTERM, SIGINT, SIGHUP}) std::signal(number, SIG_IGN);
-        // Against a listening socket, or a claim, that lives on here while the dispatcher is started again.
-        dup2(ends[1], 3);
-        syscall(SYS_close_range, 4U, ~0U, 0U);
-        work(3, shelf);
-    }
-    ::close(ends[1]);
-    line_ = ends[0];
-    fcntl(line_, F_SETFL, O_NONBLOCK);
-    if (process_ < 0) end();
+    if (process_ == 0) run_child(theirs.get(), parent, store);
+    if (process_ < 0) return;
+    fcntl(ours.get(), F_SETFL, O_NONBLOCK);
+    socket_ = std::move(ours);
 }
 
-Scribe::~Scribe() { end(); }
+SnapshotWriter::~SnapshotWriter() { stop(); }
 
-void Scribe::end() {
+void SnapshotWriter::stop() {
     if (process_ > 0) {
         kill(process_, SIGKILL);
         waitpid(process_, nullptr, 0);
     }
-    if (line_ >= 0) ::close(line_);
-    process_ = -1, line_ = -1;
-    left_.clear();
-}
-
-void Scribe::work(int line, const Shelf& shelf) {
-    Record all;
-    bool begun = false;
-    for (Head head; read_all(line, &head, sizeof head);) {
-        std::string bytes(head.length, '\0');
-        if (!read_all(line, bytes.data(), bytes.size())) break;
-        std::string why;
-        try {
-            Record part = read(bytes);
-            if (!std::exchange(begun, true))
-                all = std::move(part);
-            else
-                add(all.runners, std::move(part.runners)), add(all.kinds, std::move(part.kinds)),
-                    add(all.workloads, std::move(part.workloads)), add(all.holds, std::move(part.holds));
-            if (!head.last) continue;
-            shelf.put(spell(all));
-        } catch (const std::exception& e) {
-            why = std::string(e.what()).substr(0, kMostAnswer);
-        }
-        all = {}, begun = false;
-        malloc_trim(0);  // what the spelling took is not needed again for half a minute
-        const auto length = static_cast<std::uint32_t>(why.size());
-        std::string said(reinterpret_cast<const char*>(&length), sizeof length);
-        said += why;
-        if (::write(line, said.data(), said.size()) != static_cast<ssize_t>(said.size())) break;
-    }
-    _exit(0);
+    process_ = -1;
+    socket_.reset();
+    unsent_.clear();
 }
 
-void Scribe::tell(const Record& part, bool last) {
-    const std::string bytes = spell(part);
-    const Head head{static_cast<std::uint32_t>(bytes.size()), last};
-    left_.append(reinterpret_cast<const char*>(&head), sizeof head).append(bytes);
+void SnapshotWriter::queue_part(const Snapshot& part, bool is_last) {
+    const std::string bytes = encode(part);
+    const PartHeader header{static_cast<std::uint32_t>(bytes.size()), is_last ? 1U : 0U};
+    unsent_.append(reinterpret_cast<const char*>(&header), sizeof header).append(bytes);
 }
 
-bool Scribe::pushed() {
-    while (!left_.empty() && alive()) {
-        const ssize_t n = ::send(line_, left_.data(), left_.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-        if (n < 0 && errno != EAGAIN && errno != EINTR) end();
-        if (n <= 0) return false;
-        left_.erase(0, static_cast<std::size_t>(n));
+bool SnapshotWriter::flush() {
+    while (!unsent_.empty() && is_running()) {
+        const ssize_t sent =
+            ::send(socket_.get(), unsent_.data(), unsent_.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+        if (sent < 0 && errno != EAGAIN && errno != EINTR) stop();
+        if (sent <= 0) return false;
+        unsent_.erase(0, static_cast<std::size_t>(sent));
     }
-    return left_.empty();
+    return unsent_.empty();
 }
 
-std::optional<std::string> Scribe::answer() {
-    if (!alive()) return "the writing process has ended";
-    char said[kMostAnswer + sizeof(std::uint32_t)];
-    const ssize_t n = ::recv(line_, said, sizeof said, MSG_DONTWAIT);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return std::nullopt;
-    if (n < static_cast<ssize_t>(sizeof(std::uint32_t))) {
-        end();
-        return "the writing process has ended";
+std::optional<std::string> SnapshotWriter::poll_result() {
+    if (!is_running()) return kProcessEnded;
+    std::array<char, kMaxResultBytes + sizeof(ResultLength)> message{};
+    const ssize_t received = ::recv(socket_.get(), message.data(), message.size(), MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return std::nullopt;
+    if (received < static_cast<ssize_t>(sizeof(ResultLength))) {
+        stop();
+        return kProcessEnded;
     }
-    return std::string(said + sizeof(std::uint32_t), static_cast<std::size_t>(n) - sizeof(std::uint32_t));
+    return std::string(message.data() + sizeof(ResultLength),
+                       static_cast<std::size_t>(received) - sizeof(ResultLength));
 }
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -1,6 +1,5 @@
-// A process of our own that spells, writes and syncs keepsakes, started once while there is little to copy:
-// the dispatcher hands it what is known in parts, as its loop finds the time, and never waits for it or for a
-// disk.
+// A child process that encodes, writes and syncs snapshots, so that the dispatcher's loop never waits for a
+// disk. It is forked once, while there are few pages to copy, and gets each snapshot in parts over a socket.
 #pragma once
 
 #include <sys/types.h>
@@ -8,34 +7,36 @@
 #include <optional>
 #include <string>
 
+#include "snapshot/file_descriptor.hpp"
 #include "snapshot/snapshot_store.hpp"
 
-namespace gannethold::keepsake {
+namespace gannethold::snapshot {
 
-class Scribe {
+class SnapshotWriter {
   public:
-    // Without a process where none can be started; alive() tells.
-    explicit Scribe(const Shelf& shelf);
-    ~Scribe();  // it is ended at once, also in the middle of a write
-    Scribe(const Scribe&) = delete;
-    Scribe& operator=(const Scribe&) = delete;
+    // Where no process can be started, is_running() is false from the beginning.
+    explicit SnapshotWriter(const SnapshotStore& store);
+    ~SnapshotWriter();  // kills the process, also in the middle of a write
+    SnapshotWriter(const SnapshotWriter&) = delete;
+    SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
-    bool alive() const { return process_ > 0; }
+    bool is_running() const { return process_ > 0; }
     pid_t process() const { return process_; }
-    // One part of a record: of the lists, each adds to those before it; of the rest, the first part's counts.
-    void tell(const Record& part, bool last);
-    // Whether it has taken all that it was told; what it has not is offered again.
-    bool pushed();
-    // After the last part: nothing as long as it works, "" once it is written, else why not.
-    std::optional<std::string> answer();
+
+    // Queues one part of a snapshot. Lists are appended to those of the parts before it; all else counts as
+    // the first part says. After the last part the process writes the snapshot.
+    void queue_part(const Snapshot& part, bool is_last);
+    // Sends what is queued, as far as it goes without blocking. True: nothing is left.
+    bool flush();
+    // After the last part. nullopt: still writing; "": written; else why not, in one line.
+    std::optional<std::string> poll_result();
 
   private:
-    [[noreturn]] static void work(int line, const Shelf& shelf);
-    void end();
+    void stop();
 
     pid_t process_ = -1;
-    int line_ = -1;
-    std::string left_;  // to be pushed
+    FileDescriptor socket_;
+    std::string unsent_;
 };
 
-}  // namespace gannethold::keepsake
+}  // namespace gannethold::snapshot
--- /dev/null
+++ b/tests/choice/learned_state_test.cpp
@@ -0,0 +1,106 @@
+// What a balancer learned, given to the one after it.
+#include "helpers.hpp"
+
+#include "snapshot/decay.hpp"
+
+using namespace gannethold;
+
+namespace {
+
+// A module that has worked for a while with one slow and one quick runner.
+Lore learned() {
+    FakeHost host;
+    host.fleet(2, 8);
+    for (int i = 0; i < 200; ++i) {
+        host.ask();
+        host.pass(20'000);
+        const bool slow = host.assigned.back().runner == RunnerId{1};
+        host.end(Outcome::finished, slow ? 400'000 : 50'000, 0, {8, 0, 0});
+    }
+    host.pass(3'000'000);
+    return host.choice.lore();
+}
+
+Lore decayed_lore(Lore lore) {
+    for (RunnerLore& r : lore.runners)
+        r.latency.take(snapshot::decayed({r.latency.bins().begin(), r.latency.bins().end()}, 1, 8));
+    return lore;
+}
+
+}  // namespace
+
+TEST_CASE("a module given what the one before learned splits traffic as it did, from the first task") {
+    const Lore lore = decayed_lore(learned());
+    FakeHost fresh;
+    fresh.fleet(2, 8);
+    CHECK(fresh.choice.fractions()[RunnerId{1}] == doctest::Approx(0.5));
+    fresh.choice.believe(lore);
+    CHECK(fresh.choice.fractions()[RunnerId{1}] < 0.3);
+}
+
+TEST_CASE("an estimate that live samples contradict is dropped with the second of them") {
+    FakeHost host;
+    host.fleet(2, 8);
+    host.choice.believe(decayed_lore(learned()));
+    const auto latency_of = [&](unsigned id) {
+        for (const RunnerLore& r : host.choice.lore().runners)
+            if (r.runner == RunnerId{id}) return r.latency.mean(0);
+        return 0.0;
+    };
+    const double restored = latency_of(2);
+    // The quick one has become slow.
+    int samples = 0;
+    for (int i = 0; i < 100 && samples < 2; ++i) {
+        host.ask();
+        host.pass(20'000);
+        const bool it = host.assigned.back().runner == RunnerId{2};
+        samples += it;
+        host.end(Outcome::finished, it ? 2'000'000 : 400'000, 0, {8, 0, 0});
+    }
+    REQUIRE(samples == 2);
+    CHECK(latency_of(2) > 4 * restored);
+}
+
+TEST_CASE("estimates that are swapped are corrected by the tasks of a few seconds") {
+    const Lore lore = decayed_lore(learned());
+    Lore wrong = lore;
+    std::swap(wrong.runners[0].latency, wrong.runners[1].latency);
+    std::swap(wrong.runners[0].fraction, wrong.runners[1].fraction);
+    std::swap(wrong.runners[0].least, wrong.runners[1].least);
+    FakeHost host;
+    host.fleet(2, 8);
+    host.choice.believe(wrong);
+    CHECK(host.choice.fractions()[RunnerId{1}] > 0.7);
+    int tasks = 0;
+    while (host.choice.fractions()[RunnerId{1}] > 0.4 && tasks < 1'000) {
+        ++tasks;
+        host.ask();
+        host.pass(20'000);
+        host.end(Outcome::finished, host.assigned.back().runner == RunnerId{1} ? 400'000 : 50'000, 0,
+                 {8, 0, 0});
+    }
+    MESSAGE("corrected after ", tasks, " tasks at 50 a second");
+    CHECK(tasks < 500);
+}
+
+TEST_CASE("a runner in slow start stays within its budget, whatever was learned of it") {
+    const auto sent_in_first_second = [](bool has_estimates) {
+        FakeHost host;
+        host.now = 100'000'000;
+        RosterEntry cold = FakeHost::entry(1);
+        cold.started_at = host.now - 100'000;
+        host.fleet({cold});
+        if (has_estimates) {
+            Lore lore;
+            RunnerLore r;
+            r.runner = RunnerId{1}, r.slots = 64, r.fraction = 1, r.least = 0.5;
+            for (int i = 0; i < 8; ++i) r.latency.add(0.5);
+            lore.runners.push_back(r);
+            host.choice.believe(lore);
+        }
+        for (int i = 0; i < 100; ++i) host.ask();
+        host.pass(900'000);
+        return host.assigned.size();
+    };
+    CHECK(sent_in_first_second(true) <= sent_in_first_second(false));
+}
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -1,12 +1,11 @@
-// Bytes that outlive a process or pass between two, as the text before the renaming wrote and read them: a
-// keepsake's folder, the words of a handover, and the names in both files of settings.
+// Bytes that pass between two processes, as the text before the renaming wrote and read them: the words of a
+// handover, and the names in both files of settings. tests/snapshot has those of stored snapshots.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <algorithm>
 #include <fstream>
 #include <iterator>
-#include <numeric>
 #include <optional>
 #include <sstream>
 #include <string>
@@ -16,7 +15,6 @@
 #include "handover/words.hpp"
 #include "house/house_rules.hpp"
 #include "json/json.hpp"
-#include "snapshot/snapshot_store.hpp"
 #include "sheets/sheet.hpp"
 
 using namespace gannethold;
@@ -29,8 +27,6 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-const std::string kFolder = RECORDED_FIXTURES "/keepsake";
-
 // The smallest configuration, with one more line among the settings or beside them.
 std::string configuration(const std::string& settings, const std::string& beside = "",
                           const std::string& of_workload = "") {
@@ -72,43 +68,6 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a keepsake's folder that a dispatcher left is read with its values and spelled to the same bytes") {
-    for (const std::string& name : std::vector<std::string>{"d-1.keep", "d-1.keep.before"}) {
-        const std::string bytes = whole_file(kFolder + "/" + name);
-        const keepsake::Record record = keepsake::read(bytes);
-        CHECK(record.dispatcher == "d-1");
-        CHECK(record.runners.size() == 8);
-        CHECK(record.kinds.size() == 2);
-        CHECK(record.workloads.size() == 1);
-        CHECK(keepsake::spell(record) == bytes);
-    }
-}
-
-TEST_CASE("the newest file of the folder is the one that is taken") {
-    const keepsake::Shelf::Found found = keepsake::Shelf(kFolder, "d-1").take();
-    REQUIRE(found.record);
-    CHECK(found.passed_over.empty());
-    CHECK(keepsake::spell(*found.record) == whole_file(kFolder + "/d-1.keep"));
-    double fractions = 0;
-    for (const keepsake::KeptRunner& r : found.record->runners) {
-        CHECK(r.latency.size() == 20);
-        CHECK(r.least > 0);
-        fractions += r.fraction;
-    }
-    CHECK(fractions == doctest::Approx(1));
-    // As `gannethold keepsake show` told them when they were written.
-    CHECK(found.record->written_ms == 1'796'198'195'891);
-    CHECK(found.record->usual_cost == doctest::Approx(86753.9));
-    const keepsake::KeptRunner& first = found.record->runners.front();
-    CHECK((first.name == "quick-3" && first.kind == "m" && first.zone == "a" && first.started_ms == 0));
-    CHECK(first.address == "127.179.0.3:21000");
-    CHECK(std::accumulate(first.latency.begin(), first.latency.end(), 0.0) == doctest::Approx(117));
-    CHECK(first.least == doctest::Approx(0.679379));
-    CHECK(first.slots == 1.5);
-    CHECK(first.fraction == doctest::Approx(0.652353));
-}
-
 TEST_CASE("the words of a handover keep their bytes") {
     using namespace handover;
     CHECK(spell(Greeting{1, "n0", 2}) == R"({"name":"n0","others":2,"v":1})");
@@ -211,7 +170,7 @@
     CHECK(refusal_of_operators_file(all) == "");
     const house::HouseRules rules = house::HouseRules::read(all, "operator.toml");
     CHECK(rules.control.path == "/run/gannethold/control.sock");
-    CHECK(rules.keepsake.folder == "/var/lib/gannethold");
+    CHECK(rules.snapshot.folder == "/var/lib/gannethold");
     CHECK(rules.tubes.entrances.size() == 1);
     CHECK(rules.tubes.trade.tubes.size() == 1);
     CHECK(rules.watch.configuration == "/etc/gannethold/next.json");
