--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -30,7 +30,7 @@
 #include "roster/holds.hpp"
 #include "runners/links.hpp"
 #include "shadow/shadow.hpp"
-#include "storms/run_book.hpp"
+#include "retry/execution_log.hpp"
 #include "window/window.hpp"
 
 namespace gannethold::dispatcher {
--- a/src/house/house_rules.hpp
+++ b/src/house/house_rules.hpp
@@ -10,7 +10,7 @@
 #include "drain/drain.hpp"
 #include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
-#include "storms/run_book.hpp"
+#include "retry/execution_log.hpp"
 
 namespace gannethold::house {
 
--- a/src/storms/run_book.cpp
+++ b/src/retry/execution_log.cpp
@@ -1,4 +1,4 @@
-#include "storms/run_book.hpp"
+#include "retry/execution_log.hpp"
 
 namespace gannethold::storms {
 
--- a/tests/storm_stories.cpp
+++ b/tests/storm_stories.cpp
@@ -2,7 +2,7 @@
 // run.
 #include "helpers.hpp"
 
-#include "storms/run_book.hpp"
+#include "retry/execution_log.hpp"
 
 using namespace gannethold;
 using namespace gannethold::storms;
