--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -104,8 +104,8 @@
       wake_(loop, [this] { wake(); }),
       farewell_(loop, [this] { look_at_drain(); }),
       drain_(extras.manners),
-      recollection_(extras.recollection),
-      run_book_(extras.recollection),
+      deduplication_(extras.deduplication),
+      execution_log_(extras.deduplication),
       joined_timer_(loop, [this] { answer_owed(); }),
       watched_(extras.watched),
       watched_most_(extras.watched_most) {
@@ -300,7 +300,8 @@
 
 TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::Blocks&& body, Micros came_at) {
     const TaskId id{++tasks_taken_};
-    if (recollection_.on && take_as_repeat(id, asker, request, came_at + request.patience)) return id;
+    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
+        return id;
     std::string lines;
     if (request.pushable) {
         auto head = http::Writer::request(request.method, request.target);
@@ -323,8 +324,8 @@
     arrived.slots = request.slots;
     arrived.memory = request.memory;
     arrived.client_repeat = request.repeat;
-    std::string sign = recollection_.on ? sign_of(request) : "";
-    if (!sign.empty()) run_book_.began(net::Loop::now(), sign, id);
+    std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
+    if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
     ids_.insert(request.id);
     tasks_.emplace(id, Task{&asker, std::move(request.id), std::move(lines), std::move(body), arrived.expiry,
                             request.workload, came_at, 0, 0, false, std::move(sign)});
@@ -343,8 +344,8 @@
     if (task == tasks_.end() || pass_on(task)) return;
     // Nobody waits any more, and what is out is withdrawn: how far it came nobody will hear.
     if (const Task& t = task->second; !t.sign.empty())
-        t.out > 0 || t.ran ? run_book_.may_have_run(net::Loop::now(), t.sign, id)
-                           : run_book_.never_ran(t.sign, id);
+        t.out > 0 || t.ran ? execution_log_.on_may_have_run(net::Loop::now(), t.sign, id)
+                           : execution_log_.on_never_ran(t.sign, id);
     end_asking(task);
     note(ClientLeft{id});
     forget_if_over(task);
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -40,8 +40,9 @@
     std::optional<control::Furniture> desk;  // none: no control socket
     drain::Manners manners;
     snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
-    storms::Recollection recollection;    // off: a retry of what may have run is a task like any other
-    beanstalk::Furnishing tubes;          // without an entrance it is off
+    retry::DeduplicationSettings
+        deduplication;            // disabled: a retry of what may have run is a task like any other
+    beanstalk::Furnishing tubes;  // without an entrance it is off
     // Settings that are watched and never acted by: their file (read again at a reload; empty: none), a turn
     // of so many, and the processor's time that a second of it may take.
     std::string watched;
@@ -219,8 +220,8 @@
     std::size_t idle_at_closing_ = 0;
     bool closing_ = false, healthy_ = true;
     drain::Phase told_phase_ = drain::Phase::serving;
-    const storms::Recollection recollection_;
-    storms::RunBook run_book_;
+    const retry::DeduplicationSettings deduplication_;
+    retry::ExecutionLog execution_log_;
     std::unordered_map<TaskId, Joined> joined_;
     std::unordered_map<TaskId, std::vector<TaskId>> joined_to_;
     std::unordered_map<TaskId, TaskId>
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -133,7 +133,7 @@
     o["abandoned"] = whole(ends.abandoned);
     o["failed_assignments"] = whole(failed_);
     o["roster_version"] = whole(book_.version());
-    if (recollection_.on) o["repeats"] = Value(tell_repeats());
+    if (deduplication_.is_enabled) o["repeats"] = Value(tell_repeats());
     if (pullers_) o["tubes"] = Value(tell_tubes());
     o["keepsake"] = Value(snapshot_status());
     if (shadow_) o["shadow"] = Value(tell_watched());
--- a/src/dispatcher/repeating.cpp
+++ b/src/dispatcher/repeating.cpp
@@ -22,7 +22,7 @@
     const std::string whose = std::to_string(static_cast<std::uint32_t>(handed.workload)) + "/" +
                               std::to_string(static_cast<std::uint32_t>(handed.customer)) + "/";
     if (!handed.fingerprint.empty()) return whose + "k" + handed.fingerprint;
-    return recollection_.by_path && handed.key != 0 ? whose + "p" + std::to_string(handed.key) : "";
+    return deduplication_.matches_by_path && handed.key != 0 ? whose + "p" + std::to_string(handed.key) : "";
 }
 
 bool Dispatcher::take_as_repeat(TaskId id, fronts::Asker& asker, const fronts::Handed& handed,
@@ -31,18 +31,18 @@
     if (handed.fingerprint.empty() && !handed.repeat) return false;
     const std::string sign = sign_of(handed);
     if (sign.empty()) return false;
-    const auto known = run_book_.find(net::Loop::now(), sign);
+    const auto known = execution_log_.find(net::Loop::now(), sign);
     if (!known) return false;
     Joined one{&asker, known->task, expiry, handed.id, handed.workload};
     ids_.insert(handed.id);
-    if (known->state == storms::RunState::out) {
+    if (known->state == retry::ExecutionState::in_flight) {
         ++joins_;
         joined_to_[known->task].push_back(id);
         joined_until_.emplace(expiry - kAnswerTravels, id);
         joined_timer_.set(joined_until_.begin()->first);
     } else {
         ++told_ends_;
-        const bool has_result = known->state == storms::RunState::finished && known->result;
+        const bool has_result = known->state == retry::ExecutionState::finished && known->result;
         owed_.emplace_back(id, has_result ? fronts::Answer::finished : fronts::Answer::abandoned,
                            has_result ? *known->result : "");
         one.first = TaskId{};
@@ -86,11 +86,11 @@
     const Micros now = net::Loop::now();
     switch (answer) {
         case fronts::Answer::finished:
-            return run_book_.finished(now, task.sign, id, result);
+            return execution_log_.on_finished(now, task.sign, id, result);
         case fronts::Answer::abandoned:
-            return run_book_.may_have_run(now, task.sign, id);
+            return execution_log_.on_may_have_run(now, task.sign, id);
         case fronts::Answer::bounced:
-            return run_book_.never_ran(task.sign, id);
+            return execution_log_.on_never_ran(task.sign, id);
     }
 }
 
@@ -128,11 +128,11 @@
 
 json::Object Dispatcher::tell_repeats() const {
     const auto whole = [](auto n) { return json::Value(json::Number{std::to_string(n)}); };
-    return {{"known", whole(run_book_.size())},
-            {"bytes", whole(run_book_.bytes())},
+    return {{"known", whole(execution_log_.size())},
+            {"bytes", whole(execution_log_.bytes())},
             {"joined", whole(joins_)},
             {"told_the_end", whole(told_ends_)},
-            {"fell_out_early", whole(run_book_.fallen_out())}};
+            {"fell_out_early", whole(execution_log_.evicted_early())}};
 }
 
 }  // namespace gannethold::dispatcher
--- a/src/house/house_rules.cpp
+++ b/src/house/house_rules.cpp
@@ -50,6 +50,22 @@
     return f;
 }
 
+retry::DeduplicationSettings read_deduplication(const sheets::Sheet& table) {
+    table.accept_old_name("deduplicate", "remember");
+    table.accept_old_name("retention_s", "keep_s");
+    table.accept_old_name("max_entries", "most");
+    table.accept_old_name("max_mb", "most_mb");
+    table.accept_old_name("max_result_bytes", "longest_result");
+    retry::DeduplicationSettings settings;
+    settings.is_enabled = table.yes("deduplicate", false);
+    settings.matches_by_path = table.yes("by_path", false);
+    settings.retention = static_cast<Micros>(table.number("retention_s", 600, 0.1, 86'400) * 1e6);
+    settings.max_entries = static_cast<std::size_t>(table.whole("max_entries", 10'000, 1, 100'000'000));
+    settings.max_bytes = static_cast<std::size_t>(table.number("max_mb", 4, 0.001, 1e6) * 1048576);
+    settings.max_result_bytes = static_cast<std::size_t>(table.whole("max_result_bytes", 8'192, 0, 1 << 20));
+    return settings;
+}
+
 HouseRules take(const sheets::Sheet& sheet) {
     HouseRules rules;
     const sheets::Sheet log = sheet.table("log");
@@ -63,15 +79,8 @@
     const sheets::Sheet drain = sheet.table("drain");
     rules.drain.front_notices = static_cast<Micros>(drain.number("front_notices_s", 2, 0, 600) * 1e6);
     rules.drain.closing_takes = static_cast<Micros>(drain.number("closing_takes_s", 2, 0, 600) * 1e6);
-    const sheets::Sheet repeats = sheet.table("repeats");
-    rules.recollection.on = repeats.yes("remember", false);
-    rules.recollection.by_path = repeats.yes("by_path", false);
-    rules.recollection.keep = static_cast<Micros>(repeats.number("keep_s", 600, 0.1, 86'400) * 1e6);
-    rules.recollection.most = static_cast<std::size_t>(repeats.whole("most", 10'000, 1, 100'000'000));
-    rules.recollection.most_bytes =
-        static_cast<std::size_t>(repeats.number("most_mb", 4, 0.001, 1e6) * 1048576);
-    rules.recollection.longest_result =
-        static_cast<std::size_t>(repeats.whole("longest_result", 8'192, 0, 1 << 20));
+    sheet.accept_old_name("retries", "repeats");
+    rules.deduplication = read_deduplication(sheet.table("retries"));
     rules.tubes = read_tubes(sheet.table("beanstalk"));
     sheet.accept_old_name("snapshot", "keepsake");
     const sheets::Sheet snapshot = sheet.table("snapshot");
--- a/src/house/house_rules.hpp
+++ b/src/house/house_rules.hpp
@@ -18,7 +18,7 @@
     log::Form log_form = log::Form::plain;
     control::Furniture control;  // an empty path: no control socket
     drain::Manners drain;
-    storms::Recollection recollection;
+    retry::DeduplicationSettings deduplication;
     beanstalk::Furnishing tubes;          // without an entrance it is off
     snapshot::SnapshotSettings snapshot;  // an empty folder: no snapshots
     // Other settings that are watched beside those in force; an empty path: none are.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -77,7 +77,7 @@
     if (!rules.control.path.empty()) extras.desk = rules.control;
     extras.manners = rules.drain;
     extras.snapshot = rules.snapshot;
-    extras.recollection = rules.recollection;
+    extras.deduplication = rules.deduplication;
     extras.tubes = rules.tubes;
     extras.watched = rules.watch.configuration;
     extras.watched_every = rules.watch.every, extras.watched_most = rules.watch.most_a_second;
--- a/src/retry/execution_log.cpp
+++ b/src/retry/execution_log.cpp
@@ -1,78 +1,91 @@
 #include "retry/execution_log.hpp"
 
-namespace gannethold::storms {
+namespace gannethold::retry {
+namespace {
 
-std::optional<RunBook::Known> RunBook::find(Micros now, const std::string& sign) {
-    pass(now);
-    const auto found = runs_.find(sign);
-    if (found == runs_.end()) return std::nullopt;
-    const Run& run = found->second;
-    return Known{run.state, run.task, run.state == RunState::finished && run.kept ? &run.result : nullptr};
-}
+// What an entry takes in memory beside its key and result, about.
+constexpr std::size_t kEntryOverheadBytes = 160;
+
+}  // namespace
 
-void RunBook::began(Micros now, const std::string& sign, TaskId task) {
-    pass(now);
-    if (const auto before = runs_.find(sign); before != runs_.end()) forget(before);
-    const auto run = runs_.emplace(sign, Run{RunState::out, task, 0, ++numbers_, {}, false}).first;
-    bytes_ += weight(*run);
+std::optional<ExecutionLog::Execution> ExecutionLog::find(Micros now, const std::string& key) {
+    evict(now);
+    const auto found = entries_.find(key);
+    if (found == entries_.end()) return std::nullopt;
+    const Entry& entry = found->second;
+    const bool has_result = entry.state == ExecutionState::finished && entry.has_result;
+    return Execution{entry.state, entry.task, has_result ? &entry.result : nullptr};
 }
 
-void RunBook::end(Micros now, Runs::iterator run, RunState state) {
-    run->second.state = state;
-    run->second.ended_at = now;
-    run->second.task = {};
-    ++ended_runs_;
-    ended_.emplace_back(run->first, run->second.number);
-    pass(now);
+void ExecutionLog::on_started(Micros now, const std::string& key, TaskId task) {
+    evict(now);
+    if (const auto earlier = entries_.find(key); earlier != entries_.end()) erase(earlier);
+    Entry entry;
+    entry.task = task;
+    entry.number = ++last_number_;
+    bytes_ += bytes_of(*entries_.emplace(key, std::move(entry)).first);
 }
 
-void RunBook::finished(Micros now, const std::string& sign, TaskId task, std::string_view result) {
-    const auto run = out(sign, task);
-    if (run == runs_.end()) return;
-    run->second.kept = result.size() <= how_.longest_result;
-    if (run->second.kept) {
-        run->second.result = result;
+void ExecutionLog::on_finished(Micros now, const std::string& key, TaskId task, std::string_view result) {
+    const auto entry = find_in_flight(key, task);
+    if (entry == entries_.end()) return;
+    entry->second.has_result = result.size() <= settings_.max_result_bytes;
+    if (entry->second.has_result) {
+        entry->second.result = result;
         bytes_ += result.size();
     }
-    end(now, run, RunState::finished);
+    end(now, entry, ExecutionState::finished);
+}
+
+void ExecutionLog::on_may_have_run(Micros now, const std::string& key, TaskId task) {
+    const auto entry = find_in_flight(key, task);
+    if (entry != entries_.end()) end(now, entry, ExecutionState::may_have_run);
 }
 
-void RunBook::may_have_run(Micros now, const std::string& sign, TaskId task) {
-    const auto run = out(sign, task);
-    if (run != runs_.end()) end(now, run, RunState::may_have_run);
+void ExecutionLog::on_never_ran(const std::string& key, TaskId task) {
+    const auto entry = find_in_flight(key, task);
+    if (entry != entries_.end()) erase(entry);
 }
 
-void RunBook::never_ran(const std::string& sign, TaskId task) {
-    const auto run = out(sign, task);
-    if (run != runs_.end()) forget(run);
+void ExecutionLog::end(Micros now, Entries::iterator entry, ExecutionState state) {
+    entry->second.state = state;
+    entry->second.ended_at = now;
+    entry->second.task = {};
+    ++ended_entries_;
+    ended_.push_back({entry->first, entry->second.number});
+    evict(now);
 }
 
-RunBook::Runs::iterator RunBook::out(const std::string& sign, TaskId task) {
-    const auto run = runs_.find(sign);
-    return run != runs_.end() && run->second.state == RunState::out && run->second.task == task ? run
-                                                                                                : runs_.end();
+ExecutionLog::Entries::iterator ExecutionLog::find_in_flight(const std::string& key, TaskId task) {
+    const auto entry = entries_.find(key);
+    if (entry == entries_.end()) return entry;
+    const bool is_in_flight = entry->second.state == ExecutionState::in_flight && entry->second.task == task;
+    return is_in_flight ? entry : entries_.end();
 }
 
-void RunBook::forget(Runs::iterator run) {
-    bytes_ -= weight(*run);
-    ended_runs_ -= run->second.state != RunState::out;
-    runs_.erase(run);
+void ExecutionLog::erase(Entries::iterator entry) {
+    bytes_ -= bytes_of(*entry);
+    if (entry->second.state != ExecutionState::in_flight) --ended_entries_;
+    entries_.erase(entry);
 }
 
-void RunBook::pass(Micros now) {
+void ExecutionLog::evict(Micros now) {
     while (!ended_.empty()) {
-        const auto& [sign, number] = ended_.front();
-        const auto run = runs_.find(sign);
-        const bool gone = run == runs_.end() || run->second.number != number;
-        if (!gone) {
-            const bool old = now - run->second.ended_at >= how_.keep;
-            const bool too_much = ended_runs_ > how_.most || bytes_ > how_.most_bytes;
-            if (!old && !too_much) return;
-            fallen_out_ += !old;
-            forget(run);
+        const EndedEntry& oldest = ended_.front();
+        const auto entry = entries_.find(oldest.key);
+        if (entry != entries_.end() && entry->second.number == oldest.number) {
+            const bool is_expired = now - entry->second.ended_at >= settings_.retention;
+            const bool is_over_limit = ended_entries_ > settings_.max_entries || bytes_ > settings_.max_bytes;
+            if (!is_expired && !is_over_limit) return;
+            if (!is_expired) ++evicted_early_;
+            erase(entry);
         }
         ended_.pop_front();
     }
 }
 
-}  // namespace gannethold::storms
+std::size_t ExecutionLog::bytes_of(const Entries::value_type& entry) {
+    return kEntryOverheadBytes + entry.first.size() + entry.second.result.size();
+}
+
+}  // namespace gannethold::retry
--- a/tests/control_stories.cpp
+++ b/tests/control_stories.cpp
@@ -23,37 +23,37 @@
     return e;
 }
 
-struct Ruled : Town {
+struct Ruled : DispatcherFixture {
     explicit Ruled(int runners = 1, const std::string& workload = "pure", Micros notices = 0,
                    const std::string& expiry = "900000")
-        : Town(runners, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", expiry,
-               extras(notices, 0)) {}
+        : DispatcherFixture(runners, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", expiry,
+                            extras(notices, 0)) {}
 
-    Wire operator_() const {
+    TestConnection operator_() const {
         sockaddr_un at{};
         at.sun_family = AF_UNIX;
         const std::string path = socket_path();
         std::copy(path.begin(), path.end(), at.sun_path);
         const int one = ::socket(AF_UNIX, SOCK_STREAM, 0);
         REQUIRE(connect(one, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-        return Wire(one);
+        return TestConnection(one);
     }
-    json::Value ask(Wire& wire, const std::string& what) {
+    json::Value ask(TestConnection& wire, const std::string& what) {
         wire.got.clear();
-        wire.say("{\"v\":1," + what + "}\n");
+        wire.send("{\"v\":1," + what + "}\n");
         REQUIRE(until([&] { return wire.has("\n"); }));
         return json::read(wire.got.substr(0, wire.got.find('\n')));
     }
     json::Value ask(const std::string& what) {
-        Wire wire = operator_();
+        TestConnection wire = operator_();
         return ask(wire, what);
     }
     static bool ok(const json::Value& v) { return v.find("ok") && *v.find("ok")->get<bool>(); }
     std::string phase() { return *ask("\"do\":\"status\"").find("drain")->text("phase"); }
     int requests_at_runners() {
         int n = 0;
-        for (const auto& door : doors)
-            for (Wire& wire : door->guests())
+        for (const auto& listener : runner_listeners)
+            for (TestConnection& wire : listener->connections())
                 for (std::size_t at = wire.look().got.find("POST "); at != std::string::npos;
                      at = wire.got.find("POST ", at + 1))
                     ++n;
@@ -65,10 +65,10 @@
 
 TEST_CASE("an operator sees what is held, as JSON and as tables that fit") {
     Ruled t(2);
-    Wire client = t.client();
-    client.say(Town::post("one"));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
     t.at_runner("one");
-    Wire op = t.operator_();
+    TestConnection op = t.operator_();
     const json::Value status = t.ask(op, "\"do\":\"status\"");
     CHECK(Ruled::ok(status));
     CHECK(*status.number("ready") == 2);
@@ -85,7 +85,7 @@
     }
     CHECK_FALSE(Ruled::ok(t.ask(op, "\"do\":\"dance\"")));
     op.got.clear();
-    op.say("{\"v\":9,\"do\":\"status\"}\n");
+    op.send("{\"v\":9,\"do\":\"status\"}\n");
     CHECK(t.until([&] { return op.has("version 9 is not spoken here"); }));
     struct stat file {};
     REQUIRE(stat(socket_path().c_str(), &file) == 0);
@@ -95,10 +95,10 @@
 TEST_CASE(
     "a side-effecting task still running at the deadline gets one honest answer, and runs nowhere else") {
     Ruled t(2, "side_effect", 0, "5000000");
-    Wire client = t.client();
-    client.say(Town::post("one", "X-Timeout: 5000m\r\n"));
-    Wire& runner = t.at_runner("one");
-    runner.say(Town::taken + Town::line("one", "\"state\":\"started\""));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one", "X-Timeout: 5000m\r\n"));
+    TestConnection& runner = t.at_runner("one");
+    runner.send(DispatcherFixture::taken + DispatcherFixture::line("one", "\"state\":\"started\""));
     t.pass(20);
     REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":0.2")));
     const Micros began = net::Loop::now();
@@ -107,15 +107,15 @@
     CHECK(net::Loop::now() - began < 300'000);
     CHECK(client.got.starts_with("HTTP/1.1 502"));
     CHECK(t.until([&] { return runner.ended(); }));  // withdrawn
-    runner.say(Town::line("one", "\"state\":\"done\",\"result\":\"late\"") + "0\r\n\r\n");
+    runner.send(DispatcherFixture::line("one", "\"state\":\"done\",\"result\":\"late\"") + "0\r\n\r\n");
     t.pass(300);
     CHECK(client.got.find("late") == std::string::npos);
     CHECK(client.got.find("HTTP/1.1", 5) == std::string::npos);
     CHECK(t.requests_at_runners() == 1);
     CHECK(t.phase() == "drained");
     // Who comes now is told to come again, before anything is begun.
-    Wire next = t.client();
-    next.say(Town::post("two"));
+    TestConnection next = t.client();
+    next.send(DispatcherFixture::post("two"));
     REQUIRE(t.until([&] { return next.has("HTTP/1.1 503"); }));
     CHECK(next.has("Retry-After"));
     CHECK(t.requests_at_runners() == 1);
@@ -124,46 +124,46 @@
 TEST_CASE(
     "a drain cancelled after clients were sent elsewhere takes new ones, and nobody is answered twice") {
     Ruled t(1, "pure", 100'000);
-    Wire kept = t.client(), other = t.client();
-    kept.say(Town::post("one"));
-    t.at_runner("one").say(Town::done("one"));
+    TestConnection kept = t.client(), other = t.client();
+    kept.send(DispatcherFixture::post("one"));
+    t.at_runner("one").send(DispatcherFixture::done("one"));
     REQUIRE(t.until([&] { return kept.has("picture"); }));
     const json::Value order = t.ask("\"do\":\"drain\",\"deadline_s\":30");
     REQUIRE(Ruled::ok(order));
-    Wire health = t.client();
-    health.say("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+    TestConnection health = t.client();
+    health.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(t.until([&] { return health.has("HTTP/1.1 503"); }));
     // A task that comes meanwhile is taken and answered, and its client told to go elsewhere after.
     t.pass(150);
     CHECK(kept.ended());
-    other.say(Town::post("two"));
+    other.send(DispatcherFixture::post("two"));
     t.at_runner("two");
     const json::Value undone =
         t.ask("\"do\":\"undrain\",\"ticket\":" + std::to_string(static_cast<int>(*order.number("ticket"))));
     REQUIRE(Ruled::ok(undone));
     CHECK(t.phase() == "serving");
-    t.at_runner("two").say(Town::done("two"));
+    t.at_runner("two").send(DispatcherFixture::done("two"));
     REQUIRE(t.until([&] { return other.has("picture"); }));
     CHECK(other.got.find("Connection: close") == std::string::npos);  // it lives on
     other.got.clear();
-    other.say(Town::post("three"));
-    t.at_runner("three").say(Town::done("three"));
+    other.send(DispatcherFixture::post("three"));
+    t.at_runner("three").send(DispatcherFixture::done("three"));
     REQUIRE(t.until([&] { return other.has("picture"); }));
     CHECK(other.got.find("HTTP/1.1", 5) == std::string::npos);
     health.got.clear();
-    Wire again = t.client();
-    again.say("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+    TestConnection again = t.client();
+    again.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     CHECK(t.until([&] { return again.has("HTTP/1.1 200"); }));
 }
 
 TEST_CASE("a task that is here but unread when the drain begins is taken and answered") {
     Ruled t(1);
-    Wire client = t.client();
+    TestConnection client = t.client();
     t.pass(10);
-    client.say(Town::post("one"));
-    Wire op = t.operator_();
-    op.say("{\"v\":1,\"do\":\"drain\",\"deadline_s\":5}\n");
-    t.at_runner("one").say(Town::done("one"));
+    client.send(DispatcherFixture::post("one"));
+    TestConnection op = t.operator_();
+    op.send("{\"v\":1,\"do\":\"drain\",\"deadline_s\":5}\n");
+    t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.until([&] { return t.phase() == "drained"; }));
 }
@@ -171,7 +171,7 @@
 TEST_CASE("who comes second is told whose order stands, and the drain outlives the terminal that asked") {
     Ruled t(1);
     {
-        Wire first = t.operator_();
+        TestConnection first = t.operator_();
         REQUIRE(Ruled::ok(t.ask(first, "\"do\":\"drain\",\"deadline_s\":20,\"by\":\"ada\"")));
         first.reset();
     }
@@ -188,14 +188,14 @@
 
 TEST_CASE("a signal in mid-drain leaves, and an order while leaving is refused") {
     Ruled t(1);
-    Wire client = t.client();
-    client.say(Town::post("one"));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
     t.at_runner("one");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":20")));
     t.dispatcher->leave();
     CHECK(t.ask("\"do\":\"undrain\",\"ticket\":1").text("why")->find("leaving for good") !=
           std::string::npos);
-    t.at_runner("one").say(Town::done("one"));
+    t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.until([&] { return t.loop.stopping(); }));
 }
@@ -204,13 +204,13 @@
     "an assignment whose connection is still coming up when its runner is held goes elsewhere, unbegun") {
     Ruled t(2, "side_effect");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
-    t.doors[0]->stick();
-    Wire client = t.client();
-    client.say(Town::post("one"));
+    t.runner_listeners[0]->stick();
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
     REQUIRE(t.until([&] { return *t.ask("\"do\":\"status\"").number("out") == 1; }));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-1\"")));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
-    t.at_runner("one").say(Town::done("one"));
+    t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.requests_at_runners() == 1);
     CHECK(*t.ask("\"do\":\"failures\"").find("failures")->get<json::List>()->front().text("cause") ==
@@ -223,64 +223,66 @@
     CHECK_FALSE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     CHECK_FALSE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-9\"")));
     for (int i = 0; i < 6; ++i) {
-        Wire client = t.client();
-        client.say(Town::post("h" + std::to_string(i)));
-        t.at_runner("h" + std::to_string(i)).say(Town::done("h" + std::to_string(i)));
+        TestConnection client = t.client();
+        client.send(DispatcherFixture::post("h" + std::to_string(i)));
+        t.at_runner("h" + std::to_string(i)).send(DispatcherFixture::done("h" + std::to_string(i)));
         REQUIRE(t.until([&] { return client.has("picture"); }));
     }
-    CHECK(t.doors[0]->guests().empty());
+    CHECK(t.runner_listeners[0]->connections().empty());
     // Whatever discovery says meanwhile.
-    Wire& watch = t.discovery.guests().back();
-    watch.say(Town::taken + Town::chunk(t.list(9, "SERVING", true) + "\n"));
+    TestConnection& watch = t.discovery.connections().back();
+    watch.send(DispatcherFixture::taken + DispatcherFixture::chunk(t.list(9, "SERVING", true) + "\n"));
     t.pass(30);
     const json::Value runners = t.ask("\"do\":\"runners\"");
     CHECK(*runners.find("runners")->get<json::List>()->front().text("state") == "held");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-0\"")));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
-    Wire client = t.client();
-    client.say(Town::post("back"));
-    t.at_runner("back").say(Town::done("back"));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("back"));
+    t.at_runner("back").send(DispatcherFixture::done("back"));
     CHECK(t.until([&] { return client.has("picture"); }));
-    CHECK_FALSE(t.doors[0]->guests().empty());
+    CHECK_FALSE(t.runner_listeners[0]->connections().empty());
 }
 
 TEST_CASE("with all runners held tasks wait, and are bounced once they cannot be in time") {
     Ruled t(1);
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
-    Wire client = t.client();
-    client.say(Town::post("one"));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
     REQUIRE(t.until([&] { return client.has("HTTP/1.1 503"); }));
     CHECK(t.requests_at_runners() == 0);
 }
 
 TEST_CASE("what runs at a runner goes on when it is held") {
     Ruled t(1, "side_effect");
-    Wire client = t.client();
-    client.say(Town::post("one"));
-    t.at_runner("one").say(Town::taken + Town::line("one", "\"state\":\"started\""));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
+    t.at_runner("one").send(DispatcherFixture::taken +
+                            DispatcherFixture::line("one", "\"state\":\"started\""));
     t.pass(10);
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     t.pass(100);
-    t.at_runner("one").say(Town::line("one", "\"state\":\"done\",\"result\":\"picture\"") + "0\r\n\r\n");
+    t.at_runner("one").send(DispatcherFixture::line("one", "\"state\":\"done\",\"result\":\"picture\"") +
+                            "0\r\n\r\n");
     CHECK(t.until([&] { return client.has("picture"); }));
 }
 
 TEST_CASE("a flood of control clients, half a line and a line without end cost nobody else anything") {
     Ruled t(1);
-    std::deque<Wire> flood;
+    std::deque<TestConnection> flood;
     for (int i = 0; i < 12; ++i) flood.push_back(t.operator_());
     t.pass(20);
     int turned_away = 0;
-    for (Wire& w : flood) turned_away += w.has("too many are asking");
+    for (TestConnection& w : flood) turned_away += w.has("too many are asking");
     CHECK(turned_away == 4);
-    flood[0].say("{\"v\":1,");
+    flood[0].send("{\"v\":1,");
     const std::string endless(256 * 1024, 'x');
-    for (int i = 0; i < 40 && !flood[1].ended(); ++i) flood[1].say(endless), t.turn();
+    for (int i = 0; i < 40 && !flood[1].ended(); ++i) flood[1].send(endless), t.turn();
     CHECK(t.until([&] { return flood[1].ended(); }));
     CHECK(flood[1].has("a line is too long"));
-    Wire client = t.client();
-    client.say(Town::post("one"));
-    t.at_runner("one").say(Town::done("one"));
+    TestConnection client = t.client();
+    client.send(DispatcherFixture::post("one"));
+    t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.until([&] { return flood[0].ended() && flood[2].ended(); }));  // silent for too long
     CHECK(Ruled::ok(t.ask("\"do\":\"status\"")));
@@ -288,7 +290,7 @@
 
 TEST_CASE("a follower that comes back sees what it missed, or that it missed something") {
     Ruled t(1);
-    Wire first = t.operator_();
+    TestConnection first = t.operator_();
     CHECK(Ruled::ok(t.ask(first, "\"do\":\"follow\"")));
     t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     t.ask("\"do\":\"release\",\"runner\":\"s-0\"");
@@ -296,7 +298,7 @@
     CHECK(first.has("\"seq\":2"));
     first.reset();
     t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
-    Wire back = t.operator_();
+    TestConnection back = t.operator_();
     const json::Value said = t.ask(back, "\"do\":\"follow\",\"after\":2");
     CHECK(*said.number("missed") == 0);
     CHECK(t.until([&] { return back.has("\"seq\":3"); }));
@@ -304,9 +306,9 @@
         t.ask("\"do\":\"release\",\"runner\":\"s-0\"");
         t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     }
-    Wire late = t.operator_();
+    TestConnection late = t.operator_();
     CHECK(*t.ask(late, "\"do\":\"follow\",\"after\":3").number("missed") == 10);
-    Wire stranger = t.operator_();
+    TestConnection stranger = t.operator_();
     CHECK(*t.ask(stranger, "\"do\":\"follow\",\"after\":900").find("missed")->get<bool>());
 }
 
--- a/tests/dispatcher/learned_state_test.cpp
+++ b/tests/dispatcher/learned_state_test.cpp
@@ -20,41 +20,46 @@
     extras.desk->path = folder.path + "/c.sock";
     extras.snapshot.folder = folder.path;
     extras.snapshot.interval = 100'000;
-    const auto ask = [&](Town& t, const std::string& what) {
-        Wire wire = Wire::to_path(extras.desk->path);
-        wire.say("{\"v\":1," + what + "}\n");
-        REQUIRE(t.until([&] { return wire.has("\n"); }));
+    const auto ask = [&](DispatcherFixture& fixture, const std::string& what) {
+        TestConnection wire = TestConnection::to_path(extras.desk->path);
+        wire.send("{\"v\":1," + what + "}\n");
+        REQUIRE(fixture.until([&] { return wire.has("\n"); }));
         return json::read(wire.got.substr(0, wire.got.find('\n')));
     };
     {
-        Town t(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras);
+        DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
+                                  extras);
         for (int i = 0; i < 10; ++i) {
-            Wire client = t.client();
-            client.say(Town::post("k" + std::to_string(i)));
-            t.at_runner("k" + std::to_string(i)).say(Town::done("k" + std::to_string(i)));
-            REQUIRE(t.until([&] { return client.has("picture"); }));
+            TestConnection client = fixture.client();
+            client.send(DispatcherFixture::post("k" + std::to_string(i)));
+            fixture.at_runner("k" + std::to_string(i)).send(DispatcherFixture::done("k" + std::to_string(i)));
+            REQUIRE(fixture.until([&] { return client.has("picture"); }));
         }
-        ask(t, "\"do\":\"hold\",\"runner\":\"s-1\",\"why\":\"cable\"");
-        const double before = *ask(t, "\"do\":\"status\"").find("keepsake")->number("written");
-        REQUIRE(t.until(
-            [&] { return *ask(t, "\"do\":\"status\"").find("keepsake")->number("written") > before + 1; }));
-        CHECK(*ask(t, "\"do\":\"status\"").find("keepsake")->number("failed") == 0);
+        ask(fixture, "\"do\":\"hold\",\"runner\":\"s-1\",\"why\":\"cable\"");
+        const double before = *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("written");
+        REQUIRE(fixture.until([&] {
+            return *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("written") > before + 1;
+        }));
+        CHECK(*ask(fixture, "\"do\":\"status\"").find("keepsake")->number("failed") == 0);
     }
     {
-        Town t(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras);
-        const json::Value status = ask(t, "\"do\":\"status\"");
+        DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
+                                  extras);
+        const json::Value status = ask(fixture, "\"do\":\"status\"");
         CHECK(*status.number("held") == 1);
         CHECK(status.find("keepsake")->text("recalled")->find(" runners restored") != std::string::npos);
         // A folder that can no longer be written is reported, and costs nothing else.
         std::filesystem::remove_all(folder.path + "/n0.keep");
         std::filesystem::create_directory(folder.path + "/n0.keep.new");
-        REQUIRE(t.until([&] { return *ask(t, "\"do\":\"status\"").find("keepsake")->number("failed") > 0; }));
-        CHECK(ask(t, "\"do\":\"status\"").find("keepsake")->text("last_failure")->find("cannot write") !=
-              std::string::npos);
-        Wire client = t.client();
-        client.say(Town::post("on"));
-        t.at_runner("on").say(Town::done("on"));
-        CHECK(t.until([&] { return client.has("picture"); }));
+        REQUIRE(fixture.until(
+            [&] { return *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("failed") > 0; }));
+        CHECK(
+            ask(fixture, "\"do\":\"status\"").find("keepsake")->text("last_failure")->find("cannot write") !=
+            std::string::npos);
+        TestConnection client = fixture.client();
+        client.send(DispatcherFixture::post("on"));
+        fixture.at_runner("on").send(DispatcherFixture::done("on"));
+        CHECK(fixture.until([&] { return client.has("picture"); }));
     }
 }
 
@@ -71,12 +76,13 @@
     for (SavedRunner& runner : saved.runners) runner.started_ms = 0;
     SnapshotStore(folder.path, "n0").write(encode(saved));
     const auto log_of_start = [&] {
-        Town t(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras);
-        Wire client = t.client();
-        client.say(Town::post("on"));
-        t.at_runner("on").say(Town::done("on"));
-        CHECK(t.until([&] { return client.has("picture"); }));
-        return t.said.str();
+        DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
+                                  extras);
+        TestConnection client = fixture.client();
+        client.send(DispatcherFixture::post("on"));
+        fixture.at_runner("on").send(DispatcherFixture::done("on"));
+        CHECK(fixture.until([&] { return client.has("picture"); }));
+        return fixture.said.str();
     };
     // Saved of another address, they count for a quarter.
     CHECK(log_of_start().find("2 of 10000 runners restored") != std::string::npos);
--- /dev/null
+++ b/tests/dispatcher/retries_test.cpp
@@ -0,0 +1,154 @@
+// Retries of tasks with effects: whatever becomes of the first attempt, no retry that can be recognised is a
+// second execution.
+#include "helpers.hpp"
+
+using namespace gannethold;
+
+namespace {
+
+DispatcherFixture make_fixture(bool is_enabled = true, const std::string& workload = "side_effect") {
+    dispatcher::Extras extras;
+    extras.deduplication.is_enabled = is_enabled;
+    return DispatcherFixture(2, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
+                             extras);
+}
+
+std::string keyed(const std::string& id, const std::string& key = "k1", const std::string& timeout = "900m") {
+    return DispatcherFixture::post(id, "X-Timeout: " + timeout + "\r\nIdempotency-Key: " + key + "\r\n");
+}
+
+int count_executions(DispatcherFixture& fixture) {
+    int executions = 0;
+    for (const auto& listener : fixture.runner_listeners)
+        for (TestConnection& wire : listener->connections())  // a kept connection may carry several
+            for (auto at = wire.look().got.find("POST /render"); at != std::string::npos; ++executions)
+                at = wire.got.find("POST /render", at + 1);
+    return executions;
+}
+
+}  // namespace
+
+TEST_CASE("a retry while the first is in flight joins it: one execution, and both get its answer") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    TestConnection third = fixture.client();
+    first.send(keyed("a"));
+    TestConnection& runner = fixture.at_runner("a");
+    second.send(keyed("b"));
+    third.send(keyed("c"));
+    fixture.pass(50);
+    CHECK(second.look().got.empty());
+    CHECK(count_executions(fixture) == 1);
+    runner.send(DispatcherFixture::done("a", "image"));
+    for (TestConnection* client : {&first, &second, &third})
+        CHECK(fixture.until([&] { return client->has("200") && client->has("image"); }));
+    // Another key, and another workload's effect, are other tasks.
+    first.send(keyed("d", "k2"));
+    fixture.at_runner("d").send(DispatcherFixture::done("d"));
+    CHECK(fixture.until([&] { return first.has("picture"); }));
+}
+
+TEST_CASE("a retry whose first has ended gets the same result, without an execution") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    first.send(keyed("a"));
+    fixture.at_runner("a").send(DispatcherFixture::done("a", "image"));
+    REQUIRE(fixture.until([&] { return first.has("image"); }));
+    second.send(keyed("b"));
+    CHECK(fixture.until([&] { return second.has("200") && second.has("image"); }));
+    CHECK(count_executions(fixture) == 1);
+}
+
+TEST_CASE("a retry of what may have run is rejected at once, and never forwarded") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    first.send(keyed("a"));
+    fixture.at_runner("a").reset();
+    REQUIRE(fixture.until([&] { return first.has("502"); }));
+    second.send(keyed("b"));
+    CHECK(fixture.until([&] { return second.has("502"); }, 100));
+    fixture.pass(100);
+    CHECK(count_executions(fixture) == 1);
+}
+
+TEST_CASE(
+    "the first client gone: a waiting retry takes its place; one that comes later is answered that it may "
+    "have "
+    "run") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    first.send(keyed("a"));
+    TestConnection& runner = fixture.at_runner("a");
+    second.send(keyed("b"));
+    fixture.pass(30);
+    first.hang_up();
+    fixture.pass(30);
+    CHECK_FALSE(runner.ended());
+    runner.send(DispatcherFixture::done("a", "image"));
+    CHECK(fixture.until([&] { return second.has("200") && second.has("image"); }));
+    TestConnection lone = fixture.client();
+    TestConnection late = fixture.client();
+    lone.send(keyed("c", "k2"));
+    fixture.at_runner("c");
+    lone.hang_up();
+    fixture.pass(30);
+    late.send(keyed("d", "k2"));
+    CHECK(fixture.until([&] { return late.has("502"); }, 100));
+    CHECK(count_executions(fixture) == 2);
+}
+
+TEST_CASE("both clients gone while it is in flight: nothing is answered twice, and nothing is left behind") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    first.send(keyed("a"));
+    TestConnection& runner = fixture.at_runner("a");
+    second.send(keyed("b"));
+    fixture.pass(30);
+    first.hang_up();
+    fixture.pass(20);
+    second.hang_up();
+    CHECK(fixture.until([&] { return runner.ended(); }));
+    TestConnection third = fixture.client();
+    third.send(keyed("c"));
+    CHECK(fixture.until([&] { return third.has("502"); }, 100));
+}
+
+TEST_CASE(
+    "a first that certainly never ran leaves its retry a first attempt; a retry out of time is answered "
+    "before "
+    "its expiry") {
+    DispatcherFixture fixture = make_fixture();
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    for (auto& listener : fixture.runner_listeners) listener->shut();
+    first.send(keyed("a", "k1", "300m"));
+    REQUIRE(fixture.until([&] { return first.has("503"); }));
+    second.send(keyed("b", "k1", "300m"));
+    CHECK(fixture.until([&] { return second.has("503"); }));
+    DispatcherFixture other = make_fixture();
+    TestConnection one = other.client();
+    TestConnection two = other.client();
+    one.send(keyed("c"));
+    other.at_runner("c");
+    const Micros sent_at = net::Loop::now();
+    two.send(keyed("d", "k1", "200m"));
+    CHECK(other.until([&] { return two.has("502"); }, 400));
+    CHECK(net::Loop::now() - sent_at < 200'000);
+    CHECK(count_executions(other) == 1);
+}
+
+TEST_CASE("without the setting retries are tasks like any other") {
+    DispatcherFixture fixture = make_fixture(false);
+    TestConnection first = fixture.client();
+    TestConnection second = fixture.client();
+    first.send(keyed("a"));
+    fixture.at_runner("a");
+    second.send(keyed("b"));
+    fixture.at_runner("b");
+    CHECK(count_executions(fixture) == 2);
+}
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,5 +1,5 @@
-// What the stories share: a tiny host for the module, with a clock and a record of all actions; and for
-// sockets a town of scripted peers on loopback, all in the test's own process.
+// What the tests share: a small host for the balancer, with a clock and a record of all actions; and for
+// sockets a dispatcher among scripted peers on loopback, all in the test's own process.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -127,35 +127,36 @@
     unsigned long long asked = 0;
 };
 
-// One end of a connection, in the hands of the story.
-class Wire {
+// One end of a connection, driven by the test.
+class TestConnection {
   public:
-    explicit Wire(int socket) : socket_(socket) {
+    explicit TestConnection(int socket) : socket_(socket) {
         const int yes = 1;
         setsockopt(socket_, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
         fcntl(socket_, F_SETFL, O_NONBLOCK);
     }
-    static Wire to(std::uint16_t port) {
+    static TestConnection to(std::uint16_t port) {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in at{};
         at.sin_family = AF_INET, at.sin_port = htons(port), at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         REQUIRE(connect(socket, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-        return Wire(socket);
+        return TestConnection(socket);
     }
-    static Wire to_path(const std::string& path) {
+    static TestConnection to_path(const std::string& path) {
         sockaddr_un at{};
         at.sun_family = AF_UNIX;
         std::copy(path.begin(), path.end(), at.sun_path);
         const int socket = ::socket(AF_UNIX, SOCK_STREAM, 0);
         REQUIRE(connect(socket, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
-        return Wire(socket);
+        return TestConnection(socket);
     }
-    Wire(Wire&& other) noexcept : got(std::move(other.got)), socket_(std::exchange(other.socket_, -1)) {}
-    ~Wire() { hang_up(); }
+    TestConnection(TestConnection&& other) noexcept
+        : got(std::move(other.got)), socket_(std::exchange(other.socket_, -1)) {}
+    ~TestConnection() { hang_up(); }
 
-    void say(std::string_view text) const {
+    void send(std::string_view text) const {
         while (!text.empty()) {
-            const auto n = send(socket_, text.data(), text.size(), MSG_NOSIGNAL);
+            const auto n = ::send(socket_, text.data(), text.size(), MSG_NOSIGNAL);
             if (n <= 0) return;
             text.remove_prefix(static_cast<std::size_t>(n));
         }
@@ -169,7 +170,7 @@
         hang_up();
     }
     // All that has come since the last look, in got; closed once the other side has ended.
-    Wire& look() {
+    TestConnection& look() {
         char space[65536];
         for (ssize_t n; socket_ >= 0 && (n = recv(socket_, space, sizeof space, 0)) >= 0;) {
             if (n == 0) closed = true;
@@ -190,9 +191,9 @@
 };
 
 // A listening socket of a scripted peer.
-class Door {
+class TestListener {
   public:
-    explicit Door(int backlog = 16) : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
+    explicit TestListener(int backlog = 16) : socket_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
         sockaddr_in at{};
         socklen_t length = sizeof at;
         at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -201,7 +202,7 @@
         port = ntohs(at.sin_port);
         if (backlog >= 0) REQUIRE(listen(socket_, backlog) == 0);
     }
-    ~Door() { shut(); }
+    ~TestListener() { shut(); }
     void shut() {
         if (socket_ >= 0) close(std::exchange(socket_, -1));
         for (const int one : std::exchange(waiting_, {})) close(one);
@@ -217,10 +218,10 @@
         }
     }
     // Whoever has come; the newest is last.
-    std::deque<Wire>& guests() {
+    std::deque<TestConnection>& connections() {
         for (int one; socket_ >= 0 && (one = accept(socket_, nullptr, nullptr)) >= 0;)
-            guests_.emplace_back(one);
-        return guests_;
+            connections_.emplace_back(one);
+        return connections_;
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
 
@@ -229,19 +230,20 @@
   private:
     int socket_;
     std::vector<int> waiting_;
-    std::deque<Wire> guests_;  // stories keep references
+    std::deque<TestConnection> connections_;  // tests keep references
 };
 
-// A dispatcher with its runners and its discovery, all of them scripted by the story.
-struct Town {
-    explicit Town(int runners = 1, const std::string& workload = "pure", const std::string& caps = "",
-                  const std::string& limits = "\"memory_mb\":64,\"sockets\":64",
-                  const std::string& how = "on_request", const std::string& expiry = "900000",
-                  const dispatcher::Extras& extras = {}, const std::string& beside = "") {
-        for (int i = 0; i < runners; ++i) doors.push_back(std::make_unique<Door>());
+// A dispatcher with its runners and its discovery, all of them scripted by the test.
+struct DispatcherFixture {
+    explicit DispatcherFixture(int runners = 1, const std::string& workload = "pure",
+                               const std::string& caps = "",
+                               const std::string& limits = "\"memory_mb\":64,\"sockets\":64",
+                               const std::string& how = "on_request", const std::string& expiry = "900000",
+                               const dispatcher::Extras& extras = {}, const std::string& beside = "") {
+        for (int i = 0; i < runners; ++i) runner_listeners.push_back(std::make_unique<TestListener>());
         text =
-            "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + std::to_string(Door(-1).port) + "\"," + beside +
-            "\"discovery\":\"" + discovery.address() + "\",\"seed\":\"2a\",\"limits\":{" + limits +
+            "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + std::to_string(TestListener(-1).port) + "\"," +
+            beside + "\"discovery\":\"" + discovery.address() + "\",\"seed\":\"2a\",\"limits\":{" + limits +
             "},\"known\":" + list(7, "SERVING", true) +
             ",\"settings\":{\"balancers\":1,\"registry_mode\":\"" + how +
             "\",\"resolution_us\":1000,"
@@ -257,10 +259,10 @@
     std::string list(int version, const std::string& state, bool full, long long started = 0) const {
         std::string text = "{\"version\":" + std::to_string(version) +
                            ",\"full\":" + (full ? "true" : "false") + ",\"servers\":[";
-        for (const auto& door : doors)
-            text += (door == doors.front() ? "" : ",") +
-                    ("{\"id\":\"s-" + std::to_string(&door - &doors[0])) + "\",\"addr\":\"" +
-                    door->address() + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + state +
+        for (const auto& listener : runner_listeners)
+            text += (listener == runner_listeners.front() ? "" : ",") +
+                    ("{\"id\":\"s-" + std::to_string(&listener - &runner_listeners[0])) + "\",\"addr\":\"" +
+                    listener->address() + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + state +
                     "\",\"weight\":1.0,\"started_ms\":" + std::to_string(started) + "}";
         return text + "]}";
     }
@@ -281,32 +283,33 @@
     }
 
     // With a second address, at which operators' programs call.
-    static std::string with_window() {
-        return "\"admin\":\"127.0.0.1:" + std::to_string(Door(-1).port) + "\",";
+    static std::string with_admin_server() {
+        return "\"admin\":\"127.0.0.1:" + std::to_string(TestListener(-1).port) + "\",";
     }
-    Wire caller(const std::string& words = "") const {
-        Wire wire = Wire::to(dispatcher->window_port());
-        wire.say(words);
+    TestConnection caller(const std::string& words = "") const {
+        TestConnection wire = TestConnection::to(dispatcher->window_port());
+        wire.send(words);
         return wire;
     }
     // What that call is answered, all of it.
     std::string call(const std::string& method, const std::string& path) {
-        Wire wire = caller(method + " " + path + " HTTP/1.1\r\nHost: n0\r\nContent-Length: 0\r\n\r\n");
+        TestConnection wire =
+            caller(method + " " + path + " HTTP/1.1\r\nHost: n0\r\nContent-Length: 0\r\n\r\n");
         until([&] { return wire.ended(); }, 1000);
         return wire.got;
     }
-    Wire client() const { return Wire::to(dispatcher->port()); }
+    TestConnection client() const { return TestConnection::to(dispatcher->port()); }
     static std::string post(const std::string& id, const std::string& more = "X-Timeout: 900m\r\n",
                             const std::string& body = "scene") {
         return "POST /render/key HTTP/1.1\r\nHost: app\r\nX-Request-ID: " + id + "\r\n" + more +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     // The wire on which that request came to some runner; waits for it.
-    Wire& at_runner(const std::string& id) {
-        Wire* found = nullptr;
+    TestConnection& at_runner(const std::string& id) {
+        TestConnection* found = nullptr;
         const auto there = [&] {
-            for (const auto& door : doors)
-                for (Wire& wire : door->guests())
+            for (const auto& listener : runner_listeners)
+                for (TestConnection& wire : listener->connections())
                     if (wire.has("X-Request-ID: " + id + "\r\n")) found = &wire;
             return found != nullptr;
         };
@@ -343,8 +346,8 @@
     std::ostringstream said;
     log::Log log{said, log::Level::debug};
     net::Loop loop{4096};
-    Door discovery;
-    std::vector<std::unique_ptr<Door>> doors;
+    TestListener discovery;
+    std::vector<std::unique_ptr<TestListener>> runner_listeners;
     std::unique_ptr<dispatcher::Dispatcher> dispatcher;
 };
 
--- a/tests/house_stories.cpp
+++ b/tests/house_stories.cpp
@@ -53,6 +53,18 @@
     const HouseRules new_name = HouseRules::read("[snapshot]\nfolder = \"f\"\n", "operator.toml");
     CHECK(new_name.snapshot.folder == "f");
     CHECK(new_name.warnings.empty());
+    const HouseRules retries = HouseRules::read(
+        "[repeats]\nremember = true\nkeep_s = 5\nmost = 6\nmost_mb = 1\nlongest_result = 7\n",
+        "operator.toml");
+    CHECK(retries.deduplication.is_enabled);
+    CHECK(retries.deduplication.retention == 5'000'000);
+    CHECK(retries.deduplication.max_entries == 6);
+    CHECK(retries.deduplication.max_bytes == 1 << 20);
+    CHECK(retries.deduplication.max_result_bytes == 7);
+    REQUIRE(retries.warnings.size() == 6);
+    CHECK(retries.warnings[0] == "operator.toml:1: repeats is the old name of retries, and is still read");
+    CHECK(retries.warnings[1] ==
+          "operator.toml:2: repeats.remember is the old name of repeats.deduplicate, and is still read");
     CHECK(wrong("[snapshot]\n[keepsake]\n") ==
           "operator.toml:2: keepsake is the old name of snapshot, which stands here too: take one out");
     CHECK(wrong("[keepsake]\nfolder = 3\n") == "operator.toml:2: keepsake.folder is not a text in quotes");
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -190,6 +190,7 @@
         {"[[beanstalk.tube]]", {"name", "effect", "due_s", "expiry_s", "importance", "pushed", "workload"}},
         {"[[beanstalk.entrance]]", {"address", "kind", "zone"}},
         {"[repeats]", {"remember", "by_path", "keep_s", "most", "most_mb", "longest_result"}},
+        {"[retries]", {"deduplicate", "by_path", "retention_s", "max_entries", "max_mb", "max_result_bytes"}},
         {"[shadow]", {"configuration", "every", "most_ms_per_s"}}};
     for (const auto& each : tables) {
         const std::string& table = each.first;
--- a/tests/shadow_stories.cpp
+++ b/tests/shadow_stories.cpp
@@ -174,26 +174,27 @@
     "on") {
     const std::string path = "watched-" + std::to_string(getpid()) + ".json";
     const auto put = [&](const std::string& words) { std::ofstream(path) << words; };
-    Town plain;
+    DispatcherFixture plain;
     put(plain.with("\"max_assignments\":3", "\"max_assignments\":-3"));
     dispatcher::Extras extras;
     extras.watched = path, extras.watched_every = 1, extras.watched_most = 1'000'000;
     CHECK_THROWS_WITH_AS(
-        Town(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras),
+        DispatcherFixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras),
         doctest::Contains("settings.caps.max_assignments = -3"), std::runtime_error);
     put(plain.text);
-    Town town(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000", extras);
+    DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
+                              extras);
     put("{");
-    town.reload(town.with("\"importance\":1", "\"importance\":2"));
-    CHECK(town.said.str().find("the old configuration stays") != std::string::npos);
-    CHECK(town.dispatcher->tally().reloads_turned_down() == 1);
+    fixture.reload(fixture.with("\"importance\":1", "\"importance\":2"));
+    CHECK(fixture.said.str().find("the old configuration stays") != std::string::npos);
+    CHECK(fixture.dispatcher->tally().reloads_turned_down() == 1);
     put(plain.text);
-    town.reload(town.with("\"importance\":1", "\"importance\":2"));
-    CHECK(town.dispatcher->tally().reloads_taken() == 1);
-    Wire client = town.client();
-    client.say(Town::post("s"));
-    town.at_runner("s").say(Town::done("s"));
-    CHECK(town.until([&] { return client.has("picture"); }));
-    CHECK(town.dispatcher->watched()->decisions > 0);
+    fixture.reload(fixture.with("\"importance\":1", "\"importance\":2"));
+    CHECK(fixture.dispatcher->tally().reloads_taken() == 1);
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("s"));
+    fixture.at_runner("s").send(DispatcherFixture::done("s"));
+    CHECK(fixture.until([&] { return client.has("picture"); }));
+    CHECK(fixture.dispatcher->watched()->decisions > 0);
     std::remove(path.c_str());
 }
--- a/tests/socket_stories.cpp
+++ b/tests/socket_stories.cpp
@@ -22,7 +22,7 @@
     void probe_ended(RunnerId, Ending ending, Micros, Report&& report) override {
         probes.emplace_back(ending, report);
     }
-    void seat(bool open) { links.seat(RunnerId{1}, *net::Address::read(door.address()), open); }
+    void seat(bool open) { links.seat(RunnerId{1}, *net::Address::read(listener.address()), open); }
     void assign(const std::string& id = "7", Micros span = 2'000'000) {
         links.assign(RunnerId{1}, {TaskId{++sent}, 0, id, "POST /r HTTP/1.1\r\nX-Request-ID: " + id + "\r\n",
                                    nullptr, net::Loop::now() + span});
@@ -35,10 +35,10 @@
         }
         return false;
     }
-    Wire& runner() {
-        Wire* asked = nullptr;
+    TestConnection& runner() {
+        TestConnection* asked = nullptr;
         REQUIRE(until([&] {
-            for (Wire& wire : door.guests())
+            for (TestConnection& wire : listener.connections())
                 if (wire.has("\r\n\r\n")) asked = &wire;
             return asked != nullptr;
         }));
@@ -48,9 +48,9 @@
     Ending after(const std::string& words, bool hangs_up = false) {
         const std::size_t before = ended.size();
         assign();
-        Wire& wire = runner();
+        TestConnection& wire = runner();
         wire.got.clear();
-        wire.say(words);
+        wire.send(words);
         if (hangs_up) wire.hang_up();
         REQUIRE(until([&] { return ended.size() > before; }));
         return ended.back().ending;
@@ -58,7 +58,7 @@
 
     int written = 0;
     net::Loop loop{256};
-    Door door;
+    TestListener listener;
     runners::Links links;
     std::vector<runners::ErrandEnded> ended;
     std::vector<double> shares;
@@ -66,20 +66,22 @@
     std::uint64_t sent = 0;
 };
 
-struct StuckDoor : Door {
-    StuckDoor() : Door(0) { stick(); }
+struct StuckDoor : TestListener {
+    StuckDoor() : TestListener(0) { stick(); }
 };
 
 std::string answer(const std::string& status, const std::string& more = "") {
     return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: 0\r\n\r\n";
 }
-std::string lines(const std::string& text) { return Town::taken + Town::chunk(text) + "0\r\n\r\n"; }
+std::string lines(const std::string& text) {
+    return DispatcherFixture::taken + DispatcherFixture::chunk(text) + "0\r\n\r\n";
+}
 
 }  // namespace
 
 TEST_CASE("what a runner says or does ends an assignment as the protocol has it") {
     Street s;
-    CHECK(s.after(Town::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
     CHECK(s.ended.back().result == "picture");
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"failed\"}\n")) == Ending::failed);
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"returned\"}\n")) == Ending::handed_back);
@@ -91,21 +93,21 @@
     CHECK(s.ended.back().report == Report{9});
     CHECK(s.after(answer("504 Late", "X-Not-Processed: 1\r\n")) == Ending::handed_back);
     CHECK(s.after(answer("503 Full")) == Ending::failed);
-    CHECK(s.door.guests().size() == 1);  // all on one connection
+    CHECK(s.listener.connections().size() == 1);  // all on one connection
     // From here on each answer spoils its connection.
     CHECK(s.after(lines("no JSON\n")) == Ending::malformed);
     CHECK(s.after(lines("{\"id\":\"8\",\"state\":\"done\",\"result\":\"\"}\n")) == Ending::malformed);
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"running\",\"share\":7}\n")) == Ending::malformed);
     CHECK(s.after("HTTP/1.1 200 OK\r\nA: " + std::string(9000, 'a')) == Ending::malformed);
-    CHECK(s.after(Town::taken + "zz\r\n") == Ending::malformed);
+    CHECK(s.after(DispatcherFixture::taken + "zz\r\n") == Ending::malformed);
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"started\"}\n")) == Ending::ended_early);
-    CHECK(s.after(Town::taken, true) == Ending::ended_early);
+    CHECK(s.after(DispatcherFixture::taken, true) == Ending::ended_early);
     CHECK(s.after("", true) == Ending::ended_early);
-    CHECK(s.door.guests().size() == 8);
-    CHECK(s.after(Town::done("7") + "more") == Ending::done);
+    CHECK(s.listener.connections().size() == 8);
+    CHECK(s.after(DispatcherFixture::done("7") + "more") == Ending::done);
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"done\",\"result\":\"\"}\nmore\n")) == Ending::done);
-    CHECK(s.after(Town::done("7")) == Ending::done);
-    CHECK(s.door.guests().size() == 11);  // bytes after the end: those two were not used again
+    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.listener.connections().size() == 11);  // bytes after the end: those two were not used again
     s.assign();
     s.runner().reset();
     REQUIRE(s.until([&] { return s.links.size() == 0; }));
@@ -123,16 +125,17 @@
 }
 
 TEST_CASE("progress is told, and the answer read, wherever the network splits it") {
-    const std::string text = Town::taken + Town::line("7", "\"state\":\"running\",\"share\":0.5") +
-                             Town::done("7").substr(Town::taken.size());
+    const std::string text = DispatcherFixture::taken +
+                             DispatcherFixture::line("7", "\"state\":\"running\",\"share\":0.5") +
+                             DispatcherFixture::done("7").substr(DispatcherFixture::taken.size());
     Street s;
     for (std::size_t at = 1; at < text.size(); ++at) {
         s.assign();
-        Wire& wire = s.runner();
+        TestConnection& wire = s.runner();
         wire.got.clear();
-        wire.say(text.substr(0, at));
+        wire.send(text.substr(0, at));
         s.loop.turn(false);
-        wire.say(text.substr(at));
+        wire.send(text.substr(at));
         REQUIRE(s.until([&] { return s.ended.size() == at; }));
         CHECK(s.ended.back().ending == Ending::done);
     }
@@ -162,7 +165,7 @@
     REQUIRE(s.until([&] { return s.ended.size() == 5; }));
     CHECK(s.ended.back().ending == Ending::connect_timed_out);
     s.seat(true);
-    s.door.shut();
+    s.listener.shut();
     s.assign();
     REQUIRE(s.until([&] { return s.ended.size() == 6; }));
     CHECK(s.ended.back().ending == Ending::refused);
@@ -175,13 +178,13 @@
         bool up = false;
         std::optional<Ending> end;
     } far;
-    Door door;
+    TestListener listener;
     net::Loop loop(4096);
-    net::Connection connection(loop, far, *net::Address::read(door.address()), 1'000'000);
+    net::Connection connection(loop, far, *net::Address::read(listener.address()), 1'000'000);
     while (!far.up) loop.turn(true);
     connection.write(std::string(16'000'000, 'x'));
     for (int i = 0; i < 50; ++i) loop.turn(false);
-    door.guests().back().reset();
+    listener.connections().back().reset();
     while (!far.end) loop.turn(true);
     CHECK(*far.end == Ending::broken_unsent);
 }
@@ -206,13 +209,13 @@
     s.seat(false);
     CHECK(s.ended.back().ending == Ending::drained_unsent);
     REQUIRE(s.until([&] { return s.links.size() == 0; }));
-    CHECK((s.door.guests().empty() || s.door.guests().back().look().got.empty()));
+    CHECK((s.listener.connections().empty() || s.listener.connections().back().look().got.empty()));
     // What has begun goes on.
     s.seat(true);
     s.assign();
-    Wire& wire = s.runner();
+    TestConnection& wire = s.runner();
     s.seat(false);
-    wire.say(Town::done("7"));
+    wire.send(DispatcherFixture::done("7"));
     REQUIRE(s.until([&] { return s.ended.size() == 2; }));
     CHECK(s.ended.back().ending == Ending::done);
     CHECK(s.until([&] { return s.links.size() == 0; }));  // but its connection is not kept
@@ -220,41 +223,42 @@
 
 TEST_CASE("connections are kept for the next assignment and closed before the runner would") {
     Street s;
-    for (int i = 0; i < 3; ++i) CHECK(s.after(Town::done("7")) == Ending::done);
-    CHECK(s.door.guests().size() == 1);
-    CHECK(s.until([&] { return s.door.guests().back().ended(); }, 400));
+    for (int i = 0; i < 3; ++i) CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.listener.connections().size() == 1);
+    CHECK(s.until([&] { return s.listener.connections().back().ended(); }, 400));
     CHECK(s.links.size() == 0);
     // One that the runner closed meanwhile is not used again, also if the loop has not yet heard of it.
-    s.after(Town::done("7"));
-    s.door.guests().back().hang_up();
-    CHECK(s.after(Town::done("7")) == Ending::done);
+    s.after(DispatcherFixture::done("7"));
+    s.listener.connections().back().hang_up();
+    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
     // Nor is one kept from before a restart, after another has broken, or to an address that it has left.
     REQUIRE(s.until([&] { return s.links.size() == 1; }));
-    s.links.seat(RunnerId{1}, *net::Address::read(s.door.address()), true, true);
+    s.links.seat(RunnerId{1}, *net::Address::read(s.listener.address()), true, true);
     CHECK(s.until([&] { return s.links.size() == 0; }));
     s.assign();
-    Wire& breaks = s.runner();
+    TestConnection& breaks = s.runner();
     breaks.got.clear();
-    CHECK(s.after(Town::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
     breaks.reset();
     CHECK(s.until([&] { return s.links.size() == 0; }));
-    s.after(Town::done("7"));
-    Door moved;
+    s.after(DispatcherFixture::done("7"));
+    TestListener moved;
     s.links.seat(RunnerId{1}, *net::Address::read(moved.address()), true);
     s.assign();
-    CHECK(s.until([&] { return !moved.guests().empty() && moved.guests().back().has("X-Request-ID: 7"); }));
+    CHECK(s.until(
+        [&] { return !moved.connections().empty() && moved.connections().back().has("X-Request-ID: 7"); }));
 }
 
 TEST_CASE("a probe brings the load report, from the body or the header, or says that it cannot") {
     Street s;
     s.links.probe(RunnerId{1});
     CHECK(s.runner().has("GET /load HTTP/1.1"));
-    s.runner().say("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\ninflight=4\n");
+    s.runner().send("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\ninflight=4\n");
     REQUIRE(s.until([&] { return s.probes.size() == 1; }));
     CHECK(s.probes[0] == std::pair(Ending::done, Report{4}));
     s.runner().got.clear();
     s.links.probe(RunnerId{1});
-    s.runner().say("HTTP/1.1 503 No\r\nX-Server-Load: rif=5\r\nContent-Length: 0\r\n\r\n");
+    s.runner().send("HTTP/1.1 503 No\r\nX-Server-Load: rif=5\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(s.until([&] { return s.probes.size() == 2; }));
     CHECK(s.probes[1] == std::pair(Ending::handed_back, Report{5}));
     s.runner().got.clear();
@@ -265,237 +269,246 @@
 
 TEST_CASE("a probe that an old connection breaks is asked again on a new one, and only there") {
     Street s;
-    CHECK(s.after(Town::done("7")) == Ending::done);
-    s.door.guests().back().got.clear();
+    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    s.listener.connections().back().got.clear();
     s.links.probe(RunnerId{1});
     s.runner().reset();
-    REQUIRE(s.until([&] { return s.door.guests().size() == 2 && s.door.guests()[1].has("GET /load"); }));
+    REQUIRE(s.until([&] {
+        return s.listener.connections().size() == 2 && s.listener.connections()[1].has("GET /load");
+    }));
     CHECK(s.probes.empty());
-    s.door.guests()[1].reset();
+    s.listener.connections()[1].reset();
     REQUIRE(s.until([&] { return s.probes.size() == 1; }));
     CHECK(s.probes[0].first == Ending::broken);
-    CHECK(s.door.guests().size() == 2);
+    CHECK(s.listener.connections().size() == 2);
 }
 
 TEST_CASE("a task goes to a runner unchanged and its result to the client, on connections that are kept") {
-    Town town;
-    Wire client = town.client();
-    client.say(Town::post("r1", "X-Timeout: 900m\r\nIdempotency-Key: k1\r\nContent-Type: a/b\r\n"));
-    Wire& runner = town.at_runner("r1");
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    client.send(
+        DispatcherFixture::post("r1", "X-Timeout: 900m\r\nIdempotency-Key: k1\r\nContent-Type: a/b\r\n"));
+    TestConnection& runner = fixture.at_runner("r1");
     CHECK(runner.has("POST /render/key HTTP/1.1\r\n"));
     CHECK(runner.has("Idempotency-Key: k1\r\n"));
     CHECK(runner.has("Content-Length: 5\r\n"));
     CHECK(runner.has("X-Timeout: "));
     CHECK(runner.has("\r\n\r\nscene"));
-    runner.say(Town::done("r1", "a\\nb"));
-    REQUIRE(town.until([&] { return client.has("\r\n\r\na\nb"); }));
+    runner.send(DispatcherFixture::done("r1", "a\\nb"));
+    REQUIRE(fixture.until([&] { return client.has("\r\n\r\na\nb"); }));
     CHECK(client.has("HTTP/1.1 200 OK\r\n"));
-    client.say(
+    client.send(
         "POST /render/key?q=1 HTTP/1.1\r\nX-Request-ID: r2\r\nX-Timeout: 900m\r\n"
         "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    Wire& again = town.at_runner("r2");
+    TestConnection& again = fixture.at_runner("r2");
     CHECK(again.has("POST /render/key?q=1 HTTP/1.1\r\n"));
     CHECK(again.has("\r\n\r\nabcde"));
-    again.say(Town::done("r2", "second"));
-    REQUIRE(town.until([&] { return client.has("second"); }));
-    CHECK(town.doors[0]->guests().size() == 1);
-    CHECK(town.loop.blocks().out() == 0);
+    again.send(DispatcherFixture::done("r2", "second"));
+    REQUIRE(fixture.until([&] { return client.has("second"); }));
+    CHECK(fixture.runner_listeners[0]->connections().size() == 1);
+    CHECK(fixture.loop.blocks().out() == 0);
 }
 
 TEST_CASE("a task that cannot be served gets one answer, and nothing after it") {
-    Town town;
-    Wire client = town.client();
-    client.say(Town::post("r1", "X-Timeout: 300m\r\n"));
-    Wire& runner = town.at_runner("r1");
-    REQUIRE(town.until([&] { return client.has("HTTP/1.1 503"); }, 320));  // idempotent, so it may come again
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1", "X-Timeout: 300m\r\n"));
+    TestConnection& runner = fixture.at_runner("r1");
+    REQUIRE(
+        fixture.until([&] { return client.has("HTTP/1.1 503"); }, 320));  // idempotent, so it may come again
     CHECK(client.has("Retry-After: 1.500\r\n"));
-    runner.say(Town::done("r1"));
-    town.pass(50);
+    runner.send(DispatcherFixture::done("r1"));
+    fixture.pass(50);
     CHECK(count(client.look().got, "HTTP/1.1") == 1);
-    Town unsafe(1, "side_effect");
-    Wire other = unsafe.client();
-    other.say(Town::post("r1", "X-Timeout: 300m\r\n"));
-    unsafe.at_runner("r1").say(answer("500 Oh"));
+    DispatcherFixture unsafe(1, "side_effect");
+    TestConnection other = unsafe.client();
+    other.send(DispatcherFixture::post("r1", "X-Timeout: 300m\r\n"));
+    unsafe.at_runner("r1").send(answer("500 Oh"));
     REQUIRE(unsafe.until([&] { return other.has("HTTP/1.1 502"); }));
     unsafe.pass(100);
-    CHECK(unsafe.doors[0]->guests().size() == 1);
-    CHECK(count(unsafe.doors[0]->guests()[0].got, "POST") == 1);
+    CHECK(unsafe.runner_listeners[0]->connections().size() == 1);
+    CHECK(count(unsafe.runner_listeners[0]->connections()[0].got, "POST") == 1);
 }
 
 TEST_CASE("what was turned away goes to another runner, also a side effect") {
-    Town town(2, "side_effect");
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    Wire& first = town.at_runner("r1");
+    DispatcherFixture fixture(2, "side_effect");
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    TestConnection& first = fixture.at_runner("r1");
     first.got.clear();
-    first.say(answer("503 Full", "X-Not-Processed: 1\r\n"));
-    Wire& second = town.at_runner("r1");
+    first.send(answer("503 Full", "X-Not-Processed: 1\r\n"));
+    TestConnection& second = fixture.at_runner("r1");
     CHECK(&second != &first);
-    second.say(Town::done("r1"));
-    CHECK(town.until([&] { return client.has("picture"); }));
+    second.send(DispatcherFixture::done("r1"));
+    CHECK(fixture.until([&] { return client.has("picture"); }));
 }
 
 TEST_CASE("a request that comes slowly has its whole time from its last byte on") {
-    Town town;
-    Wire client = town.client();
-    const std::string request = Town::post("r1", "X-Timeout: 200m\r\n");
-    client.say(request.substr(0, 30));
-    town.pass(250);
-    client.say(request.substr(30));
-    town.at_runner("r1").say(Town::done("r1"));
-    CHECK(town.until([&] { return client.has("picture"); }));
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    const std::string request = DispatcherFixture::post("r1", "X-Timeout: 200m\r\n");
+    client.send(request.substr(0, 30));
+    fixture.pass(250);
+    client.send(request.substr(30));
+    fixture.at_runner("r1").send(DispatcherFixture::done("r1"));
+    CHECK(fixture.until([&] { return client.has("picture"); }));
 }
 
 TEST_CASE("a client that leaves ends its task") {
-    Town town;
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    Wire& runner = town.at_runner("r1");
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    TestConnection& runner = fixture.at_runner("r1");
     client.hang_up();
-    CHECK(town.until([&] { return runner.ended(); }));
-    CHECK(town.loop.blocks().out() == 0);
+    CHECK(fixture.until([&] { return runner.ended(); }));
+    CHECK(fixture.loop.blocks().out() == 0);
 }
 
 TEST_CASE("bad requests get a 4xx and leave other connections alone") {
-    Town town;
-    Wire good = town.client();
-    good.say(Town::post("good"));
-    Wire& runner = town.at_runner("good");
+    DispatcherFixture fixture;
+    TestConnection good = fixture.client();
+    good.send(DispatcherFixture::post("good"));
+    TestConnection& runner = fixture.at_runner("good");
     const std::string chunked = "POST /render/k HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 9m\r\n";
     for (const auto& [bad, status] : std::vector<std::pair<std::string, std::string>>{
              {"rubbish\r\n\r\n", "400"},
              {chunked + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
-             {Town::post("b", "X-Timeout: soon\r\n"), "400"},
-             {Town::post("b", "X-Timeout: 900m\r\n", std::string(65'537, 'b')), "413"},
+             {DispatcherFixture::post("b", "X-Timeout: soon\r\n"), "400"},
+             {DispatcherFixture::post("b", "X-Timeout: 900m\r\n", std::string(65'537, 'b')), "413"},
              {"GET /" + std::string(9000, 'a'), "431"},
              {"POST /odd/k HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 9m\r\n\r\n", "404"},
              {"PUT /render/k HTTP/1.1\r\n\r\n", "405"},
              {"GET / HTTP/3.0\r\n\r\n", "505"},
              {"POST /render/\xff HTTP/1.1\r\n\r\n", "400"},
              {std::string(100, '\n'), "400"},
-             {Town::post("b", "X-Timeout: 900m\r\nX-Timeout: 900m\r\n"), "400"},
-             {Town::post("b", "X-Timeout: 900m\r\nX-Request-ID: c\r\n"), "400"},
-             {Town::post("b c"), "400"},
-             {Town::post("b", "X-Timeout: 900m\r\nIdempotency-Key: \xc3\xa9\r\n"), "400"},
-             {Town::post("b", "X-Timeout: 36000000m\r\n"), "400"},
+             {DispatcherFixture::post("b", "X-Timeout: 900m\r\nX-Timeout: 900m\r\n"), "400"},
+             {DispatcherFixture::post("b", "X-Timeout: 900m\r\nX-Request-ID: c\r\n"), "400"},
+             {DispatcherFixture::post("b c"), "400"},
+             {DispatcherFixture::post("b", "X-Timeout: 900m\r\nIdempotency-Key: \xc3\xa9\r\n"), "400"},
+             {DispatcherFixture::post("b", "X-Timeout: 36000000m\r\n"), "400"},
              {chunked + "Content-Length: 60000000\r\n\r\n", "413"},
              {chunked + "Content-Length: 3\r\n\r\nscene", "400"},
-             {Town::post("b") + Town::post("c"), "400"},
-             {Town::post("good"), "409"}}) {
-        Wire client = town.client();
-        client.say(bad);
-        CHECK_MESSAGE(town.until([&] { return client.has("HTTP/1.1 " + status); }), status);
-        CHECK(town.until([&] { return client.ended(); }));
+             {DispatcherFixture::post("b") + DispatcherFixture::post("c"), "400"},
+             {DispatcherFixture::post("good"), "409"}}) {
+        TestConnection client = fixture.client();
+        client.send(bad);
+        CHECK_MESSAGE(fixture.until([&] { return client.has("HTTP/1.1 " + status); }), status);
+        CHECK(fixture.until([&] { return client.ended(); }));
     }
-    runner.say(Town::done("good"));
-    CHECK(town.until([&] { return good.has("picture"); }));
-    CHECK(town.until([&] { return town.loop.blocks().out() == 0; }));
+    runner.send(DispatcherFixture::done("good"));
+    CHECK(fixture.until([&] { return good.has("picture"); }));
+    CHECK(fixture.until([&] { return fixture.loop.blocks().out() == 0; }));
 }
 
 TEST_CASE("bytes behind an open request end it, since its length was not what the client meant") {
-    Town town;
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    Wire& runner = town.at_runner("r1");
-    client.say("more");
-    REQUIRE(town.until([&] { return client.ended() && runner.ended(); }));
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    TestConnection& runner = fixture.at_runner("r1");
+    client.send("more");
+    REQUIRE(fixture.until([&] { return client.ended() && runner.ended(); }));
     CHECK(client.has("HTTP/1.1 400"));
     CHECK(client.has("Connection: close\r\n"));
     CHECK(count(client.got, "HTTP/1.1") == 1);
-    CHECK(town.loop.blocks().out() == 0);
+    CHECK(fixture.loop.blocks().out() == 0);
 }
 
 TEST_CASE("who says nothing or never comes to an end is sent away well inside three seconds") {
-    Town town;
-    Wire kept = town.client(), silent = town.client(), head = town.client(), body = town.client();
-    kept.say(Town::post("r1"));
-    town.at_runner("r1").say(Town::done("r1"));
-    head.say("POST /render/key HTTP/1.1\r\n");
-    body.say("POST /render/key HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 900m\r\nContent-Length: 99\r\n\r\n");
-    for (int i = 0; i < 24; ++i, town.pass(100)) head.say("A: b\r\n"), body.say("c");  // no byte wins time
+    DispatcherFixture fixture;
+    TestConnection kept = fixture.client(), silent = fixture.client(), head = fixture.client(),
+                   body = fixture.client();
+    kept.send(DispatcherFixture::post("r1"));
+    fixture.at_runner("r1").send(DispatcherFixture::done("r1"));
+    head.send("POST /render/key HTTP/1.1\r\n");
+    body.send(
+        "POST /render/key HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 900m\r\nContent-Length: 99\r\n\r\n");
+    for (int i = 0; i < 24; ++i, fixture.pass(100))
+        head.send("A: b\r\n"), body.send("c");  // no byte wins time
     CHECK(silent.ended());
     CHECK(silent.got.empty());
     CHECK(head.has("HTTP/1.1 408"));
     CHECK(body.has("HTTP/1.1 408"));
-    kept.say(Town::post("r2"));  // a usual client's connection may stand idle
-    town.at_runner("r2").say(Town::done("r2", "second"));
-    CHECK(town.until([&] { return kept.has("second"); }));
-    kept.say("POST ");
-    CHECK(town.until([&] { return kept.has("HTTP/1.1 408"); }, 2400));  // from the first byte of this one
+    kept.send(DispatcherFixture::post("r2"));  // a usual client's connection may stand idle
+    fixture.at_runner("r2").send(DispatcherFixture::done("r2", "second"));
+    CHECK(fixture.until([&] { return kept.has("second"); }));
+    kept.send("POST ");
+    CHECK(fixture.until([&] { return kept.has("HTTP/1.1 408"); }, 2400));  // from the first byte of this one
 }
 
 TEST_CASE("an error reaches a client that goes on sending") {
-    Town town;
-    Wire client = town.client();
-    client.say(
+    DispatcherFixture fixture;
+    TestConnection client = fixture.client();
+    client.send(
         "POST /render/key HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 9m\r\nContent-Length: 60000000\r\n\r\n");
-    for (int i = 0; i < 500; ++i) client.say(std::string(16'384, 'b')), town.turn();
+    for (int i = 0; i < 500; ++i) client.send(std::string(16'384, 'b')), fixture.turn();
     CHECK(client.has("HTTP/1.1 413"));
-    CHECK(town.loop.blocks().out() == 0);
+    CHECK(fixture.loop.blocks().out() == 0);
 }
 
 TEST_CASE("an id that comes twice is taken once, whichever body ends first") {
-    Town town;
-    Wire slow = town.client(), quick = town.client();
-    const std::string request = Town::post("r1");
-    slow.say(request.substr(0, request.size() - 1));
-    town.pass(20);
-    quick.say(request);
-    Wire& runner = town.at_runner("r1");
-    slow.say(request.substr(request.size() - 1));
-    CHECK(town.until([&] { return slow.has("HTTP/1.1 409"); }));
-    runner.say(Town::done("r1"));
-    CHECK(town.until([&] { return quick.has("picture"); }));
+    DispatcherFixture fixture;
+    TestConnection slow = fixture.client(), quick = fixture.client();
+    const std::string request = DispatcherFixture::post("r1");
+    slow.send(request.substr(0, request.size() - 1));
+    fixture.pass(20);
+    quick.send(request);
+    TestConnection& runner = fixture.at_runner("r1");
+    slow.send(request.substr(request.size() - 1));
+    CHECK(fixture.until([&] { return slow.has("HTTP/1.1 409"); }));
+    runner.send(DispatcherFixture::done("r1"));
+    CHECK(fixture.until([&] { return quick.has("picture"); }));
 }
 
 TEST_CASE("when room is short the silent and the half said go before kept connections") {
-    Town town;  // 28 for clients
-    std::vector<Wire> kept, bad;
+    DispatcherFixture fixture;  // 28 for clients
+    std::vector<TestConnection> kept, bad;
     for (int i = 0; i < 10; ++i) {
         const std::string id = "k" + std::to_string(i);
-        kept.push_back(town.client());
-        kept.back().say(Town::post(id));
-        town.at_runner(id).say(Town::done(id));
-        REQUIRE(town.until([&] { return kept.back().has("picture"); }));
+        kept.push_back(fixture.client());
+        kept.back().send(DispatcherFixture::post(id));
+        fixture.at_runner(id).send(DispatcherFixture::done(id));
+        REQUIRE(fixture.until([&] { return kept.back().has("picture"); }));
     }
     for (int i = 0; i < 18; ++i)
-        bad.push_back(town.client()), bad.back().say(i % 2 ? "" : "POST "), town.turn();
-    town.pass(150);
-    Wire early = town.client();  // said its request before the loop turns, with twenty silent ones behind it
-    early.say(Town::post("early"));
-    for (int i = 0; i < 20; ++i) bad.push_back(town.client());
-    town.at_runner("early").say(Town::done("early", "early"));
-    CHECK(town.until([&] { return early.has("early"); }));
-    CHECK(std::none_of(kept.begin(), kept.end(), [](Wire& wire) { return wire.ended(); }));
-    CHECK(std::count_if(bad.begin(), bad.end(), [](Wire& wire) { return wire.ended(); }) >= 18);
+        bad.push_back(fixture.client()), bad.back().send(i % 2 ? "" : "POST "), fixture.turn();
+    fixture.pass(150);
+    TestConnection early =
+        fixture.client();  // said its request before the loop turns, with twenty silent ones behind it
+    early.send(DispatcherFixture::post("early"));
+    for (int i = 0; i < 20; ++i) bad.push_back(fixture.client());
+    fixture.at_runner("early").send(DispatcherFixture::done("early", "early"));
+    CHECK(fixture.until([&] { return early.has("early"); }));
+    CHECK(std::none_of(kept.begin(), kept.end(), [](TestConnection& wire) { return wire.ended(); }));
+    CHECK(std::count_if(bad.begin(), bad.end(), [](TestConnection& wire) { return wire.ended(); }) >= 18);
 }
 
 TEST_CASE("idle connections make room when descriptors are short, and accepting goes on") {
-    Town town;  // of 64 descriptors 18 are the process's own and 18 the runners'
-    std::vector<Wire> idle;
-    for (int i = 0; i < 45; ++i) idle.push_back(town.client()), town.turn();
-    Wire late = town.client();
-    late.say("GET /healthz HTTP/1.1\r\n\r\n");
-    CHECK(town.until([&] { return late.has("HTTP/1.1 200"); }));
-    CHECK(town.until([&] { return idle[0].ended(); }));  // the one idle for longest went
+    DispatcherFixture fixture;  // of 64 descriptors 18 are the process's own and 18 the runners'
+    std::vector<TestConnection> idle;
+    for (int i = 0; i < 45; ++i) idle.push_back(fixture.client()), fixture.turn();
+    TestConnection late = fixture.client();
+    late.send("GET /healthz HTTP/1.1\r\n\r\n");
+    CHECK(fixture.until([&] { return late.has("HTTP/1.1 200"); }));
+    CHECK(fixture.until([&] { return idle[0].ended(); }));  // the one idle for longest went
     CHECK_FALSE(idle[44].ended());
 }
 
 TEST_CASE("a task beyond what descriptors allow is turned away at once, and those before it are served") {
-    Town town(1, "pure", "", "\"memory_mb\":64,\"sockets\":28");  // four for runners, six for clients
-    std::vector<Wire> clients;
+    DispatcherFixture fixture(1, "pure", "",
+                              "\"memory_mb\":64,\"sockets\":28");  // four for runners, six for clients
+    std::vector<TestConnection> clients;
     for (int i = 0; i < 6; ++i) {
-        clients.push_back(town.client());
-        clients.back().say(Town::post("r" + std::to_string(i)));
-        town.at_runner("r0");
+        clients.push_back(fixture.client());
+        clients.back().send(DispatcherFixture::post("r" + std::to_string(i)));
+        fixture.at_runner("r0");
     }
-    Wire& runner = town.at_runner("r0");
-    Wire late = town.client();
-    late.say(Town::post("late"));
-    CHECK(town.until([&] { return late.has("HTTP/1.1 503") && late.ended(); }));
+    TestConnection& runner = fixture.at_runner("r0");
+    TestConnection late = fixture.client();
+    late.send(DispatcherFixture::post("late"));
+    CHECK(fixture.until([&] { return late.has("HTTP/1.1 503") && late.ended(); }));
     CHECK(late.has("Retry-After: 1.500\r\n"));
-    runner.say(Town::done("r0"));
-    CHECK(town.until([&] { return clients[0].has("picture"); }));
+    runner.send(DispatcherFixture::done("r0"));
+    CHECK(fixture.until([&] { return clients[0].has("picture"); }));
     Street s;  // of whose links four may be open
     for (int i = 0; i < 5; ++i) s.assign();
     REQUIRE(s.ended.size() == 1);
@@ -503,126 +516,132 @@
 }
 
 TEST_CASE("clients that do not read hold a bounded memory") {
-    Town town;
-    Wire deaf = town.client();
+    DispatcherFixture fixture;
+    TestConnection deaf = fixture.client();
     const std::string ask = "GET /healthz HTTP/1.1\r\n\r\n";
     for (int i = 0; i < 20'000; ++i) {
-        deaf.say(ask);
-        if (i % 100 == 0) town.turn();
+        deaf.send(ask);
+        if (i % 100 == 0) fixture.turn();
     }
-    CHECK(town.until([&] { return town.loop.blocks().out() < 200; }));
-    Wire other = town.client();
-    other.say(ask);
-    CHECK(town.until([&] { return other.has("HTTP/1.1 200"); }));
+    CHECK(fixture.until([&] { return fixture.loop.blocks().out() < 200; }));
+    TestConnection other = fixture.client();
+    other.send(ask);
+    CHECK(fixture.until([&] { return other.has("HTTP/1.1 200"); }));
 }
 
 TEST_CASE("a start from the known list serves while discovery is down, and asks again") {
-    Town town;
-    CHECK(town.until([&] { return !town.discovery.guests().empty(); }));
-    CHECK(town.until(
-        [&] { return town.discovery.guests()[0].has("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n"); }));
-    town.discovery.guests()[0].reset();
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    town.at_runner("r1").say(Town::done("r1"));
-    CHECK(town.until([&] { return client.has("picture"); }));
-    CHECK(town.until([&] { return town.discovery.guests().size() == 2; }));
-    town.discovery.guests()[1].say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    CHECK(town.until([&] { return town.discovery.guests().size() == 3; }));
-    town.discovery.guests()[2].say(Town::taken + Town::chunk("{\"version\":8,\"full\":fal"));
-    town.pass(20);
-    town.discovery.guests()[2].say(Town::chunk("se,\"serv}\n"));
-    CHECK(town.until([&] { return town.discovery.guests().size() == 4; }));
-    CHECK(town.discovery.guests()[3].has(""));
-    CHECK(town.said.str().find("a line cannot be read") != std::string::npos);
+    DispatcherFixture fixture;
+    CHECK(fixture.until([&] { return !fixture.discovery.connections().empty(); }));
+    CHECK(fixture.until([&] {
+        return fixture.discovery.connections()[0].has("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n");
+    }));
+    fixture.discovery.connections()[0].reset();
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    fixture.at_runner("r1").send(DispatcherFixture::done("r1"));
+    CHECK(fixture.until([&] { return client.has("picture"); }));
+    CHECK(fixture.until([&] { return fixture.discovery.connections().size() == 2; }));
+    fixture.discovery.connections()[1].send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    CHECK(fixture.until([&] { return fixture.discovery.connections().size() == 3; }));
+    fixture.discovery.connections()[2].send(DispatcherFixture::taken +
+                                            DispatcherFixture::chunk("{\"version\":8,\"full\":fal"));
+    fixture.pass(20);
+    fixture.discovery.connections()[2].send(DispatcherFixture::chunk("se,\"serv}\n"));
+    CHECK(fixture.until([&] { return fixture.discovery.connections().size() == 4; }));
+    CHECK(fixture.discovery.connections()[3].has(""));
+    CHECK(fixture.said.str().find("a line cannot be read") != std::string::npos);
 }
 
 TEST_CASE("a watch is followed line by line, and asked for anew once it falls silent") {
-    Town town(2);
-    REQUIRE(town.until(
-        [&] { return !town.discovery.guests().empty() && town.discovery.guests()[0].has("\r\n\r\n"); }));
-    Wire& watch = town.discovery.guests()[0];
-    watch.say(Town::taken + Town::chunk(town.list(9, "SERVING", true) + "\n") + Town::chunk("\n"));
-    town.pass(20);
-    std::string gone = town.list(10, "DRAINING", false);
+    DispatcherFixture fixture(2);
+    REQUIRE(fixture.until([&] {
+        return !fixture.discovery.connections().empty() && fixture.discovery.connections()[0].has("\r\n\r\n");
+    }));
+    TestConnection& watch = fixture.discovery.connections()[0];
+    watch.send(DispatcherFixture::taken + DispatcherFixture::chunk(fixture.list(9, "SERVING", true) + "\n") +
+               DispatcherFixture::chunk("\n"));
+    fixture.pass(20);
+    std::string gone = fixture.list(10, "DRAINING", false);
     gone = gone.substr(0, gone.find("},{") + 1) + "]}";  // the first only
-    watch.say(Town::chunk(gone + "\n"));
-    town.pass(20);
-    Wire client = town.client();
+    watch.send(DispatcherFixture::chunk(gone + "\n"));
+    fixture.pass(20);
+    TestConnection client = fixture.client();
     for (const std::string id : {"r1", "r2", "r3", "r4", "r5", "r6"}) {
-        client.say(Town::post(id));
-        town.at_runner(id).say(Town::done(id, id));
-        REQUIRE(town.until([&] { return client.has("\r\n\r\n" + id); }));
+        client.send(DispatcherFixture::post(id));
+        fixture.at_runner(id).send(DispatcherFixture::done(id, id));
+        REQUIRE(fixture.until([&] { return client.has("\r\n\r\n" + id); }));
     }
-    CHECK(town.doors[0]->guests().empty());
-    REQUIRE(town.until([&] { return town.discovery.guests().size() == 2; }, 4500));
-    CHECK(town.until([&] { return town.discovery.guests()[1].has("since=10 HTTP/1.1"); }));
+    CHECK(fixture.runner_listeners[0]->connections().empty());
+    REQUIRE(fixture.until([&] { return fixture.discovery.connections().size() == 2; }, 4500));
+    CHECK(fixture.until([&] { return fixture.discovery.connections()[1].has("since=10 HTTP/1.1"); }));
 }
 
 TEST_CASE("where changes come by themselves the watch is open from the start, and opened again") {
-    Town town(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "pushed");
-    REQUIRE(town.until([&] { return !town.discovery.guests().empty(); }));
-    CHECK(town.until([&] { return town.discovery.guests()[0].has("follow=1&since=7 HTTP/1.1"); }));
-    town.discovery.guests()[0].hang_up();
-    CHECK(town.until([&] { return town.discovery.guests().size() == 2; }));
+    DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "pushed");
+    REQUIRE(fixture.until([&] { return !fixture.discovery.connections().empty(); }));
+    CHECK(fixture.until([&] { return fixture.discovery.connections()[0].has("follow=1&since=7 HTTP/1.1"); }));
+    fixture.discovery.connections()[0].hang_up();
+    CHECK(fixture.until([&] { return fixture.discovery.connections().size() == 2; }));
 }
 
 TEST_CASE("a reload follows discovery to another address, whatever the old one still says") {
-    Town town;
-    const auto watched = [](Door& door, const std::string& since) {
-        return !door.guests().empty() && door.guests()[0].has("follow=1&since=" + since + " HTTP/1.1\r\n");
+    DispatcherFixture fixture;
+    const auto watched = [](TestListener& listener, const std::string& since) {
+        return !listener.connections().empty() &&
+               listener.connections()[0].has("follow=1&since=" + since + " HTTP/1.1\r\n");
     };
-    REQUIRE(town.until([&] { return watched(town.discovery, "7"); }));
-    Wire& old = town.discovery.guests()[0];
-    old.say(Town::taken + Town::chunk(town.list(9, "SERVING", true) + "\n"));
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    Wire& runner = town.at_runner("r1");
-    Door moved, again;
-    town.reload(town.with(town.discovery.address(), moved.address()));
-    REQUIRE(town.until([&] { return watched(moved, "0"); }, 200));
-    old.say(Town::chunk(town.list(10, "DRAINING", true) + "\n"));
-    moved.guests()[0].say(Town::taken +
-                          Town::chunk(town.list(2, "SERVING", true) + "\n"));  // counts otherwise
-    town.pass(50);
+    REQUIRE(fixture.until([&] { return watched(fixture.discovery, "7"); }));
+    TestConnection& old = fixture.discovery.connections()[0];
+    old.send(DispatcherFixture::taken + DispatcherFixture::chunk(fixture.list(9, "SERVING", true) + "\n"));
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    TestConnection& runner = fixture.at_runner("r1");
+    TestListener moved, again;
+    fixture.reload(fixture.with(fixture.discovery.address(), moved.address()));
+    REQUIRE(fixture.until([&] { return watched(moved, "0"); }, 200));
+    old.send(DispatcherFixture::chunk(fixture.list(10, "DRAINING", true) + "\n"));
+    moved.connections()[0].send(
+        DispatcherFixture::taken +
+        DispatcherFixture::chunk(fixture.list(2, "SERVING", true) + "\n"));  // counts otherwise
+    fixture.pass(50);
     old.hang_up();
-    runner.say(Town::done("r1"));  // what was under way, and its connections, live on
-    REQUIRE(town.until([&] { return client.has("picture"); }));
-    client.say(Town::post("r2"));
-    town.at_runner("r2").say(Town::done("r2", "second"));
-    REQUIRE(town.until([&] { return client.has("second"); }));
-    CHECK(town.doors[0]->guests().size() == 1);
+    runner.send(DispatcherFixture::done("r1"));  // what was under way, and its connections, live on
+    REQUIRE(fixture.until([&] { return client.has("picture"); }));
+    client.send(DispatcherFixture::post("r2"));
+    fixture.at_runner("r2").send(DispatcherFixture::done("r2", "second"));
+    REQUIRE(fixture.until([&] { return client.has("second"); }));
+    CHECK(fixture.runner_listeners[0]->connections().size() == 1);
     // Any number of times, also while it leaves.
-    town.dispatcher->leave();
-    town.reload(town.with(town.discovery.address(), again.address()));
-    CHECK(town.until([&] { return watched(again, "0") && moved.guests()[0].ended(); }, 200));
-    CHECK(town.until([&] { return town.loop.stopping(); }));
+    fixture.dispatcher->leave();
+    fixture.reload(fixture.with(fixture.discovery.address(), again.address()));
+    CHECK(fixture.until([&] { return watched(again, "0") && moved.connections()[0].ended(); }, 200));
+    CHECK(fixture.until([&] { return fixture.loop.stopping(); }));
 }
 
 TEST_CASE("a reload that cannot be read changes nothing, and what needs a restart is named") {
-    Town town;
-    const std::string moved = town.with(town.discovery.address(), "127.0.0.1:9");
-    REQUIRE(town.until([&] { return !town.discovery.guests().empty(); }));
+    DispatcherFixture fixture;
+    const std::string moved = fixture.with(fixture.discovery.address(), "127.0.0.1:9");
+    REQUIRE(fixture.until([&] { return !fixture.discovery.connections().empty(); }));
     for (const auto& [words, why] : std::vector<std::pair<std::string, std::string>>{
              {"", "cannot read the configuration"},
              {moved.substr(0, moved.size() / 2), "is not JSON"},
-             {town.with(town.discovery.address(), "nowhere"), "the discovery address is none: nowhere"},
-             {town.with("\"due_time_us\":600000", "\"due_time_us\":\"soon\""), "is not a number: soon"}}) {
-        town.reload(words);
-        CHECK_MESSAGE(town.said.str().find(why) != std::string::npos, town.said.str());
-        CHECK(town.said.str().ends_with("; the old configuration stays\n"));
-        town.said.str("");
+             {fixture.with(fixture.discovery.address(), "nowhere"), "the discovery address is none: nowhere"},
+             {fixture.with("\"due_time_us\":600000", "\"due_time_us\":\"soon\""), "is not a number: soon"}}) {
+        fixture.reload(words);
+        CHECK_MESSAGE(fixture.said.str().find(why) != std::string::npos, fixture.said.str());
+        CHECK(fixture.said.str().ends_with("; the old configuration stays\n"));
+        fixture.said.str("");
     }
-    town.reload(town.with("\"sockets\":64", "\"sockets\":65"));
-    CHECK(town.said.str().find("limits differs, and needs a restart") != std::string::npos);
-    town.pass(50);
-    CHECK_FALSE(town.discovery.guests()[0].ended());
-    CHECK(town.discovery.guests().size() == 1);
+    fixture.reload(fixture.with("\"sockets\":64", "\"sockets\":65"));
+    CHECK(fixture.said.str().find("limits differs, and needs a restart") != std::string::npos);
+    fixture.pass(50);
+    CHECK_FALSE(fixture.discovery.connections()[0].ended());
+    CHECK(fixture.discovery.connections().size() == 1);
 }
 
 TEST_CASE("the whole list is asked for once, counted, chunked or to the end of the connection") {
     net::Loop loop(64);
-    Door discovery;
+    TestListener discovery;
     std::ostringstream said;
     log::Log log(said, log::Level::debug);
     std::vector<std::uint32_t> versions;
@@ -632,15 +651,15 @@
         [&](const roster::Listing& listing) { return versions.push_back(listing.version), true; },
         [&] { ++failures; });
     const auto told = [&](const std::string& answer, bool hangs_up) {
-        const std::size_t before = discovery.guests().size();
+        const std::size_t before = discovery.connections().size();
         follower.ask();
         bool spoken = false;
         for (const Micros end = net::Loop::now() + 300'000; net::Loop::now() < end; usleep(200)) {
             loop.turn(false);
-            if (spoken || discovery.guests().size() == before) continue;
-            if (!discovery.guests().back().has("GET /v1/servers HTTP/1.1\r\n")) continue;
-            discovery.guests().back().say(answer);
-            if (hangs_up) discovery.guests().back().hang_up();
+            if (spoken || discovery.connections().size() == before) continue;
+            if (!discovery.connections().back().has("GET /v1/servers HTTP/1.1\r\n")) continue;
+            discovery.connections().back().send(answer);
+            if (hangs_up) discovery.connections().back().hang_up();
             spoken = true;
         }
         follower.sweep();
@@ -660,7 +679,9 @@
 }
 
 TEST_CASE("peers are told by datagrams, and only those whose address is known are heard") {
-    const auto free_port = [] { return *net::Address::read("127.0.0.1:" + std::to_string(Door(-1).port)); };
+    const auto free_port = [] {
+        return *net::Address::read("127.0.0.1:" + std::to_string(TestListener(-1).port));
+    };
     const peers::Neighbours first{free_port(), {}, 0}, second{free_port(), {}, 1},
         stranger{free_port(), {}, 0};
     net::Loop loop(16);
@@ -685,49 +706,49 @@
 }
 
 TEST_CASE("a restart loses nothing: what still comes is served, then all is ended") {
-    Town town(2);
-    Wire kept = town.client(), waiting = town.client();
-    waiting.say(Town::post("r1", "X-Timeout: 20000m\r\n"));
-    town.at_runner("r1");
-    town.dispatcher->leave();
-    town.pass(200);
-    Wire late = town.client();
-    late.say(Town::post("r2"));
-    town.at_runner("r2").say(Town::done("r2", "late"));
-    CHECK(town.until([&] { return late.has("late"); }));
-    CHECK(
-        town.until([&] { return kept.ended() && late.ended(); }, 1000));  // idle ones, once nobody new comes
-    CHECK_FALSE(town.loop.stopping());
+    DispatcherFixture fixture(2);
+    TestConnection kept = fixture.client(), waiting = fixture.client();
+    waiting.send(DispatcherFixture::post("r1", "X-Timeout: 20000m\r\n"));
+    fixture.at_runner("r1");
+    fixture.dispatcher->leave();
+    fixture.pass(200);
+    TestConnection late = fixture.client();
+    late.send(DispatcherFixture::post("r2"));
+    fixture.at_runner("r2").send(DispatcherFixture::done("r2", "late"));
+    CHECK(fixture.until([&] { return late.has("late"); }));
+    CHECK(fixture.until([&] { return kept.ended() && late.ended(); },
+                        1000));  // idle ones, once nobody new comes
+    CHECK_FALSE(fixture.loop.stopping());
     // The runner stays silent, so the task is answered before the system would kill the process.
-    CHECK(town.until([&] { return waiting.has("HTTP/1.1 503"); }, 3000));
+    CHECK(fixture.until([&] { return waiting.has("HTTP/1.1 503"); }, 3000));
     CHECK(waiting.has("Connection: close\r\n"));
-    CHECK(town.until([&] { return town.loop.stopping(); }, 500));
+    CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 500));
 }
 
 TEST_CASE("neither silence nor half a request holds up a restart") {
-    Town town;
-    Wire silent = town.client(), half = town.client();
-    half.say("POST /render");
-    town.pass(20);
-    town.dispatcher->leave();
-    town.pass(600);
-    Wire late = town.client();
-    late.say("POST /render");
-    CHECK(town.until([&] { return town.loop.stopping(); }, 800));
+    DispatcherFixture fixture;
+    TestConnection silent = fixture.client(), half = fixture.client();
+    half.send("POST /render");
+    fixture.pass(20);
+    fixture.dispatcher->leave();
+    fixture.pass(600);
+    TestConnection late = fixture.client();
+    late.send("POST /render");
+    CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 800));
     CHECK(half.has("HTTP/1.1 408"));
     CHECK(late.has("HTTP/1.1 408"));
 }
 
 TEST_CASE("while it leaves, a kept connection is served for half its stay, since no other may be back yet") {
-    Town town(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "3000000");
-    Wire client = town.client();
-    client.say(Town::post("r1"));
-    town.at_runner("r1").say(Town::done("r1"));
-    REQUIRE(town.until([&] { return client.has("picture"); }));
-    town.dispatcher->leave();
-    town.pass(1500);
-    client.say(Town::post("r2"));
-    town.at_runner("r2").say(Town::done("r2", "second"));
-    CHECK(town.until([&] { return client.has("second"); }));
-    CHECK(town.until([&] { return client.ended() && town.loop.stopping(); }, 500));
+    DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "3000000");
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("r1"));
+    fixture.at_runner("r1").send(DispatcherFixture::done("r1"));
+    REQUIRE(fixture.until([&] { return client.has("picture"); }));
+    fixture.dispatcher->leave();
+    fixture.pass(1500);
+    client.send(DispatcherFixture::post("r2"));
+    fixture.at_runner("r2").send(DispatcherFixture::done("r2", "second"));
+    CHECK(fixture.until([&] { return client.has("second"); }));
+    CHECK(fixture.until([&] { return client.ended() && fixture.loop.stopping(); }, 500));
 }
--- a/tests/terms_stories.cpp
+++ b/tests/terms_stories.cpp
@@ -124,49 +124,50 @@
 TEST_CASE(
     "on sockets: a new workload is served by its own rules, open tasks by the old, a dropped one is not "
     "known") {
-    Town town(3, "pure", "", "\"memory_mb\":64,\"sockets\":64");
-    Wire open = town.client();
-    open.say(Town::post("o"));
-    Wire& runner = town.at_runner("o");
+    DispatcherFixture fixture(3, "pure", "", "\"memory_mb\":64,\"sockets\":64");
+    TestConnection open = fixture.client();
+    open.send(DispatcherFixture::post("o"));
+    TestConnection& runner = fixture.at_runner("o");
     const std::string two =
-        town.with("\"importance\":1}]",
-                  "\"importance\":1},{\"name\":\"proof\",\"effect\":\"token\",\"due_time_us\":600000,"
-                  "\"expiry_us\":700000,\"importance\":2}]");
-    town.reload(two);
-    CHECK(town.said.str().find("workloads added: proof; dropped: none; changed: none") != std::string::npos);
-    Wire proof = town.client();
+        fixture.with("\"importance\":1}]",
+                     "\"importance\":1},{\"name\":\"proof\",\"effect\":\"token\",\"due_time_us\":600000,"
+                     "\"expiry_us\":700000,\"importance\":2}]");
+    fixture.reload(two);
+    CHECK(fixture.said.str().find("workloads added: proof; dropped: none; changed: none") !=
+          std::string::npos);
+    TestConnection proof = fixture.client();
     const auto post = [](const std::string& id, const std::string& more) {
-        std::string words = Town::post(id, "X-Timeout: 700m\r\n" + more);
+        std::string words = DispatcherFixture::post(id, "X-Timeout: 700m\r\n" + more);
         return words.replace(words.find("/render/"), 8, "/proof/");
     };
-    proof.say(post("p", "Idempotency-Key: k1\r\n"));
-    town.at_runner("p").say(Town::done("p", "proof"));
-    CHECK(town.until([&] { return proof.has("proof"); }));
-    Wire keyless = town.client();
-    keyless.say(post("q", ""));
-    CHECK(town.until([&] { return keyless.has("400"); }));
+    proof.send(post("p", "Idempotency-Key: k1\r\n"));
+    fixture.at_runner("p").send(DispatcherFixture::done("p", "proof"));
+    CHECK(fixture.until([&] { return proof.has("proof"); }));
+    TestConnection keyless = fixture.client();
+    keyless.send(post("q", ""));
+    CHECK(fixture.until([&] { return keyless.has("400"); }));
     // The first is dropped while one of it is open.
     const auto from = two.find("{\"name\":\"render\""), to = two.find("{\"name\":\"proof\"");
-    town.reload(two.substr(0, from) + two.substr(to));
-    CHECK(town.said.str().find("dropped: render") != std::string::npos);
-    runner.say(Town::done("o", "late"));
-    CHECK(town.until([&] { return open.has("late"); }));
-    Wire unknown = town.client();
-    unknown.say(Town::post("u"));
-    CHECK(town.until([&] { return unknown.has("404"); }));
-    const auto& ends = town.dispatcher->tally().ends();
+    fixture.reload(two.substr(0, from) + two.substr(to));
+    CHECK(fixture.said.str().find("dropped: render") != std::string::npos);
+    runner.send(DispatcherFixture::done("o", "late"));
+    CHECK(fixture.until([&] { return open.has("late"); }));
+    TestConnection unknown = fixture.client();
+    unknown.send(DispatcherFixture::post("u"));
+    CHECK(fixture.until([&] { return unknown.has("404"); }));
+    const auto& ends = fixture.dispatcher->tally().ends();
     CHECK(ends.at("render").finished == 1);
     CHECK(ends.at("proof").finished == 1);
-    CHECK(town.dispatcher->tally().reloads_taken() == 2);
+    CHECK(fixture.dispatcher->tally().reloads_taken() == 2);
 }
 
 TEST_CASE("a file that is short of something, or has nonsense in it, changes nothing at all") {
-    Town town(1, "pure", "", "\"memory_mb\":64,\"sockets\":64");
-    const auto without = [&](const std::string& words) { return town.with(words, ""); };
+    DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64");
+    const auto without = [&](const std::string& words) { return fixture.with(words, ""); };
     std::uint64_t refused = 0;
     for (const auto& [words, why] : std::vector<std::pair<std::string, std::string>>{
              {" ", "is not JSON"},
-             {town.text.substr(0, town.text.size() - 3), "is not JSON"},
+             {fixture.text.substr(0, fixture.text.size() - 3), "is not JSON"},
              {without("\"name\":\"n0\","), "is short of name"},
              {without("\"seed\":\"2a\","), "is short of seed"},
              {without(",\"rules\":{\"fall_multiple\":400}"), "is short of settings.rules"},
@@ -176,56 +177,59 @@
              {without("\"max_assignments\":3,"), "is short of settings.caps.max_assignments"},
              {without("\"effect\":\"pure\","), "is short of settings.workloads.0.effect"},
              {without(",\"expiry_us\":900000"), "is short of settings.workloads.0.expiry_us"},
-             {town.with("\"expiry_us\":900000", "\"expiry_us\":0"),
+             {fixture.with("\"expiry_us\":900000", "\"expiry_us\":0"),
               "has a time that cannot be: settings.workloads.0.expiry_us"},
-             {town.with("\"expiry_us\":900000", "\"expiry_us\":-5"), "has a time that cannot be"},
-             {town.with("\"max_assignments\":3", "\"max_assignments\":0"),
+             {fixture.with("\"expiry_us\":900000", "\"expiry_us\":-5"), "has a time that cannot be"},
+             {fixture.with("\"max_assignments\":3", "\"max_assignments\":0"),
               "settings.caps.max_assignments = 0, and a number from 1"},
-             {town.with("\"effect\":\"pure\"", "\"effect\":\"purple\""), "knows an effect that is none"}}) {
-        town.said.str("");
+             {fixture.with("\"effect\":\"pure\"", "\"effect\":\"purple\""),
+              "knows an effect that is none"}}) {
+        fixture.said.str("");
         // Another address of discovery in the same file must not be believed either.
-        const std::string moved = "127.0.0.1:9", at = town.discovery.address();
+        const std::string moved = "127.0.0.1:9", at = fixture.discovery.address();
         std::string file = words;
         if (const auto found = file.find(at); found != std::string::npos)
             file.replace(found, at.size(), moved);
-        town.reload(file);
-        CHECK_MESSAGE(town.said.str().find(why) != std::string::npos, why << ": " << town.said.str());
-        CHECK(town.said.str().find("discovery moves") == std::string::npos);
-        CHECK(town.dispatcher->tally().reloads_turned_down() == ++refused);
+        fixture.reload(file);
+        CHECK_MESSAGE(fixture.said.str().find(why) != std::string::npos, why << ": " << fixture.said.str());
+        CHECK(fixture.said.str().find("discovery moves") == std::string::npos);
+        CHECK(fixture.dispatcher->tally().reloads_turned_down() == ++refused);
     }
-    CHECK(town.dispatcher->tally().reloads_taken() == 0);
-    Wire client = town.client();
-    client.say(Town::post("s"));
-    town.at_runner("s").say(Town::done("s"));
-    CHECK(town.until([&] { return client.has("picture"); }));
+    CHECK(fixture.dispatcher->tally().reloads_taken() == 0);
+    TestConnection client = fixture.client();
+    client.send(DispatcherFixture::post("s"));
+    fixture.at_runner("s").send(DispatcherFixture::done("s"));
+    CHECK(fixture.until([&] { return client.has("picture"); }));
 }
 
 TEST_CASE(
     "a setting that cannot be meant is refused with its name and what was expected, before any of it is "
     "believed") {
-    const Town town;
+    const DispatcherFixture fixture;
     for (const auto& [words, why] : std::vector<std::pair<std::string, std::string>>{
-             {town.with("\"max_assignments\":3", "\"max_assignments\":-1"), "and a number from 1"},
-             {town.with("\"max_assignments\":3", "\"max_assignments\":\"three\""), "is not a number: three"},
-             {town.with("\"resolution_us\":1000", "\"resolution_us\":1e400"), "resolution_us"},
-             {town.with("\"cancelling\":true", "\"cancelling\":\"perhaps\""), "neither true nor false"},
-             {town.with("\"importance\":1", "\"importance\":-2"),
+             {fixture.with("\"max_assignments\":3", "\"max_assignments\":-1"), "and a number from 1"},
+             {fixture.with("\"max_assignments\":3", "\"max_assignments\":\"three\""),
+              "is not a number: three"},
+             {fixture.with("\"resolution_us\":1000", "\"resolution_us\":1e400"), "resolution_us"},
+             {fixture.with("\"cancelling\":true", "\"cancelling\":\"perhaps\""), "neither true nor false"},
+             {fixture.with("\"importance\":1", "\"importance\":-2"),
               "settings.workloads.0.importance = -2, and a number from 0"},
-             {town.with("\"fall_multiple\":400", "\"fall_multiple\":400,\"cold_from\":1.5"),
+             {fixture.with("\"fall_multiple\":400", "\"fall_multiple\":400,\"cold_from\":1.5"),
               "settings.rules.cold_from = 1.5, and a number from 0 to 1"},
-             {town.with("\"importance\":1", "\"importance\":1,\"aim_stretch\":-0.5"),
+             {fixture.with("\"importance\":1", "\"importance\":1,\"aim_stretch\":-0.5"),
               "aim_stretch = -0.5"}}) {
         CHECK_THROWS_WITH_AS(dispatcher::Posting::read(words), doctest::Contains(why.c_str()),
                              std::runtime_error);
     }
-    CHECK_THROWS_WITH_AS(dispatcher::Posting::read(town.with("\"balancers\":1", "\"balancers\":4,\"me\":4")),
-                         doctest::Contains("settings.me = 4"), std::runtime_error);
-    CHECK_THROWS_WITH_AS(dispatcher::Posting::read(town.with("\"balancers\":1", "\"balancers\":0")),
+    CHECK_THROWS_WITH_AS(
+        dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":4,\"me\":4")),
+        doctest::Contains("settings.me = 4"), std::runtime_error);
+    CHECK_THROWS_WITH_AS(dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":0")),
                          doctest::Contains("settings.balancers = 0"), std::runtime_error);
     CHECK_THROWS_WITH_AS(
-        dispatcher::Posting::read(town.with(
+        dispatcher::Posting::read(fixture.with(
             "\"balancers\":1", "\"balancers\":1,\"tenants\":[{\"name\":\"t\",\"allowance_per_s\":-1}]")),
         doctest::Contains("settings.tenants.0.allowance_per_s = -1"), std::runtime_error);
     CHECK_NOTHROW(
-        dispatcher::Posting::read(town.with("\"balancers\":1", "\"balancers\":4,\"unheard_of\":[1,2]")));
+        dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":4,\"unheard_of\":[1,2]")));
 }
--- a/tests/tube_stories.cpp
+++ b/tests/tube_stories.cpp
@@ -12,7 +12,7 @@
                               std::size_t connections = 64) {
     dispatcher::Extras extras;
     extras.tubes.entrances.push_back(
-        {*net::Address::read("127.0.0.1:" + std::to_string(Door(-1).port)), "m", "a"});
+        {*net::Address::read("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
     extras.tubes.connections = connections;
     extras.tubes.trade.cold = false;
     beanstalk::TubePlan plan;
@@ -24,14 +24,16 @@
 
 constexpr const char* kLimits = "\"memory_mb\":64,\"sockets\":256";
 
-Wire tube_client(const Town& t) { return Wire::to(t.dispatcher->pullers()->port()); }
+TestConnection tube_client(const DispatcherFixture& t) {
+    return TestConnection::to(t.dispatcher->pullers()->port());
+}
 
 std::string put(const std::string& body) {
     return "put 1 0 60 " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
 }
 
 // The number in the last RESERVED that came.
-std::string reserved(const Wire& wire) {
+std::string reserved(const TestConnection& wire) {
     const auto at = wire.got.rfind("RESERVED ");
     REQUIRE(at != std::string::npos);
     return wire.got.substr(at + 9, wire.got.find(' ', at + 9) - at - 9);
@@ -40,14 +42,14 @@
 }  // namespace
 
 TEST_CASE("a task handed in over HTTP is served by a worker that asks, and its delete is the client's 200") {
-    Town t(0, "pure", "", kLimits, "on_request", "900000", with_tubes(0, "render"));
-    Wire worker = tube_client(t), client = t.client();
-    worker.say("watch render\r\nreserve\r\n");
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", with_tubes(0, "render"));
+    TestConnection worker = tube_client(t), client = t.client();
+    worker.send("watch render\r\nreserve\r\n");
     REQUIRE(t.until([&] { return worker.has("WATCHING 2"); }));
-    client.say(Town::post("h1"));
+    client.send(DispatcherFixture::post("h1"));
     REQUIRE(t.until([&] { return worker.has("scene\r\n"); }));
     CHECK(client.look().got.empty());
-    worker.say("delete " + reserved(worker) + "\r\n");
+    worker.send("delete " + reserved(worker) + "\r\n");
     REQUIRE(t.until([&] { return client.has("HTTP/1.1 200"); }));
     CHECK(worker.has("DELETED\r\n"));
 }
@@ -56,19 +58,19 @@
     "a worker lost with a task of HTTP: harmless goes on to the next, side-effecting is given up and never "
     "run again") {
     for (const bool harmless : {true, false}) {
-        Town t(0, harmless ? "pure" : "side_effect", "", kLimits, "on_request", "900000",
-               with_tubes(0, "render"));
-        Wire lost = tube_client(t), client = t.client();
-        lost.say("watch render\r\nreserve\r\n");
-        client.say(Town::post("h1"));
+        DispatcherFixture t(0, harmless ? "pure" : "side_effect", "", kLimits, "on_request", "900000",
+                            with_tubes(0, "render"));
+        TestConnection lost = tube_client(t), client = t.client();
+        lost.send("watch render\r\nreserve\r\n");
+        client.send(DispatcherFixture::post("h1"));
         REQUIRE(t.until([&] { return lost.has("scene\r\n"); }));
-        Wire other = tube_client(t);
-        other.say("watch render\r\nreserve\r\n");
+        TestConnection other = tube_client(t);
+        other.send("watch render\r\nreserve\r\n");
         t.pass(20);
         lost.reset();
         if (harmless) {
             REQUIRE(t.until([&] { return other.has("scene\r\n"); }));
-            other.say("delete " + reserved(other) + "\r\n");
+            other.send("delete " + reserved(other) + "\r\n");
             CHECK(t.until([&] { return client.has("HTTP/1.1 200"); }));
         } else {
             CHECK(t.until([&] { return client.has("HTTP/1.1 502"); }));
@@ -81,25 +83,25 @@
 TEST_CASE(
     "a job from a tube is pushed to a runner over HTTP where the operator allows it, and is gone once it is "
     "done") {
-    Town t(1, "pure", "", kLimits, "on_request", "900000", with_tubes(2));
-    Wire producer = tube_client(t);
-    producer.say("use render\r\n" + put("pixels"));
-    Wire& runner = t.at_runner("job-n0-1");
+    DispatcherFixture t(1, "pure", "", kLimits, "on_request", "900000", with_tubes(2));
+    TestConnection producer = tube_client(t);
+    producer.send("use render\r\n" + put("pixels"));
+    TestConnection& runner = t.at_runner("job-n0-1");
     CHECK(runner.has("POST /render/1 HTTP/1.1"));
     CHECK(runner.has("pixels"));
-    producer.say("stats-job 1\r\n");
+    producer.send("stats-job 1\r\n");
     REQUIRE(t.until([&] { return producer.has("state: reserved"); }));
-    producer.say("delete 1\r\n");
+    producer.send("delete 1\r\n");
     REQUIRE(t.until([&] { return producer.has("NOT_FOUND"); }));  // its end is the runner's to say
-    runner.say(Town::done("job-n0-1"));
+    runner.send(DispatcherFixture::done("job-n0-1"));
     producer.got.clear();
     REQUIRE(t.until([&] {
-        producer.say("stats-job 1\r\n");
+        producer.send("stats-job 1\r\n");
         t.pass(10);
         return producer.has("NOT_FOUND");
     }));
     // A runner over HTTP gets nothing of a tube that is not to be pushed.
-    producer.say("use other\r\n" + put("mine"));
+    producer.send("use other\r\n" + put("mine"));
     t.pass(100);
     CHECK_FALSE(runner.has("mine"));
 }
@@ -108,25 +110,25 @@
     dispatcher::Extras extras = with_tubes(2);
     extras.desk.emplace();
     extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    Town t(1, "pure", "", kLimits, "on_request", "900000", extras);
-    Wire producer = tube_client(t);
-    producer.say("use render\r\n" + put("view"));
+    DispatcherFixture t(1, "pure", "", kLimits, "on_request", "900000", extras);
+    TestConnection producer = tube_client(t);
+    producer.send("use render\r\n" + put("view"));
     t.at_runner("job-n0-1").reset();
     REQUIRE(t.until([&] {
         producer.got.clear();
-        producer.say("stats-job 1\r\n");
+        producer.send("stats-job 1\r\n");
         t.pass(10);
         return producer.has("state: buried");
     }));
-    producer.say("kick 5\r\n");
+    producer.send("kick 5\r\n");
     REQUIRE(t.until([&] { return producer.has("KICKED 0"); }));
-    Wire desk = Wire::to_path(extras.desk->path);
-    desk.say(
+    TestConnection desk = TestConnection::to_path(extras.desk->path);
+    desk.send(
         "{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":"
         "\"status\"}\n");
     REQUIRE(t.until([&] { return desk.has("no buried job has that number") && desk.has("\"tubes\""); }));
     const auto second_run = [&] {
-        for (Wire& w : t.doors[0]->guests())
+        for (TestConnection& w : t.runner_listeners[0]->connections())
             if (!w.ended() && w.has("X-Request-ID: job-n0-1\r\n")) return true;
         return false;
     };
@@ -137,42 +139,43 @@
     dispatcher::Extras extras = with_tubes();
     extras.desk.emplace();
     extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    Town t(0, "pure", "", kLimits, "on_request", "900000", extras);
-    Wire producer = tube_client(t), worker = tube_client(t), desk = Wire::to_path(extras.desk->path);
-    producer.say(put("a") + put("b"));
-    worker.say("reserve\r\n");
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", extras);
+    TestConnection producer = tube_client(t), worker = tube_client(t),
+                   desk = TestConnection::to_path(extras.desk->path);
+    producer.send(put("a") + put("b"));
+    worker.send("reserve\r\n");
     REQUIRE(t.until([&] { return worker.has("RESERVED 1"); }));
-    desk.say("{\"v\":1,\"do\":\"drain\",\"deadline_s\":20}\n");
+    desk.send("{\"v\":1,\"do\":\"drain\",\"deadline_s\":20}\n");
     REQUIRE(t.until([&] { return desk.has("\"tasks_left\":1"); }));
     REQUIRE(t.until([&] {
-        producer.say(put("c"));
+        producer.send(put("c"));
         t.pass(20);
         return producer.has("DRAINING\r\n");
     }));
-    worker.say("delete 1\r\n");
+    worker.send("delete 1\r\n");
     REQUIRE(t.until([&] {
-        desk.say("{\"v\":1,\"do\":\"status\"}\n");
+        desk.send("{\"v\":1,\"do\":\"status\"}\n");
         t.pass(20);
         return desk.has("\"phase\":\"drained\"");
     }));
-    desk.say("{\"v\":1,\"do\":\"undrain\"}\n");
+    desk.send("{\"v\":1,\"do\":\"undrain\"}\n");
     t.pass(50);
-    worker.say("reserve\r\n");
+    worker.send("reserve\r\n");
     CHECK(t.until([&] { return worker.has("RESERVED 2"); }));
     producer.got.clear();
-    producer.say(put("d"));
+    producer.send(put("d"));
     CHECK(t.until([&] { return producer.has("INSERTED"); }));
 }
 
 TEST_CASE(
     "at a restart workers in a reserve are let go, what is in hands is honestly ended, and it says what is "
     "lost") {
-    Town t(0, "pure", "", kLimits, "on_request", "900000", with_tubes());
-    Wire producer = tube_client(t), holder = tube_client(t), waiter = tube_client(t);
-    producer.say(put("a") + put("b") + "pause-tube default 60\r\n");
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", with_tubes());
+    TestConnection producer = tube_client(t), holder = tube_client(t), waiter = tube_client(t);
+    producer.send(put("a") + put("b") + "pause-tube default 60\r\n");
     t.pass(20);
-    holder.say("reserve\r\n");
-    waiter.say("reserve\r\n");
+    holder.send("reserve\r\n");
+    waiter.send("reserve\r\n");
     t.pass(20);
     t.dispatcher->leave();
     CHECK(t.until([&] { return waiter.ended() && producer.ended(); }));
@@ -183,51 +186,51 @@
 TEST_CASE(
     "clients who say nothing, half a line, nonsense or too much are ended within 3 s, and nobody else is "
     "harmed") {
-    Town t(0, "pure", "", kLimits, "on_request", "900000", with_tubes(0, "", 32));
-    Wire waiting = tube_client(t), good = tube_client(t);
-    waiting.say("reserve\r\n");
-    good.say("use jobs\r\n");
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", with_tubes(0, "", 32));
+    TestConnection waiting = tube_client(t), good = tube_client(t);
+    waiting.send("reserve\r\n");
+    good.send("use jobs\r\n");
     REQUIRE(t.until([&] { return good.has("USING jobs\r\n"); }));
     // Silent ones beyond all room: the oldest of them go, and whoever has something to say is let in.
-    std::vector<Wire> silent;
+    std::vector<TestConnection> silent;
     for (int i = 0; i < 500; ++i) {
         silent.push_back(tube_client(t));
         t.turn();
     }
-    Wire drip = tube_client(t), nonsense = tube_client(t), endless = tube_client(t),
-         half_body = tube_client(t);
-    nonsense.say("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    half_body.say("list-tubes\r\nput 1 0 1 100\r\nhalf");
+    TestConnection drip = tube_client(t), nonsense = tube_client(t), endless = tube_client(t),
+                   half_body = tube_client(t);
+    nonsense.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    half_body.send("list-tubes\r\nput 1 0 1 100\r\nhalf");
     REQUIRE(t.until([&] { return nonsense.ended(); }));
     CHECK(nonsense.got.starts_with("UNKNOWN_COMMAND\r\n"));
     const Micros begun = net::Loop::now();
     while (net::Loop::now() < begun + 2'800'000) {
-        drip.say("r");
-        endless.say(std::string(4'000, 'z'));
+        drip.send("r");
+        endless.send(std::string(4'000, 'z'));
         t.pass(100);
     }
     CHECK(drip.ended());
     CHECK(endless.ended());
     CHECK(half_body.ended());
-    CHECK(std::all_of(silent.begin(), silent.end(), [](Wire& w) { return w.ended(); }));
+    CHECK(std::all_of(silent.begin(), silent.end(), [](TestConnection& w) { return w.ended(); }));
     // Silence that is meant is no fault.
     CHECK_FALSE(waiting.ended());
     CHECK_FALSE(good.ended());
-    good.say("use default\r\n" + put("for who waits"));
+    good.send("use default\r\n" + put("for who waits"));
     CHECK(t.until([&] { return waiting.has("for who waits"); }));
 }
 
 TEST_CASE(
     "hundreds of commands in one breath are answered in their order, a reserve among them holds up what "
     "follows") {
-    Town t(0, "pure", "", kLimits, "on_request", "900000", with_tubes());
-    Wire one = tube_client(t);
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", with_tubes());
+    TestConnection one = tube_client(t);
     std::string all, wanted;
     for (int i = 1; i <= 400; ++i) all += put("x"), wanted += "INSERTED " + std::to_string(i) + "\r\n";
     for (int i = 1; i <= 400; ++i)
         all += "reserve\r\ndelete " + std::to_string(i) + "\r\n",
             wanted += "RESERVED " + std::to_string(i) + " 1\r\nx\r\nDELETED\r\n";
-    one.say(all + "reserve-with-timeout 0\r\nlist-tube-used\r\n");
+    one.send(all + "reserve-with-timeout 0\r\nlist-tube-used\r\n");
     wanted += "TIMED_OUT\r\nUSING default\r\n";
     CHECK(t.until([&] { return one.look().got.size() >= wanted.size(); }, 10'000));
     CHECK(one.got == wanted);
--- a/tests/upgrade_stories.cpp
+++ b/tests/upgrade_stories.cpp
@@ -12,14 +12,14 @@
 // first.
 struct Platform {
     Platform() {
-        town =
-            std::make_unique<Town>(4, "pure", "", "\"memory_mb\":64,\"sockets\":96", "on_request", "3000000");
+        fixture = std::make_unique<DispatcherFixture>(4, "pure", "", "\"memory_mb\":64,\"sockets\":96",
+                                                      "on_request", "3000000");
     }
     std::unique_ptr<dispatcher::Dispatcher> start(const std::string& text) {
         dispatcher::Posting posting = dispatcher::Posting::read(text);
         posting.inherited = dup(socket);
         posting.heirloom = folder;
-        auto one = std::make_unique<dispatcher::Dispatcher>(town->loop, posting, town->log);
+        auto one = std::make_unique<dispatcher::Dispatcher>(fixture->loop, posting, fixture->log);
         one->end_turn();
         return one;
     }
@@ -34,7 +34,7 @@
         port = ntohs(at.sin_port);
     }
     bool until(const std::function<bool()>& holds, int milliseconds = 3000) {
-        return town->until(
+        return fixture->until(
             [&] {
                 if (elder) elder->end_turn();
                 if (heir) heir->end_turn();
@@ -42,11 +42,11 @@
             },
             milliseconds);
     }
-    Wire& at_runner(const std::string& id) {
-        Wire* at = nullptr;
+    TestConnection& at_runner(const std::string& id) {
+        TestConnection* at = nullptr;
         REQUIRE(until([&] {
-            for (const auto& door : town->doors)
-                for (Wire& w : door->guests())
+            for (const auto& listener : fixture->runner_listeners)
+                for (TestConnection& w : listener->connections())
                     if (w.has("X-Request-ID: " + id + "\r\n")) at = &w;
             return at != nullptr;
         }));
@@ -65,15 +65,15 @@
         folder = name;
     }
     std::string path() const { return folder + "/gannethold-n0"; }
-    bool said(const std::string& words) const { return town->said.str().find(words) != std::string::npos; }
+    bool said(const std::string& words) const { return fixture->said.str().find(words) != std::string::npos; }
     bool healthy() {
-        Wire front = Wire::to(port);
-        front.say("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n");
+        TestConnection front = TestConnection::to(port);
+        front.send("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n");
         until([&] { return front.has("\r\n\r\n"); }, 500);
         return front.got.starts_with("HTTP/1.1 200");
     }
 
-    std::unique_ptr<Town> town;
+    std::unique_ptr<DispatcherFixture> fixture;
     std::string folder;
     int socket = -1;
     std::uint16_t port = 0;
@@ -85,9 +85,9 @@
 TEST_CASE("what was handed down must be a listening socket") {
     Platform p;
     p.begin();
-    dispatcher::Posting posting = dispatcher::Posting::read(p.town->text);
+    dispatcher::Posting posting = dispatcher::Posting::read(p.fixture->text);
     posting.inherited = ::socket(AF_INET, SOCK_STREAM, 0);
-    CHECK_THROWS_WITH(dispatcher::Dispatcher(p.town->loop, posting, p.town->log),
+    CHECK_THROWS_WITH(dispatcher::Dispatcher(p.fixture->loop, posting, p.fixture->log),
                       doctest::Contains("is no listening socket"));
     close(*posting.inherited);
 }
@@ -97,44 +97,44 @@
     "one's") {
     Platform p;
     p.begin();
-    p.elder = p.start(p.town->text);
-    Wire kept = Wire::to(p.port), busy = Wire::to(p.port);
-    kept.say(Town::post("k"));
-    busy.say(Town::post("b", "X-Timeout: 3000m\r\n"));
-    Wire& runs = p.at_runner("b");
-    p.at_runner("k").say(Town::done("k"));
+    p.elder = p.start(p.fixture->text);
+    TestConnection kept = TestConnection::to(p.port), busy = TestConnection::to(p.port);
+    kept.send(DispatcherFixture::post("k"));
+    busy.send(DispatcherFixture::post("b", "X-Timeout: 3000m\r\n"));
+    TestConnection& runs = p.at_runner("b");
+    p.at_runner("k").send(DispatcherFixture::done("k"));
     REQUIRE(p.until([&] { return kept.has("picture"); }));
-    p.heir = p.start(p.town->text);
+    p.heir = p.start(p.fixture->text);
     p.elder->leave();
-    std::vector<Wire> queued;
+    std::vector<TestConnection> queued;
     for (int i = 0; i < 3; ++i) {
-        queued.push_back(Wire::to(p.port));
-        queued.back().say(Town::post("q" + std::to_string(i)));
+        queued.push_back(TestConnection::to(p.port));
+        queued.back().send(DispatcherFixture::post("q" + std::to_string(i)));
     }
     for (int i = 0; i < 3; ++i) {
         const std::string id = "q" + std::to_string(i);
-        p.at_runner(id).say(Town::done(id));
+        p.at_runner(id).send(DispatcherFixture::done(id));
         CHECK(p.until([&] { return queued[static_cast<std::size_t>(i)].has("picture"); }));
         CHECK_FALSE(queued[static_cast<std::size_t>(i)].ended());  // kept by the new one
     }
     CHECK(p.heir->tally().ends().at("render").finished == 3);
     // A kept idle connection is closed, so that its client comes to the new one.
     CHECK(p.until([&] { return kept.ended(); }, 1000));
-    CHECK_FALSE(p.town->loop.stopping());
-    runs.say(Town::done("b", "old"));
+    CHECK_FALSE(p.fixture->loop.stopping());
+    runs.send(DispatcherFixture::done("b", "old"));
     CHECK(p.until([&] { return busy.has("old") && busy.ended(); }));
-    CHECK(p.until([&] { return p.town->loop.stopping(); }, 500));
+    CHECK(p.until([&] { return p.fixture->loop.stopping(); }, 500));
 }
 
 TEST_CASE("a new one that dies before it serves costs the old one nothing") {
     Platform p;
     p.begin();
-    p.elder = p.start(p.town->text);
-    p.heir = p.start(p.town->text);
+    p.elder = p.start(p.fixture->text);
+    p.heir = p.start(p.fixture->text);
     p.heir.reset();
-    Wire client = Wire::to(p.port);
-    client.say(Town::post("c"));
-    p.at_runner("c").say(Town::done("c"));
+    TestConnection client = TestConnection::to(p.port);
+    client.send(DispatcherFixture::post("c"));
+    p.at_runner("c").send(DispatcherFixture::done("c"));
     CHECK(p.until([&] { return client.has("picture"); }));
 }
 
@@ -172,37 +172,37 @@
     Platform p;
     p.begin();
     p.share();
-    p.elder = p.start(p.town->text);
-    Door& discovery = p.town->discovery;
+    p.elder = p.start(p.fixture->text);
+    TestListener& discovery = p.fixture->discovery;
     // The watches of the town's own dispatcher and of the old one; whoever asks later hears nothing.
-    REQUIRE(p.until([&] { return discovery.guests().size() == 2; }));
-    const std::string list = p.town->list(9, "DRAINING", true);
+    REQUIRE(p.until([&] { return discovery.connections().size() == 2; }));
+    const std::string list = p.fixture->list(9, "DRAINING", true);
     const auto second = list.find("{\"id\":\"s-1\"");  // the first drains, the others serve
     std::string rest = list.substr(second);
     for (auto at = rest.find("DRAINING"); at != std::string::npos; at = rest.find("DRAINING"))
         rest.replace(at, 8, "SERVING");
-    for (Wire& watch : discovery.guests())
-        watch.say(Town::taken + Town::chunk(list.substr(0, second) + rest + "\n"));
+    for (TestConnection& watch : discovery.connections())
+        watch.send(DispatcherFixture::taken + DispatcherFixture::chunk(list.substr(0, second) + rest + "\n"));
     p.until([] { return false; }, 50);
-    p.heir = p.start(p.town->text);  // whose configuration says that all serve
+    p.heir = p.start(p.fixture->text);  // whose configuration says that all serve
     REQUIRE(p.until([&] { return p.said("handover: heard what the old dispatcher knows"); }));
     CHECK(p.said("runners goes on"));
     p.elder->leave();
-    std::vector<Wire> clients;
+    std::vector<TestConnection> clients;
     for (int i = 0; i < 3; ++i) {
-        clients.push_back(Wire::to(p.port));
-        clients.back().say(Town::post("d" + std::to_string(i)));
+        clients.push_back(TestConnection::to(p.port));
+        clients.back().send(DispatcherFixture::post("d" + std::to_string(i)));
         p.at_runner("d" + std::to_string(i));
     }
-    for (Wire& wire : p.town->doors[0]->guests()) CHECK_FALSE(wire.has("POST "));
+    for (TestConnection& wire : p.fixture->runner_listeners[0]->connections()) CHECK_FALSE(wire.has("POST "));
     // What the old one hears while both live goes over as well.
-    discovery.guests()[1].say(Town::chunk(list + "\n"));
+    discovery.connections()[1].send(DispatcherFixture::chunk(list + "\n"));
     p.until([] { return false; }, 50);
-    clients.push_back(Wire::to(p.port));
-    clients.back().say(Town::post("late"));
+    clients.push_back(TestConnection::to(p.port));
+    clients.back().send(DispatcherFixture::post("late"));
     p.until([] { return false; }, 50);
-    for (const auto& door : p.town->doors)
-        for (Wire& wire : door->guests()) CHECK_FALSE(wire.has("X-Request-ID: late"));
+    for (const auto& listener : p.fixture->runner_listeners)
+        for (TestConnection& wire : listener->connections()) CHECK_FALSE(wire.has("X-Request-ID: late"));
 }
 
 TEST_CASE("both share the limits as long as both live, whichever goes, and a third finds whoever is left") {
@@ -210,23 +210,23 @@
     p.begin();
     p.share();
     const std::string alone = "0 of this name", beside = "1 of this name";
-    p.elder = p.start(p.town->text);
+    p.elder = p.start(p.fixture->text);
     CHECK(p.healthy());
-    p.heir = p.start(p.town->text);
+    p.heir = p.start(p.fixture->text);
     REQUIRE(p.until([&] { return p.said(beside); }));
-    p.town->said.str("");
+    p.fixture->said.str("");
     p.heir.reset();  // before it was ready, as far as anybody knows
     REQUIRE(p.until([&] { return p.said("the new dispatcher is gone") && p.said(alone); }));
-    p.heir = p.start(p.town->text);
+    p.heir = p.start(p.fixture->text);
     REQUIRE(p.until([&] { return p.said("told a new dispatcher") && p.said(beside); }));
-    p.town->said.str("");
+    p.fixture->said.str("");
     p.elder.reset();  // killed
     REQUIRE(p.until([&] { return p.said("the old dispatcher is gone") && p.said(alone); }));
     CHECK(p.healthy());
     // A second upgrade, from the new one on; in another second, for whose lines the log has room again.
     p.until([] { return false; }, 1000);
     p.elder = std::move(p.heir);
-    p.heir = p.start(p.town->text);
+    p.heir = p.start(p.fixture->text);
     CHECK(p.until([&] { return p.said("heard what the old dispatcher knows"); }));
 }
 
@@ -241,9 +241,9 @@
         p.path().copy(at.sun_path, sizeof at.sun_path - 1);
         REQUIRE(bind(dead, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
         close(dead);
-        p.elder = p.start(p.town->text);
+        p.elder = p.start(p.fixture->text);
         CHECK(p.healthy());
-        p.heir = p.start(p.town->text);
+        p.heir = p.start(p.fixture->text);
         CHECK(p.until([&] { return p.said("heard what the old dispatcher knows"); }));
     }
     SUBCASE("a plain file") {
@@ -251,14 +251,14 @@
         p.begin();
         p.share();
         std::ofstream(p.path()) << "list 5\nhello";
-        p.elder = p.start(p.town->text);
+        p.elder = p.start(p.fixture->text);
         CHECK(p.healthy());
     }
     SUBCASE("no folder at all") {
         Platform p;
         p.begin();
         p.folder = "no/such/folder";
-        p.elder = p.start(p.town->text);
+        p.elder = p.start(p.fixture->text);
         CHECK(p.healthy());
         CHECK(p.said("an upgrade will begin from the configuration"));
         p.folder.clear();
@@ -279,9 +279,9 @@
         p.path().copy(at.sun_path, sizeof at.sun_path - 1);
         REQUIRE(bind(foreign, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
         REQUIRE(listen(foreign, 4) == 0);
-        p.elder = p.start(p.town->text);
-        Wire wire(accept(foreign, nullptr, nullptr));
-        wire.say(words);
+        p.elder = p.start(p.fixture->text);
+        TestConnection wire(accept(foreign, nullptr, nullptr));
+        wire.send(words);
         CHECK(p.until([&] { return p.healthy(); }, 1500));
         close(foreign);
     }
@@ -292,18 +292,18 @@
     p.begin();
     p.share();
     const auto with = [&](const std::string& window) {
-        std::string text = p.town->text;
+        std::string text = p.fixture->text;
         return text.replace(text.find("\"discovery\""), 11, window + "\"discovery\"");
     };
-    p.elder = p.start(with(Town::with_window()));
-    Wire kept = Wire::to(p.port);
-    kept.say(Town::post("k"));
-    p.at_runner("k").say(Town::done("k"));
+    p.elder = p.start(with(DispatcherFixture::with_admin_server()));
+    TestConnection kept = TestConnection::to(p.port);
+    kept.send(DispatcherFixture::post("k"));
+    p.at_runner("k").send(DispatcherFixture::done("k"));
     REQUIRE(p.until([&] { return kept.has("picture"); }));
-    p.heir = p.start(with(Town::with_window()));
+    p.heir = p.start(with(DispatcherFixture::with_admin_server()));
     const auto call = [&](const dispatcher::Dispatcher& at, const std::string& line) {
-        Wire wire = Wire::to(at.window_port());
-        wire.say(line + " HTTP/1.1\r\nHost: n\r\n\r\n");
+        TestConnection wire = TestConnection::to(at.window_port());
+        wire.send(line + " HTTP/1.1\r\nHost: n\r\n\r\n");
         p.until([&] { return wire.ended(); }, 1000);
         return wire.got.substr(0, 12);
     };
@@ -313,9 +313,9 @@
     p.elder->leave();
     CHECK(call(*p.elder, "POST /control/in-service") == "HTTP/1.1 409");
     CHECK(p.until([&] { return kept.ended(); }, 1500));
-    Wire next = Wire::to(p.port);
-    next.say(Town::post("n"));
-    p.at_runner("n").say(Town::done("n"));
+    TestConnection next = TestConnection::to(p.port);
+    next.send(DispatcherFixture::post("n"));
+    p.at_runner("n").send(DispatcherFixture::done("n"));
     CHECK(p.until([&] { return next.has("picture"); }));
-    CHECK(p.until([&] { return p.town->loop.stopping(); }, 4000));
+    CHECK(p.until([&] { return p.fixture->loop.stopping(); }, 4000));
 }
