--- a/rehearsal/day/day.cpp
+++ b/rehearsal/day/day.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <utility>
 
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 
 namespace gannethold::rehearsal {
 namespace {
--- a/rehearsal/main.cpp
+++ b/rehearsal/main.cpp
@@ -15,7 +15,7 @@
 #include "ceiling/keeping.hpp"
 #include "day/day.hpp"
 #include "results/report.hpp"
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 #include "sockets/lane.hpp"
 #include "tubes/bench.hpp"
 #include "tubes/mixed.hpp"
--- a/rehearsal/tests/day_stories.cpp
+++ b/rehearsal/tests/day_stories.cpp
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "results/report.hpp"
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 #include "sockets/child.hpp"
 #include "sockets/lane.hpp"
 #include "virtual/world.hpp"
--- a/src/house/house_rules.cpp
+++ b/src/house/house_rules.cpp
@@ -1,6 +1,6 @@
 #include "house/house_rules.hpp"
 
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 
 namespace gannethold::house {
 namespace {
--- a/src/sheets/sheet.cpp
+++ b/src/toml/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 
 #include <toml++/toml.h>
 
--- a/tests/house_stories.cpp
+++ b/tests/house_stories.cpp
@@ -6,7 +6,7 @@
 
 #include "house/house_rules.hpp"
 #include "json/json.hpp"
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 
 using namespace gannethold;
 using house::HouseRules;
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -15,7 +15,7 @@
 #include "handover/words.hpp"
 #include "house/house_rules.hpp"
 #include "json/json.hpp"
-#include "sheets/sheet.hpp"
+#include "toml/toml_reader.hpp"
 
 using namespace gannethold;
 
