--- a/src/main.cpp
+++ b/src/main.cpp
@@ -13,7 +13,7 @@
 
 #include "control/commands.hpp"
 #include "dispatcher/dispatcher.hpp"
-#include "house/house_rules.hpp"
+#include "operator_settings/operator_settings.hpp"
 #include "snapshot/print_snapshot.hpp"
 #include "standing_orders.hpp"
 
--- a/src/house/house_rules.cpp
+++ b/src/operator_settings/operator_settings.cpp
@@ -1,4 +1,4 @@
-#include "house/house_rules.hpp"
+#include "operator_settings/operator_settings.hpp"
 
 #include "toml/toml_reader.hpp"
 
--- a/tests/house_stories.cpp
+++ b/tests/house_stories.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "house/house_rules.hpp"
+#include "operator_settings/operator_settings.hpp"
 #include "json/json.hpp"
 #include "toml/toml_reader.hpp"
 
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -13,7 +13,7 @@
 
 #include "dispatcher/posting.hpp"
 #include "handover/words.hpp"
-#include "house/house_rules.hpp"
+#include "operator_settings/operator_settings.hpp"
 #include "json/json.hpp"
 #include "toml/toml_reader.hpp"
 
