--- a/rehearsal/day/day.hpp
+++ b/rehearsal/day/day.hpp
@@ -1,5 +1,5 @@
 // A day: what a rehearsal plays, as its TOML file says. Read and checked whole before anything starts; what
-// is wrong is told with the line and the name (sheets::SheetError).
+// is wrong is told with the line and the name (toml::TomlError).
 #pragma once
 
 #include <cstdint>
--- a/rehearsal/main.cpp
+++ b/rehearsal/main.cpp
@@ -51,7 +51,7 @@
     std::vector<std::string> names;
     for (const auto& entry : files::directory_iterator(days_folder()))
         names.push_back(entry.path().stem().string());
-    const std::string near = sheets::near_name(named, names);
+    const std::string near = toml::closest_name(named, names);
     throw options::error("there is no day " + named + (near.empty() ? "" : "; did you mean " + near + "?") +
                          " (gannethold_rehearse list shows them)");
 }
@@ -440,7 +440,7 @@
         std::cerr << "gannethold_rehearse: " << e.what() << "\n\n";
         explain(std::cerr);
         return kUsage;
-    } catch (const sheets::SheetError& e) {
+    } catch (const toml::TomlError& e) {
         std::cerr << "gannethold_rehearse: " << e.what() << '\n';
         return kUsage;
     } catch (const std::exception& e) {
--- a/rehearsal/tests/day_stories.cpp
+++ b/rehearsal/tests/day_stories.cpp
@@ -28,7 +28,7 @@
 std::string wrong(const std::string& text) {
     try {
         read_day(text, "x.toml");
-    } catch (const sheets::SheetError& e) {
+    } catch (const toml::TomlError& e) {
         return e.what();
     }
     return "nothing";
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,6 +19,7 @@
 
 namespace options = boost::program_options;
 using namespace gannethold;
+using operator_settings::OperatorSettings;
 
 namespace {
 
@@ -32,7 +33,7 @@
 
 // What the platform says in the environment beside the configuration. Throws std::runtime_error with one
 // line.
-void heed_environment(dispatcher::Posting& posting) {
+void apply_environment(dispatcher::Posting& posting) {
     if (const char* const at = std::getenv("RELAY_ADMIN"); at && *at && !posting.window) {
         posting.window = net::Address::read(at);
         if (!posting.window) throw std::runtime_error(std::string("RELAY_ADMIN is no address: ") + at);
@@ -48,16 +49,16 @@
     }
 }
 
-void log_warnings(const house::HouseRules& rules, log::Log& log) {
-    for (const std::string& warning : rules.warnings) log.warning(net::Loop::now(), warning);
+void log_warnings(const OperatorSettings& settings, log::Log& log) {
+    for (const std::string& warning : settings.warnings) log.warning(net::Loop::now(), warning);
 }
 
 // Like the platform's configuration: a file that cannot be read changes nothing.
-void reload_house_rules(const std::string& path, log::Log& log) {
+void reload_operator_settings(const std::string& path, log::Log& log) {
     try {
-        const house::HouseRules rules = house::HouseRules::read_file(path);
-        log.use(rules.log_form);
-        log_warnings(rules, log);
+        const OperatorSettings settings = OperatorSettings::read_file(path);
+        log.use(settings.log_form);
+        log_warnings(settings, log);
     } catch (const std::exception& e) {
         log.warning(net::Loop::now(), "reload: ", e.what(), "; the old operators' file stays");
     }
@@ -66,42 +67,44 @@
 int serve(const std::string& path, const std::string& operators_path, log::Level level) {
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);  // before it is ready and once it ends: a reload then has nothing to change
-    const house::HouseRules rules = house::HouseRules::read_file(operators_path);
-    log::Log log(std::cerr, level, rules.log_form);
-    log_warnings(rules, log);
+    const OperatorSettings settings = OperatorSettings::read_file(operators_path);
+    log::Log log(std::cerr, level, settings.log_form);
+    log_warnings(settings, log);
     dispatcher::Posting posting = dispatcher::Posting::read_file(path);
-    heed_environment(posting);
-    dispatcher::must_fit(posting, rules.tubes);
+    apply_environment(posting);
+    dispatcher::must_fit(posting, settings.tubes);
     net::Loop loop(most_blocks(posting));
     dispatcher::Extras extras;
-    if (!rules.control.path.empty()) extras.desk = rules.control;
-    extras.manners = rules.drain;
-    extras.snapshot = rules.snapshot;
-    extras.deduplication = rules.deduplication;
-    extras.tubes = rules.tubes;
-    extras.watched = rules.watch.configuration;
-    extras.watched_every = rules.watch.every, extras.watched_most = rules.watch.most_a_second;
+    if (!settings.control.path.empty()) extras.desk = settings.control;
+    extras.manners = settings.drain;
+    extras.snapshot = settings.snapshot;
+    extras.deduplication = settings.deduplication;
+    extras.tubes = settings.tubes;
+    extras.watched = settings.shadow.configuration;
+    extras.watched_every = settings.shadow.sample_interval;
+    extras.watched_most = settings.shadow.max_cpu_per_second;
     dispatcher::Dispatcher dispatcher(loop, posting, log, extras);
     const net::Signal end(loop, SIGTERM, [&] { dispatcher.leave(); });
     const net::Signal interrupt(loop, SIGINT, [&] { dispatcher.leave(); });
     const net::Signal reload(loop, SIGHUP, [&] {
         dispatcher.reload(path);
-        reload_house_rules(operators_path, log);
+        reload_operator_settings(operators_path, log);
     });
     dispatcher.run();
     return 0;
 }
 
 int check(const std::string& path, const std::string& operators_path, const std::string& in_force) {
-    house::HouseRules rules = house::HouseRules::read_file(operators_path);
-    for (const std::string& warning : rules.warnings) std::cerr << "gannethold: warning: " << warning << '\n';
+    OperatorSettings settings = OperatorSettings::read_file(operators_path);
+    for (const std::string& warning : settings.warnings)
+        std::cerr << "gannethold: warning: " << warning << '\n';
     const dispatcher::Posting posting = dispatcher::Posting::read_file(path);
-    if (!rules.watch.configuration.empty()) dispatcher::Posting::read_file(rules.watch.configuration);
+    if (!settings.shadow.configuration.empty()) dispatcher::Posting::read_file(settings.shadow.configuration);
     if (!in_force.empty()) posting.must_state_all_of(dispatcher::Posting::read_file(in_force));
-    if (!rules.tubes.entrances.empty()) {
-        dispatcher::must_fit(posting, rules.tubes);
+    if (!settings.tubes.entrances.empty()) {
+        dispatcher::must_fit(posting, settings.tubes);
         StatedOrders all = posting.orders;
-        beanstalk::add_workloads(all, rules.tubes.trade);
+        beanstalk::add_workloads(all, settings.tubes.trade);
     }
     const StandingOrders orders(posting.orders);
     std::cout << path << " can be served: " << posting.name << " on " << posting.listen.text
@@ -197,7 +200,7 @@
             if (given.contains("ticket")) errand.ticket = given["ticket"].as<std::uint64_t>();
             if (given.contains("after")) errand.after = given["after"].as<std::uint64_t>();
             if (errand.socket.empty())
-                errand.socket = house::HouseRules::read_file(operators_path).control.path;
+                errand.socket = OperatorSettings::read_file(operators_path).control.path;
             return control::run(errand);
         }
         if (command == "keepsake") {
@@ -210,7 +213,7 @@
             return snapshot::print_snapshot(
                 file,
                 errand.argument == "verify" ? snapshot::PrintDetail::summary : snapshot::PrintDetail::full,
-                house::HouseRules::read_file(operators_path).snapshot.decay, std::cout, std::cerr);
+                OperatorSettings::read_file(operators_path).snapshot.decay, std::cout, std::cerr);
         }
         if (command != "serve" && command != "check")
             throw options::error(command.empty() ? "no command given" : "no such command: " + command);
--- a/src/operator_settings/operator_settings.cpp
+++ b/src/operator_settings/operator_settings.cpp
@@ -1,110 +1,166 @@
 #include "operator_settings/operator_settings.hpp"
 
+#include <utility>
+
 #include "toml/toml_reader.hpp"
 
-namespace gannethold::house {
+namespace gannethold::operator_settings {
 namespace {
 
-beanstalk::TubePlan read_plan(const sheets::Sheet& s) {
-    beanstalk::TubePlan p;
-    p.effect = s.one_of("effect", {"side-effecting", "idempotent"}, p.effect);
-    p.due = static_cast<Micros>(s.number("due_s", 60, 0.001, 30 * 86'400) * 1e6);
-    p.expiry = static_cast<Micros>(s.number("expiry_s", 3'600, 0.01, 30 * 86'400) * 1e6);
-    if (p.expiry < p.due)
-        s.wrong("expiry_s", "is shorter than due_s: everything would be given up before it is late");
-    p.importance = s.number("importance", 1, 0.001, 1e6);
-    p.pushed = static_cast<std::size_t>(s.whole("pushed", 0, 0, 100'000));
-    return p;
-}
-
-beanstalk::Furnishing read_tubes(const sheets::Sheet& s) {
-    beanstalk::Furnishing f;
-    const auto enter = [&](const sheets::Sheet& from, const std::string& name, const std::string& text,
-                           const std::string& kind, const std::string& zone) {
-        const auto at = net::Address::read(text);
-        if (!at) from.wrong(name, "is no address: \"" + text + "\"");
-        f.entrances.push_back({*at, kind, zone});
-    };
-    for (const std::string& text : s.words("listen")) enter(s, "listen", text, "", "");
-    for (const sheets::Sheet& e : s.tables("entrance"))
-        enter(e, "address", e.word("address", ""), e.word("kind", ""), e.word("zone", ""));
-    f.connections = static_cast<std::size_t>(s.whole("connections", 64, 1, 100'000));
-    beanstalk::Trade& t = f.trade;
-    t.longest_body = static_cast<std::size_t>(s.whole("longest_job", 65'535, 1, 64 << 20));
-    t.bounds.jobs = static_cast<std::size_t>(s.whole("most_jobs", 1'000'000, 1, 100'000'000));
-    t.bounds.bytes = static_cast<std::size_t>(s.number("most_mb", 16, 0.01, 1e6) * 1048576);
-    t.other_tubes = static_cast<std::size_t>(s.whole("other_tubes", 16, 0, 200));
-    t.bounds.tubes = 256;
-    t.cold = s.yes("cold", true);
-    t.otherwise = read_plan(s.table("other"));
-    for (const sheets::Sheet& one : s.tables("tube")) {
-        beanstalk::TubePlan p = read_plan(one);
-        p.name = one.word("name", "");
-        p.workload = one.word("workload", "");
-        if (p.name.empty()) one.wrong("name", "is missing: which tube?");
-        if (!p.workload.empty() &&
-            (one.has("effect") || one.has("due_s") || one.has("expiry_s") || one.has("importance")))
-            one.wrong("workload", "says all of effect, times and importance; they cannot stand beside it");
-        t.tubes.push_back(std::move(p));
-    }
-    return f;
+using toml::TomlReader;
+
+constexpr double kMicrosPerSecond = 1e6;
+constexpr double kMicrosPerMs = 1e3;
+constexpr double kMsPerHour = 3.6e6;
+constexpr double kBytesPerMb = 1'048'576;
+constexpr double kSecondsPerDay = 86'400;
+constexpr double kMaxTubeSeconds = 30 * kSecondsPerDay;
+constexpr std::size_t kMaxTubes = 256;
+
+Micros get_seconds(const TomlReader& table, const std::string& name, double default_value, double min,
+                   double max) {
+    return static_cast<Micros>(table.get_number(name, default_value, min, max) * kMicrosPerSecond);
 }
 
-retry::DeduplicationSettings read_deduplication(const sheets::Sheet& table) {
+std::size_t get_size(const TomlReader& table, const std::string& name, std::int64_t default_value,
+                     std::int64_t min, std::int64_t max) {
+    return static_cast<std::size_t>(table.get_integer(name, default_value, min, max));
+}
+
+std::size_t get_megabytes(const TomlReader& table, const std::string& name, double default_value,
+                          double min) {
+    return static_cast<std::size_t>(table.get_number(name, default_value, min, 1e6) * kBytesPerMb);
+}
+
+log::Form read_log_form(const TomlReader& table) {
+    return table.get_one_of("form", {"plain", "json"}, "plain") == "json" ? log::Form::json
+                                                                          : log::Form::plain;
+}
+
+control::Furniture read_control(const TomlReader& table) {
+    control::Furniture settings;
+    settings.path = table.get_string("socket", "");
+    settings.clients = get_size(table, "clients", 8, 1, 64);
+    settings.remembered = get_size(table, "remembered_changes", 1'000, 10, 100'000);
+    return settings;
+}
+
+drain::Manners read_drain(const TomlReader& table) {
+    drain::Manners settings;
+    settings.front_notices = get_seconds(table, "front_notices_s", 2, 0, 600);
+    settings.closing_takes = get_seconds(table, "closing_takes_s", 2, 0, 600);
+    return settings;
+}
+
+retry::DeduplicationSettings read_deduplication(const TomlReader& table) {
     table.accept_old_name("deduplicate", "remember");
     table.accept_old_name("retention_s", "keep_s");
     table.accept_old_name("max_entries", "most");
     table.accept_old_name("max_mb", "most_mb");
     table.accept_old_name("max_result_bytes", "longest_result");
     retry::DeduplicationSettings settings;
-    settings.is_enabled = table.yes("deduplicate", false);
-    settings.matches_by_path = table.yes("by_path", false);
-    settings.retention = static_cast<Micros>(table.number("retention_s", 600, 0.1, 86'400) * 1e6);
-    settings.max_entries = static_cast<std::size_t>(table.whole("max_entries", 10'000, 1, 100'000'000));
-    settings.max_bytes = static_cast<std::size_t>(table.number("max_mb", 4, 0.001, 1e6) * 1048576);
-    settings.max_result_bytes = static_cast<std::size_t>(table.whole("max_result_bytes", 8'192, 0, 1 << 20));
+    settings.is_enabled = table.get_bool("deduplicate", false);
+    settings.matches_by_path = table.get_bool("by_path", false);
+    settings.retention = get_seconds(table, "retention_s", 600, 0.1, kSecondsPerDay);
+    settings.max_entries = get_size(table, "max_entries", 10'000, 1, 100'000'000);
+    settings.max_bytes = get_megabytes(table, "max_mb", 4, 0.001);
+    settings.max_result_bytes = get_size(table, "max_result_bytes", 8'192, 0, 1 << 20);
     return settings;
 }
 
-HouseRules take(const sheets::Sheet& sheet) {
-    HouseRules rules;
-    const sheets::Sheet log = sheet.table("log");
-    rules.log_form =
-        log.one_of("form", {"plain", "json"}, "plain") == "json" ? log::Form::json : log::Form::plain;
-    const sheets::Sheet control = sheet.table("control");
-    rules.control.path = control.word("socket", "");
-    rules.control.clients = static_cast<std::size_t>(control.whole("clients", 8, 1, 64));
-    rules.control.remembered =
-        static_cast<std::size_t>(control.whole("remembered_changes", 1'000, 10, 100'000));
-    const sheets::Sheet drain = sheet.table("drain");
-    rules.drain.front_notices = static_cast<Micros>(drain.number("front_notices_s", 2, 0, 600) * 1e6);
-    rules.drain.closing_takes = static_cast<Micros>(drain.number("closing_takes_s", 2, 0, 600) * 1e6);
-    sheet.accept_old_name("retries", "repeats");
-    rules.deduplication = read_deduplication(sheet.table("retries"));
-    rules.tubes = read_tubes(sheet.table("beanstalk"));
-    sheet.accept_old_name("snapshot", "keepsake");
-    const sheets::Sheet snapshot = sheet.table("snapshot");
-    rules.snapshot.folder = snapshot.word("folder", "");
-    rules.snapshot.interval = static_cast<Micros>(snapshot.number("every_s", 30, 0.1, 86'400) * 1e6);
-    rules.snapshot.decay.half_life_ms =
-        static_cast<std::int64_t>(snapshot.number("half_life_h", 12, 0.001, 24 * 365) * 3.6e6);
-    const sheets::Sheet shadow = sheet.table("shadow");
-    rules.watch.configuration = shadow.word("configuration", "");
-    rules.watch.every = static_cast<int>(shadow.whole("every", 16, 1, 1'000'000));
-    rules.watch.most_a_second = static_cast<Micros>(shadow.number("most_ms_per_s", 2, 0.01, 1'000) * 1e3);
-    sheet.done();
-    rules.warnings = sheet.warnings();
-    return rules;
+beanstalk::TubePlan read_tube_plan(const TomlReader& table) {
+    beanstalk::TubePlan plan;
+    plan.effect = table.get_one_of("effect", {"side-effecting", "idempotent"}, plan.effect);
+    plan.due = get_seconds(table, "due_s", 60, 0.001, kMaxTubeSeconds);
+    plan.expiry = get_seconds(table, "expiry_s", 3'600, 0.01, kMaxTubeSeconds);
+    if (plan.expiry < plan.due)
+        table.reject("expiry_s", "is shorter than due_s: everything would be given up before it is late");
+    plan.importance = table.get_number("importance", 1, 0.001, 1e6);
+    plan.pushed = get_size(table, "pushed", 0, 0, 100'000);
+    return plan;
+}
+
+beanstalk::TubePlan read_tube(const TomlReader& table) {
+    beanstalk::TubePlan plan = read_tube_plan(table);
+    plan.name = table.get_string("name", "");
+    plan.workload = table.get_string("workload", "");
+    if (plan.name.empty()) table.reject("name", "is missing: which tube?");
+    if (!plan.workload.empty() &&
+        (table.has("effect") || table.has("due_s") || table.has("expiry_s") || table.has("importance")))
+        table.reject("workload", "says all of effect, times and importance; they cannot stand beside it");
+    return plan;
+}
+
+net::Address read_address(const TomlReader& table, const std::string& name, const std::string& text) {
+    const auto address = net::Address::read(text);
+    if (!address) table.reject(name, "is no address: \"" + text + "\"");
+    return *address;
+}
+
+beanstalk::Furnishing read_tubes(const TomlReader& table) {
+    beanstalk::Furnishing settings;
+    for (const std::string& text : table.get_strings("listen"))
+        settings.entrances.push_back({read_address(table, "listen", text), "", ""});
+    for (const TomlReader& listener : table.get_tables("entrance")) {
+        const std::string address = listener.get_string("address", "");
+        const std::string kind = listener.get_string("kind", "");
+        const std::string zone = listener.get_string("zone", "");
+        settings.entrances.push_back({read_address(listener, "address", address), kind, zone});
+    }
+    settings.connections = get_size(table, "connections", 64, 1, 100'000);
+    settings.trade.longest_body = get_size(table, "longest_job", 65'535, 1, 64 << 20);
+    settings.trade.bounds.jobs = get_size(table, "most_jobs", 1'000'000, 1, 100'000'000);
+    settings.trade.bounds.bytes = get_megabytes(table, "most_mb", 16, 0.01);
+    settings.trade.bounds.tubes = kMaxTubes;
+    settings.trade.other_tubes = get_size(table, "other_tubes", 16, 0, 200);
+    settings.trade.cold = table.get_bool("cold", true);
+    settings.trade.otherwise = read_tube_plan(table.get_table("other"));
+    for (const TomlReader& tube : table.get_tables("tube")) settings.trade.tubes.push_back(read_tube(tube));
+    return settings;
+}
+
+snapshot::SnapshotSettings read_snapshot(const TomlReader& table) {
+    snapshot::SnapshotSettings settings;
+    settings.folder = table.get_string("folder", "");
+    settings.interval = get_seconds(table, "every_s", 30, 0.1, kSecondsPerDay);
+    settings.decay.half_life_ms =
+        static_cast<std::int64_t>(table.get_number("half_life_h", 12, 0.001, 24 * 365) * kMsPerHour);
+    return settings;
+}
+
+ShadowSettings read_shadow(const TomlReader& table) {
+    ShadowSettings settings;
+    settings.configuration = table.get_string("configuration", "");
+    settings.sample_interval = static_cast<int>(table.get_integer("every", 16, 1, 1'000'000));
+    settings.max_cpu_per_second =
+        static_cast<Micros>(table.get_number("most_ms_per_s", 2, 0.01, 1'000) * kMicrosPerMs);
+    return settings;
+}
+
+OperatorSettings read_settings(const TomlReader& file) {
+    file.accept_old_name("retries", "repeats");
+    file.accept_old_name("snapshot", "keepsake");
+    OperatorSettings settings;
+    settings.log_form = read_log_form(file.get_table("log"));
+    settings.control = read_control(file.get_table("control"));
+    settings.drain = read_drain(file.get_table("drain"));
+    settings.deduplication = read_deduplication(file.get_table("retries"));
+    settings.tubes = read_tubes(file.get_table("beanstalk"));
+    settings.snapshot = read_snapshot(file.get_table("snapshot"));
+    settings.shadow = read_shadow(file.get_table("shadow"));
+    file.reject_unread_names();
+    settings.warnings = file.warnings();
+    return settings;
 }
 
 }  // namespace
 
-HouseRules HouseRules::read_file(const std::string& path) {
-    return path.empty() ? HouseRules{} : take(sheets::Sheet::read_file(path));
+OperatorSettings OperatorSettings::read_file(const std::string& path) {
+    return path.empty() ? OperatorSettings{} : read_settings(TomlReader::read_file(path));
 }
 
-HouseRules HouseRules::read(const std::string& text, const std::string& source) {
-    return take(sheets::Sheet::read(text, source));
+OperatorSettings OperatorSettings::read(const std::string& text, const std::string& source) {
+    return read_settings(TomlReader::read(text, source));
 }
 
-}  // namespace gannethold::house
+}  // namespace gannethold::operator_settings
--- a/src/toml/toml_reader.cpp
+++ b/src/toml/toml_reader.cpp
@@ -7,217 +7,242 @@
 #include <iterator>
 #include <map>
 #include <set>
+#include <sstream>
+#include <utility>
+
+namespace gannethold::toml {
+namespace {
+
+// Levenshtein's distance: how many insertions, deletions and substitutions make one name of the other.
+std::size_t edit_distance(const std::string& from, const std::string& to) {
+    std::vector<std::size_t> row(to.size() + 1);
+    for (std::size_t j = 0; j < row.size(); ++j) row[j] = j;
+    for (std::size_t i = 1; i <= from.size(); ++i) {
+        std::size_t diagonal = std::exchange(row[0], i);
+        for (std::size_t j = 1; j < row.size(); ++j) {
+            const std::size_t substituted = diagonal + (from[i - 1] != to[j - 1] ? 1 : 0);
+            diagonal = row[j];
+            row[j] = std::min({row[j] + 1, row[j - 1] + 1, substituted});
+        }
+    }
+    return row.back();
+}
 
-namespace gannethold::sheets {
+}  // namespace
 
-struct Sheet::Held {
-    std::shared_ptr<const toml::table> root;  // keeps what table points into
-    const toml::table* table = nullptr;       // none: there is no such table in the file
-    std::string source, path;
-    mutable std::set<std::string> asked;
-    mutable std::map<std::string, std::string> old_names;  // that the file has, by the present name
-    std::shared_ptr<std::vector<std::string>> warnings;    // of the file, shared by its tables
-    mutable std::vector<std::shared_ptr<Held>> inner;
+std::string closest_name(const std::string& name, const std::vector<std::string>& known) {
+    std::string closest;
+    std::size_t min_distance = std::max<std::size_t>(2, name.size() / 3) + 1;
+    for (const std::string& candidate : known) {
+        const std::size_t distance = edit_distance(name, candidate);
+        if (distance >= min_distance) continue;
+        min_distance = distance;
+        closest = candidate;
+    }
+    return closest;
+}
 
-    const toml::node* node(const std::string& name) const {
-        asked.insert(name);
-        return table ? table->get(name_in_file(name)) : nullptr;
+struct TomlReader::Table {
+    std::shared_ptr<const ::toml::table> root;           // owns what `nodes` points into
+    const ::toml::table* nodes = nullptr;                // nullptr: the file has no such table
+    std::string source;                                  // the file's name
+    std::string path;                                    // of this table in the file; "" for the root
+    std::shared_ptr<std::vector<std::string>> warnings;  // of the file
+    mutable std::set<std::string> read_names;
+    mutable std::map<std::string, std::string> old_names;  // in the file, by their present name
+    mutable std::vector<std::shared_ptr<Table>> children;  // that were got from this one
+
+    const ::toml::node* find(const std::string& name) const {
+        read_names.insert(name);
+        return nodes ? nodes->get(name_in_file(name)) : nullptr;
     }
     const std::string& name_in_file(const std::string& name) const {
         const auto old_name = old_names.find(name);
         return old_name == old_names.end() ? name : old_name->second;
     }
-    std::string full(const std::string& name) const {
+    std::string full_name(const std::string& name) const {
         return path.empty() ? name_in_file(name) : path + "." + name_in_file(name);
     }
-    std::string located(const toml::node* at, const std::string& what) const {
-        const auto line = at ? at->source().begin.line : table ? table->source().begin.line : 0;
-        return source + ":" + std::to_string(line) + ": " + what;
+    // "file:line: message", by the line of the node, or of this table.
+    std::string with_line(const ::toml::node* node, const std::string& message) const {
+        const ::toml::node* const located = node ? node : nodes;
+        const auto line = located ? located->source().begin.line : 0;
+        return source + ":" + std::to_string(line) + ": " + message;
     }
-    [[noreturn]] void complain(const toml::node* at, const std::string& what) const {
-        throw SheetError(located(at, what));
+    [[noreturn]] void reject(const ::toml::node* node, const std::string& message) const {
+        throw TomlError(with_line(node, message));
     }
-    std::shared_ptr<Held> child(const toml::table* t, const std::string& name) const {
-        auto held = std::make_shared<Held>();
-        held->root = root, held->table = t, held->source = source, held->path = full(name);
-        held->warnings = warnings;
-        inner.push_back(held);
-        return held;
+    std::shared_ptr<Table> add_child(const ::toml::table* child_nodes, const std::string& name) const {
+        auto child = std::make_shared<Table>();
+        child->root = root;
+        child->nodes = child_nodes;
+        child->source = source;
+        child->path = full_name(name);
+        child->warnings = warnings;
+        children.push_back(child);
+        return child;
     }
-    bool is_accepted_old_name(const std::string& name) const {
+    bool is_known(const std::string& name_of_file) const {
+        if (read_names.contains(name_of_file)) return true;
         return std::any_of(old_names.begin(), old_names.end(),
-                           [&](const auto& entry) { return entry.second == name; });
+                           [&](const auto& entry) { return entry.second == name_of_file; });
     }
-    void check_all_asked() const {
-        if (table) {
-            for (const auto& [key, value] : *table) {
+    void reject_unread_names() const {
+        if (nodes) {
+            for (const auto& [key, node] : *nodes) {
                 const std::string name(key.str());
-                if (asked.contains(name) || is_accepted_old_name(name)) continue;
-                const std::string near = near_name(name, {asked.begin(), asked.end()});
-                complain(&value, "no such name: " + full(name) +
-                                     (near.empty() ? "" : "; did you mean " + near + "?"));
+                if (!is_known(name)) reject_unread(node, name);
             }
         }
-        for (const auto& one : inner) one->check_all_asked();
+        for (const auto& child : children) child->reject_unread_names();
     }
-};
-
-std::string near_name(const std::string& name, const std::vector<std::string>& known) {
-    std::string best;
-    std::size_t least = std::max<std::size_t>(2, name.size() / 3) + 1;
-    for (const std::string& other : known) {
-        // Levenshtein's distance, one row at a time.
-        std::vector<std::size_t> row(other.size() + 1);
-        for (std::size_t j = 0; j < row.size(); ++j) row[j] = j;
-        for (std::size_t i = 1; i <= name.size(); ++i) {
-            std::size_t corner = std::exchange(row[0], i);
-            for (std::size_t j = 1; j < row.size(); ++j) {
-                const std::size_t changed = corner + (name[i - 1] != other[j - 1]);
-                corner = row[j];
-                row[j] = std::min({row[j] + 1, row[j - 1] + 1, changed});
-            }
-        }
-        if (row.back() < least) least = row.back(), best = other;
+    [[noreturn]] void reject_unread(const ::toml::node& node, const std::string& name) const {
+        const std::string closest = closest_name(name, {read_names.begin(), read_names.end()});
+        reject(&node, "no such name: " + full_name(name) +
+                          (closest.empty() ? "" : "; did you mean " + closest + "?"));
     }
-    return best;
-}
+    // The elements of an array; nullptr: the name is missing. `elements` says what they should be.
+    const ::toml::array* find_array(const std::string& name, const std::string& elements) const {
+        const ::toml::node* const node = find(name);
+        if (!node) return nullptr;
+        if (!node->is_array()) reject(node, full_name(name) + " is not a list of " + elements);
+        return node->as_array();
+    }
+};
 
-Sheet Sheet::read(const std::string& text, const std::string& source) {
-    auto held = std::make_shared<Held>();
-    held->source = source;
-    held->warnings = std::make_shared<std::vector<std::string>>();
+TomlReader TomlReader::read(const std::string& text, const std::string& source) {
+    auto table = std::make_shared<Table>();
+    table->source = source;
+    table->warnings = std::make_shared<std::vector<std::string>>();
     try {
-        auto root = std::make_shared<toml::table>(toml::parse(text, source));
-        held->root = root;
-        held->table = root.get();
-    } catch (const toml::parse_error& e) {
-        throw SheetError(source + ":" + std::to_string(e.source().begin.line) + ": " +
-                         std::string(e.description()));
-    }
-    return Sheet(std::move(held));
+        table->root = std::make_shared<::toml::table>(::toml::parse(text, source));
+        table->nodes = table->root.get();
+    } catch (const ::toml::parse_error& error) {
+        throw TomlError(source + ":" + std::to_string(error.source().begin.line) + ": " +
+                        std::string(error.description()));
+    }
+    return TomlReader(std::move(table));
 }
 
-Sheet Sheet::read_file(const std::string& path) {
+TomlReader TomlReader::read_file(const std::string& path) {
     std::ifstream file(path);
-    if (!file) throw SheetError(path + ":0: cannot be read");
+    if (!file) throw TomlError(path + ":0: cannot be read");
     return read({std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()}, path);
 }
 
-bool Sheet::has(const std::string& name) const { return held_->node(name) != nullptr; }
+bool TomlReader::has(const std::string& name) const { return table_->find(name) != nullptr; }
 
-double Sheet::number(const std::string& name, double otherwise, double least, double most) const {
-    const toml::node* const node = held_->node(name);
-    if (!node) return otherwise;
+double TomlReader::get_number(const std::string& name, double default_value, double min, double max) const {
+    const ::toml::node* const node = table_->find(name);
+    if (!node) return default_value;
     const auto value = node->value<double>();
-    if (!value || node->is_boolean()) held_->complain(node, held_->full(name) + " is not a number");
-    if (!(*value >= least && *value <= most)) {
-        std::ostringstream range;
-        range << held_->full(name) << " is " << *value << ", it may be from " << least << " to " << most;
-        held_->complain(node, range.str());
+    if (!value || node->is_boolean()) table_->reject(node, table_->full_name(name) + " is not a number");
+    if (!(*value >= min && *value <= max)) {
+        std::ostringstream message;
+        message << table_->full_name(name) << " is " << *value << ", it may be from " << min << " to " << max;
+        table_->reject(node, message.str());
     }
     return *value;
 }
 
-std::int64_t Sheet::whole(const std::string& name, std::int64_t otherwise, std::int64_t least,
-                          std::int64_t most) const {
-    const toml::node* const node = held_->node(name);
-    if (node && !node->is_integer()) held_->complain(node, held_->full(name) + " is not a whole number");
-    return static_cast<std::int64_t>(
-        number(name, static_cast<double>(otherwise), static_cast<double>(least), static_cast<double>(most)));
+std::int64_t TomlReader::get_integer(const std::string& name, std::int64_t default_value, std::int64_t min,
+                                     std::int64_t max) const {
+    const ::toml::node* const node = table_->find(name);
+    if (node && !node->is_integer()) table_->reject(node, table_->full_name(name) + " is not a whole number");
+    return static_cast<std::int64_t>(get_number(name, static_cast<double>(default_value),
+                                                static_cast<double>(min), static_cast<double>(max)));
 }
 
-bool Sheet::yes(const std::string& name, bool otherwise) const {
-    const toml::node* const node = held_->node(name);
-    if (!node) return otherwise;
-    if (!node->is_boolean()) held_->complain(node, held_->full(name) + " is neither true nor false");
-    return *node->value<bool>();
+bool TomlReader::get_bool(const std::string& name, bool default_value) const {
+    const ::toml::node* const node = table_->find(name);
+    if (!node) return default_value;
+    const auto value = node->value<bool>();
+    if (!node->is_boolean() || !value)
+        table_->reject(node, table_->full_name(name) + " is neither true nor false");
+    return *value;
 }
 
-std::string Sheet::word(const std::string& name, const std::string& otherwise) const {
-    const toml::node* const node = held_->node(name);
-    if (!node) return otherwise;
-    if (!node->is_string()) held_->complain(node, held_->full(name) + " is not a text in quotes");
-    return *node->value<std::string>();
+std::string TomlReader::get_string(const std::string& name, const std::string& default_value) const {
+    const ::toml::node* const node = table_->find(name);
+    if (!node) return default_value;
+    auto value = node->value<std::string>();
+    if (!node->is_string() || !value)
+        table_->reject(node, table_->full_name(name) + " is not a text in quotes");
+    return *std::move(value);
 }
 
-std::string Sheet::one_of(const std::string& name, std::initializer_list<const char*> choices,
-                          const std::string& otherwise) const {
-    const std::string said = word(name, otherwise);
-    std::string all;
+std::string TomlReader::get_one_of(const std::string& name, std::initializer_list<const char*> choices,
+                                   const std::string& default_value) const {
+    std::string value = get_string(name, default_value);
+    std::string list;
     for (const char* const choice : choices) {
-        if (said == choice) return said;
-        all += (all.empty() ? "" : ", ") + std::string(choice);
+        if (value == choice) return value;
+        list.append(list.empty() ? "" : ", ").append(choice);
     }
-    wrong(name, "is \"" + said + "\", it may be one of " + all);
+    reject(name, "is \"" + value + "\", it may be one of " + list);
 }
 
-std::vector<std::string> Sheet::words(const std::string& name) const {
-    const toml::node* const node = held_->node(name);
-    std::vector<std::string> all;
-    if (!node) return all;
-    const toml::array* const list = node->as_array();
-    if (!list) held_->complain(node, held_->full(name) + " is not a list of texts");
-    for (const toml::node& one : *list) {
-        if (!one.is_string())
-            held_->complain(&one, held_->full(name) + " holds what is not a text in quotes");
-        all.push_back(*one.value<std::string>());
-    }
-    return all;
+std::vector<std::string> TomlReader::get_strings(const std::string& name) const {
+    std::vector<std::string> values;
+    const ::toml::array* const array = table_->find_array(name, "texts");
+    if (!array) return values;
+    for (const ::toml::node& element : *array) {
+        const auto value = element.value<std::string>();
+        if (!element.is_string() || !value)
+            table_->reject(&element, table_->full_name(name) + " holds what is not a text in quotes");
+        values.push_back(*value);
+    }
+    return values;
 }
 
-std::vector<double> Sheet::numbers(const std::string& name, double least, double most) const {
-    const toml::node* const node = held_->node(name);
-    std::vector<double> all;
-    if (!node) return all;
-    const toml::array* const list = node->as_array();
-    if (!list) held_->complain(node, held_->full(name) + " is not a list of numbers");
-    for (const toml::node& one : *list) {
-        const auto value = one.value<double>();
-        if (!value || !(*value >= least && *value <= most))
-            held_->complain(&one, held_->full(name) + " holds what is not a number in its bounds");
-        all.push_back(*value);
-    }
-    return all;
+std::vector<double> TomlReader::get_numbers(const std::string& name, double min, double max) const {
+    std::vector<double> values;
+    const ::toml::array* const array = table_->find_array(name, "numbers");
+    if (!array) return values;
+    for (const ::toml::node& element : *array) {
+        const auto value = element.value<double>();
+        if (!value || !(*value >= min && *value <= max))
+            table_->reject(&element, table_->full_name(name) + " holds what is not a number in its bounds");
+        values.push_back(*value);
+    }
+    return values;
 }
 
-Sheet Sheet::table(const std::string& name) const {
-    const toml::node* const node = held_->node(name);
-    if (node && !node->is_table()) held_->complain(node, held_->full(name) + " is not a table");
-    return Sheet(held_->child(node ? node->as_table() : nullptr, name));
+TomlReader TomlReader::get_table(const std::string& name) const {
+    const ::toml::node* const node = table_->find(name);
+    if (node && !node->is_table()) table_->reject(node, table_->full_name(name) + " is not a table");
+    return TomlReader(table_->add_child(node ? node->as_table() : nullptr, name));
 }
 
-std::vector<Sheet> Sheet::tables(const std::string& name) const {
-    const toml::node* const node = held_->node(name);
-    std::vector<Sheet> all;
-    if (!node) return all;
-    const toml::array* const list = node->as_array();
-    if (!list)
-        held_->complain(node, held_->full(name) + " is not a list of tables, [[" + held_->full(name) + "]]");
-    for (const toml::node& one : *list) {
-        if (!one.is_table()) held_->complain(&one, held_->full(name) + " holds what is not a table");
-        all.push_back(Sheet(held_->child(one.as_table(), name)));
-    }
-    return all;
+std::vector<TomlReader> TomlReader::get_tables(const std::string& name) const {
+    std::vector<TomlReader> tables;
+    const ::toml::array* const array =
+        table_->find_array(name, "tables, [[" + table_->full_name(name) + "]]");
+    if (!array) return tables;
+    for (const ::toml::node& element : *array) {
+        if (!element.is_table())
+            table_->reject(&element, table_->full_name(name) + " holds what is not a table");
+        tables.push_back(TomlReader(table_->add_child(element.as_table(), name)));
+    }
+    return tables;
 }
 
-void Sheet::accept_old_name(const std::string& name, const std::string& old_name) const {
-    const toml::node* const old_node = held_->table ? held_->table->get(old_name) : nullptr;
+void TomlReader::accept_old_name(const std::string& name, const std::string& old_name) const {
+    const ::toml::node* const old_node = table_->nodes ? table_->nodes->get(old_name) : nullptr;
     if (!old_node) return;
-    const std::string old_full = held_->full(old_name);
-    if (held_->table->get(name))
-        held_->complain(old_node, old_full + " is the old name of " + held_->full(name) +
-                                      ", which stands here too: take one out");
-    held_->warnings->push_back(held_->located(
-        old_node, old_full + " is the old name of " + held_->full(name) + ", and is still read"));
-    held_->old_names[name] = old_name;
+    const std::string message =
+        table_->full_name(old_name) + " is the old name of " + table_->full_name(name);
+    if (table_->nodes->get(name)) table_->reject(old_node, message + ", which stands here too: take one out");
+    table_->warnings->push_back(table_->with_line(old_node, message + ", and is still read"));
+    table_->old_names[name] = old_name;
 }
 
-const std::vector<std::string>& Sheet::warnings() const { return *held_->warnings; }
+const std::vector<std::string>& TomlReader::warnings() const { return *table_->warnings; }
 
-void Sheet::done() const { held_->check_all_asked(); }
+void TomlReader::reject_unread_names() const { table_->reject_unread_names(); }
 
-void Sheet::wrong(const std::string& name, const std::string& why) const {
-    held_->complain(held_->node(name), held_->full(name) + " " + why);
+void TomlReader::reject(const std::string& name, const std::string& reason) const {
+    table_->reject(table_->find(name), table_->full_name(name) + " " + reason);
 }
 
-}  // namespace gannethold::sheets
+}  // namespace gannethold::toml
--- a/src/toml/toml_reader.hpp
+++ b/src/toml/toml_reader.hpp
@@ -1,13 +1,13 @@
-// A TOML file as its readers need it: each asks for the names that it knows, with the bounds that it accepts,
-// and what is wrong is told with file, line and name. Names that nobody asked for are refused with a near
-// one, against a setting that is misspelt and silently does nothing.
+// Reads a TOML file by the names that its owner knows, each with its bounds. Errors say file, line and name.
+// Names that nobody read are rejected with a similar one, so that no misspelt setting is silently without
+// effect.
 //
-//   Sheet sheet = Sheet::read_file("operator.toml");
-//   auto log = sheet.table("log");
-//   form = log.one_of("form", {"plain", "json"}, "plain");
-//   sheet.done();    // throws if anything in it, or in its tables, was never asked for
+//   const TomlReader file = TomlReader::read_file("operator.toml");
+//   const TomlReader log = file.get_table("log");
+//   form = log.get_one_of("form", {"plain", "json"}, "plain");
+//   file.reject_unread_names();
 //
-// Errors: every call may throw SheetError, whose text is one line, "file:line: what is wrong".
+// Every function may throw TomlError. Not thread-safe: reading a name also marks it as known.
 #pragma once
 
 #include <cstdint>
@@ -17,49 +17,59 @@
 #include <string>
 #include <vector>
 
-namespace gannethold::sheets {
+namespace gannethold::toml {
 
-class SheetError : public std::runtime_error {
+// One line, "file:line: what is wrong".
+class TomlError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-class Sheet {
+// One table of a file, which keeps the whole file in memory. Copies read the same table.
+class TomlReader {
   public:
-    static Sheet read_file(const std::string& path);
-    static Sheet read(const std::string& text, const std::string& source);
+    static TomlReader read_file(const std::string& path);
+    static TomlReader read(const std::string& text,
+                           const std::string& source);  // source: the file's name in errors
 
     bool has(const std::string& name) const;
-    double number(const std::string& name, double otherwise, double least, double most) const;
-    std::int64_t whole(const std::string& name, std::int64_t otherwise, std::int64_t least,
-                       std::int64_t most) const;
-    bool yes(const std::string& name, bool otherwise) const;
-    std::string word(const std::string& name, const std::string& otherwise) const;
-    std::string one_of(const std::string& name, std::initializer_list<const char*> choices,
-                       const std::string& otherwise) const;
-    std::vector<std::string> words(const std::string& name) const;
-    std::vector<double> numbers(const std::string& name, double least, double most) const;
-    Sheet table(const std::string& name) const;                // empty where there is none
-    std::vector<Sheet> tables(const std::string& name) const;  // of a [[list]]
 
-    // Reads `name` from `old_name` where the file has that still, with one of warnings(). A file with both is
-    // refused. Call it before the name is read; the old one is then the one in messages.
+    // Each of these returns the default where the name is missing, and throws where its value has another
+    // type or is out of bounds.
+    double get_number(const std::string& name, double default_value, double min, double max) const;
+    std::int64_t get_integer(const std::string& name, std::int64_t default_value, std::int64_t min,
+                             std::int64_t max) const;
+    bool get_bool(const std::string& name, bool default_value) const;
+    std::string get_string(const std::string& name, const std::string& default_value) const;
+    std::string get_one_of(const std::string& name, std::initializer_list<const char*> choices,
+                           const std::string& default_value) const;
+
+    // Empty where the name is missing.
+    std::vector<std::string> get_strings(const std::string& name) const;
+    std::vector<double> get_numbers(const std::string& name, double min, double max) const;
+    TomlReader get_table(const std::string& name) const;
+    std::vector<TomlReader> get_tables(const std::string& name) const;  // of a [[name]]
+
+    // Reads `name` from `old_name` where the file still has that, with one of warnings(). A table with both
+    // is rejected. REQUIRES: `name` has not been read yet. Errors then speak of the old name.
     void accept_old_name(const std::string& name, const std::string& old_name) const;
-    // One line for each old name in the file, "file:line: ...", of all its tables.
+    // One line for each old name in the file, "file:line: ...", of all its tables that were read.
     const std::vector<std::string>& warnings() const;
 
-    void done() const;
+    // Throws if a name in this table, or in any table that was got from it, was never read.
+    void reject_unread_names() const;
     // For what only the reader can judge: throws with the line of that name, or of the table.
-    [[noreturn]] void wrong(const std::string& name, const std::string& why) const;
-
-    struct Held;  // the parser's own; nobody else needs it
+    [[noreturn]] void reject(const std::string& name, const std::string& reason) const;
 
   private:
-    explicit Sheet(std::shared_ptr<Held> held) : held_(std::move(held)) {}
-    std::shared_ptr<Held> held_;
+    struct Table;  // of the TOML library, which is not included here
+
+    explicit TomlReader(std::shared_ptr<Table> table) : table_(std::move(table)) {}
+
+    std::shared_ptr<Table> table_;
 };
 
-// The closest of the names, if it is close enough to be a misspelling; else empty.
-std::string near_name(const std::string& name, const std::vector<std::string>& known);
+// The most similar of the names, if it is similar enough to be a misspelling; else "".
+std::string closest_name(const std::string& name, const std::vector<std::string>& known);
 
-}  // namespace gannethold::sheets
+}  // namespace gannethold::toml
--- a/tests/recorded/kept_stories.cpp
+++ b/tests/recorded/kept_stories.cpp
@@ -47,8 +47,8 @@
 
 std::string refusal_of_operators_file(const std::string& text) {
     try {
-        house::HouseRules::read(text, "operator.toml");
-    } catch (const sheets::SheetError& e) {
+        operator_settings::OperatorSettings::read(text, "operator.toml");
+    } catch (const toml::TomlError& e) {
         return e.what();
     }
     return "";
@@ -168,13 +168,14 @@
     CHECK(refusal_of_operators_file(text) == "");
     const std::string all = uncommented(text);
     CHECK(refusal_of_operators_file(all) == "");
-    const house::HouseRules rules = house::HouseRules::read(all, "operator.toml");
-    CHECK(rules.control.path == "/run/gannethold/control.sock");
-    CHECK(rules.warnings.empty());
-    CHECK(rules.snapshot.folder == "/var/lib/gannethold");
-    CHECK(rules.tubes.entrances.size() == 1);
-    CHECK(rules.tubes.trade.tubes.size() == 1);
-    CHECK(rules.watch.configuration == "/etc/gannethold/next.json");
+    const operator_settings::OperatorSettings settings =
+        operator_settings::OperatorSettings::read(all, "operator.toml");
+    CHECK(settings.control.path == "/run/gannethold/control.sock");
+    CHECK(settings.warnings.empty());
+    CHECK(settings.snapshot.folder == "/var/lib/gannethold");
+    CHECK(settings.tubes.entrances.size() == 1);
+    CHECK(settings.tubes.trade.tubes.size() == 1);
+    CHECK(settings.shadow.configuration == "/etc/gannethold/next.json");
 }
 
 TEST_CASE("every name of the operators' file is read: of another kind it is refused by its name") {
