--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -19,7 +19,7 @@
 #include "control/desk.hpp"
 #include "dispatcher/posting.hpp"
 #include "drain/drain.hpp"
-#include "figures/tally.hpp"
+#include "metrics/counters.hpp"
 #include "handover/passage.hpp"
 #include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
--- a/src/figures/tally.cpp
+++ b/src/metrics/counters.cpp
@@ -1,4 +1,4 @@
-#include "figures/tally.hpp"
+#include "metrics/counters.hpp"
 
 namespace gannethold::figures {
 
--- a/src/window/words.hpp
+++ b/src/window/words.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <variant>
 
-#include "figures/tally.hpp"
+#include "metrics/counters.hpp"
 #include "http/reader.hpp"
 
 namespace gannethold::window {
