--- a/src/window/words.cpp
+++ b/src/admin/admin_requests.cpp
@@ -1,4 +1,4 @@
-#include "window/words.hpp"
+#include "admin/admin_requests.hpp"
 
 #include <array>
 #include <cstdint>
--- a/src/window/window.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "window/window.hpp"
+#include "admin/admin_server.hpp"
 
 #include <utility>
 
--- a/src/window/window.hpp
+++ b/src/admin/admin_server.hpp
@@ -11,7 +11,7 @@
 #include "log/log.hpp"
 #include "net/connection.hpp"
 #include "net/listener.hpp"
-#include "window/words.hpp"
+#include "admin/admin_requests.hpp"
 
 namespace gannethold::window {
 
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -31,7 +31,7 @@
 #include "runners/links.hpp"
 #include "shadow/shadow.hpp"
 #include "retry/execution_log.hpp"
-#include "window/window.hpp"
+#include "admin/admin_server.hpp"
 
 namespace gannethold::dispatcher {
 
--- a/tests/window_stories.cpp
+++ b/tests/window_stories.cpp
@@ -1,6 +1,6 @@
 // What operators' programs call, and clients sent away and back: on sockets, against scripted peers.
 #include "helpers.hpp"
-#include "window/words.hpp"
+#include "admin/admin_requests.hpp"
 
 using namespace gannethold;
 
