--- a/src/admin/admin_requests.cpp
+++ b/src/admin/admin_requests.cpp
@@ -2,63 +2,79 @@
 
 #include <array>
 #include <cstdint>
+#include <string_view>
 
-namespace gannethold::window {
+namespace gannethold::admin {
 namespace {
 
-struct Spelled {
-    std::string_view method, path;
-    Call call;
+struct Route {
+    std::string_view method;
+    std::string_view path;
+    AdminRequest request;
 };
-constexpr std::array<Spelled, 4> kCalls{{{"GET", "/control/ready", Call::ready},
-                                         {"GET", "/control/counters", Call::figures},
-                                         {"POST", "/control/out-of-service", Call::send_away},
-                                         {"POST", "/control/in-service", Call::take_again}}};
-constexpr std::string_view kBefore = "app_";
+constexpr std::array<Route, 4> kRoutes{
+    {{"GET", "/control/ready", AdminRequest::get_readiness},
+     {"GET", "/control/counters", AdminRequest::get_metrics},
+     {"POST", "/control/out-of-service", AdminRequest::take_out_of_service},
+     {"POST", "/control/in-service", AdminRequest::return_to_service}}};
+constexpr std::string_view kMetricPrefix = "app_";
 
-// Against a name that would end its quotes or its line, and with it the figures behind it.
-std::string quoted(std::string_view name) {
-    std::string out = "\"";
-    for (const char c : name) {
-        if (c == '\\' || c == '"') out += '\\';
-        c == '\n' ? out += "\\n" : out += c;
+// Escaped, since a quote or a line's end in a label would end it, and with it the metrics behind it.
+std::string quoted_label(std::string_view label) {
+    std::string quoted = "\"";
+    for (const char c : label) {
+        if (c == '\\' || c == '"') quoted += '\\';
+        if (c == '\n')
+            quoted += "\\n";
+        else
+            quoted += c;
     }
-    return out + "\"";
+    return quoted + "\"";
 }
 
-void line(std::string& out, std::string_view name, std::uint64_t value, std::string_view workload = {}) {
-    out.append(kBefore).append(name);
-    if (!workload.empty()) out.append("{service=").append(quoted(workload)).append("}");
+void append_value(std::string& out, std::uint64_t value) {
     out.append(" ").append(std::to_string(value)).append("\n");
 }
 
+void append_metric(std::string& out, std::string_view name, std::uint64_t value) {
+    out.append(kMetricPrefix).append(name);
+    append_value(out, value);
+}
+
+void append_metric_of_workload(std::string& out, std::string_view name, const std::string& workload,
+                               std::uint64_t value) {
+    out.append(kMetricPrefix).append(name);
+    if (!workload.empty()) out.append("{service=").append(quoted_label(workload)).append("}");
+    append_value(out, value);
+}
+
 }  // namespace
 
-std::variant<Call, Reply> read_call(const http::Head& head) {
-    bool known = false;
-    for (const Spelled& one : kCalls) {
-        if (one.path != head.path()) continue;
-        if (one.method == head.method) return one.call;
-        known = true;
+std::variant<AdminRequest, AdminResponse> parse_request(const http::Head& head) {
+    bool is_known_path = false;
+    for (const Route& route : kRoutes) {
+        if (route.path != head.path()) continue;
+        if (route.method == head.method) return route.request;
+        is_known_path = true;
     }
-    if (known) return Reply{405, "not by this method\n"};
-    return Reply{404, "no such call\n"};
+    if (is_known_path) return AdminResponse{405, "not by this method\n"};
+    return AdminResponse{404, "no such call\n"};
 }
 
-std::string spell(const figures::Tally& tally, const figures::Present& present) {
+std::string format_metrics(const metrics::Counters& counters, const metrics::Gauges& gauges) {
     std::string out;
-    for (const auto& [workload, ends] : tally.ends()) {
-        line(out, "succeeded_total", ends.finished, workload);
-        line(out, "declined_total", ends.bounced, workload);
-        line(out, "aborted_total", ends.abandoned, workload);
+    for (const auto& [workload, counts] : counters.answers_by_workload()) {
+        append_metric_of_workload(out, "succeeded_total", workload, counts.finished);
+        append_metric_of_workload(out, "declined_total", workload, counts.rejected);
+        append_metric_of_workload(out, "aborted_total", workload, counts.abandoned);
     }
-    line(out, "forwards_total", tally.written());
-    line(out, "outstanding", present.outstanding);
-    line(out, "discovered", present.listed);
-    line(out, "ejected", present.avoided);
-    line(out, "sighup_applied_total", tally.reloads_taken());
-    line(out, "sighup_rejected_total", tally.reloads_turned_down());
+    append_metric(out, "forwards_total", counters.assignments_written());
+    append_metric(out, "outstanding", gauges.outstanding_tasks);
+    append_metric(out, "discovered", gauges.listed_runners);
+    append_metric(out, "ejected", gauges.ejected_runners);
+    append_metric(out, "sighup_applied_total", counters.reloads_applied());
+    append_metric(out, "sighup_rejected_total", counters.reloads_rejected());
     return out;
 }
 
-}  // namespace gannethold::window
+}  // namespace gannethold::admin
--- a/src/admin/admin_requests.hpp
+++ b/src/admin/admin_requests.hpp
@@ -1,28 +1,29 @@
-// What operators' programs say at the window and how they are answered; the platform's names end here. No
-// I/O.
+// The requests of operators' programs at the admin address and their responses. The platform's names for them
+// end here. No I/O.
 #pragma once
 
 #include <string>
-#include <string_view>
 #include <variant>
 
-#include "metrics/counters.hpp"
 #include "http/reader.hpp"
+#include "metrics/counters.hpp"
 
-namespace gannethold::window {
+namespace gannethold::admin {
 
-enum class Call { ready, figures, send_away, take_again };
+enum class AdminRequest { get_readiness, get_metrics, take_out_of_service, return_to_service };
 
-struct Reply {
+struct AdminResponse {
     int status = 200;
     std::string body;
-    std::string form = "text/plain; charset=utf-8";
+    std::string content_type = "text/plain; charset=utf-8";
 };
 
-// The call that a head makes, or why it is none: 404 for a path that is not known, 405 for another method.
-std::variant<Call, Reply> read_call(const http::Head& head);
+// The request that a head makes, or the response to one that is none: 404 for an unknown path, 405 for
+// another method.
+std::variant<AdminRequest, AdminResponse> parse_request(const http::Head& head);
 
-// The figures, one a line: a name, the workload in braces where it goes by workload, and the value.
-std::string spell(const figures::Tally& tally, const figures::Present& present);
+// In the text format of Prometheus, one metric a line: its name, the workload as label where it has one, its
+// value.
+std::string format_metrics(const metrics::Counters& counters, const metrics::Gauges& gauges);
 
-}  // namespace gannethold::window
+}  // namespace gannethold::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,120 +1,144 @@
 #include "admin/admin_server.hpp"
 
+#include <iterator>
+#include <string_view>
 #include <utility>
+#include <variant>
 
+#include "http/reader.hpp"
 #include "http/writer.hpp"
 
-namespace gannethold::window {
+namespace gannethold::admin {
 namespace {
 
-constexpr Micros kPatience = 2'000'000;  // for a call to come whole, from the connect on
-constexpr std::size_t kLongestBody = 64 * 1024;
+constexpr Micros kRequestTimeout = 2'000'000;  // from the connect to the end of the request
+constexpr std::size_t kMaxBodyBytes = 65'536;
 
 }  // namespace
 
-class Window::Caller final : public net::Connection::Owner {
+class AdminServer::Session final : public net::Connection::Owner {
   public:
-    Caller(Window& window, evutil_socket_t socket)
-        : window_(window),
-          reader_(http::Kind::request, window.loop_.blocks()),
-          limit_(window.loop_,
-                 [this] {
-                     say({408, "the call came no further\n"});
-                 }),
-          connection_(window.loop_, *this, socket) {
-        limit_.set(net::Loop::now() + kPatience);
+    Session(AdminServer& server, evutil_socket_t socket)
+        : server_(server),
+          reader_(http::Kind::request, server.loop_.blocks()),
+          timeout_(server.loop_,
+                   [this] {
+                       respond({408, "the call came no further\n"});
+                   }),
+          connection_(server.loop_, *this, socket) {
+        timeout_.set(net::Loop::now() + kRequestTimeout);
     }
+    ~Session() = default;
+    Session(const Session&) = delete;
+    Session& operator=(const Session&) = delete;
 
-    void end() {
-        if (std::exchange(over_, true)) return;
-        limit_.cancel();
+    void close() {
+        if (std::exchange(is_closed_, true)) return;
+        timeout_.cancel();
         connection_.close();
         reader_.restart();
-        window_.ended_.push_back(this);
+        server_.ended_sessions_.push_back(this);
     }
-    bool over() const { return over_; }
-    bool told() const { return answered_ && !connection_.unsent(); }
-    bool asks() const { return !answered_; }
+    bool is_closed() const { return is_closed_; }
+    bool has_responded() const { return has_responded_; }
+    // Only the closing of the connection is left.
+    bool is_response_sent() const { return has_responded_ && !connection_.unsent(); }
 
-    Callers::iterator place;
+    Sessions::iterator position;  // in the server's list
 
   private:
+    // ---- net::Connection::Owner ----
     void bytes(std::string_view bytes) override {
-        while (!answered_ && !over_) {
-            switch (reader_.read(bytes)) {
-                case http::Found::nothing:
-                    return;
-                case http::Found::head: {
-                    auto call = read_call(reader_.head());
-                    if (const Reply* const none = std::get_if<Reply>(&call)) return say(*none);
-                    call_ = std::get<Call>(call);
-                    break;
-                }
-                case http::Found::body:
-                    body_ += reader_.piece().size();
-                    if (body_ > kLongestBody) return say({413, "no call is so long\n"});
-                    break;
-                case http::Found::end:
-                    // Only now: half a call is none, whatever it would have asked for.
-                    return say(window_.clerk_.heed(call_));
-                case http::Found::fault:
-                    return say(
-                        {reader_.fault() == http::Fault::out_of_blocks ? 503 : 400, "this cannot be read\n"});
-            }
+        while (!has_responded_ && !is_closed_) {
+            const http::Found found = reader_.read(bytes);
+            if (found == http::Found::nothing) return;
+            on_found(found);
         }
     }
-    void ended(net::Ending) override { end(); }
-
-    void say(const Reply& reply) {
-        if (answered_ || over_) return;
-        answered_ = true;
-        limit_.cancel();
-        auto head = http::Writer::answer(reply.status);
-        head.field("Content-Type", reply.form).field("Connection", "close").length(reply.body.size());
-        net::Blocks out(window_.loop_.blocks());
+    void ended(net::Ending) override { close(); }
+
+    void on_found(http::Found found) {
+        switch (found) {
+            case http::Found::nothing:
+                return;
+            case http::Found::head:
+                return on_head(parse_request(reader_.head()));
+            case http::Found::body:
+                body_bytes_ += reader_.piece().size();
+                if (body_bytes_ > kMaxBodyBytes) respond({413, "no call is so long\n"});
+                return;
+            case http::Found::end:
+                // Not before: half a request is none, whatever its head asks for.
+                return respond(server_.handler_.on_admin_request(request_));
+            case http::Found::fault:
+                const bool is_overloaded = reader_.fault() == http::Fault::out_of_blocks;
+                return respond({is_overloaded ? 503 : 400, "this cannot be read\n"});
+        }
+    }
+
+    void on_head(const std::variant<AdminRequest, AdminResponse>& parsed) {
+        if (const auto* const error = std::get_if<AdminResponse>(&parsed)) return respond(*error);
+        request_ = std::get<AdminRequest>(parsed);
+    }
+
+    void respond(const AdminResponse& response) {
+        if (has_responded_ || is_closed_) return;
+        has_responded_ = true;
+        timeout_.cancel();
+        auto head = http::Writer::answer(response.status);
+        head.field("Content-Type", response.content_type)
+            .field("Connection", "close")
+            .length(response.body.size());
+        net::Blocks out(server_.loop_.blocks());
         reader_.restart();
-        if (!out.append(head.head()) || !out.append(reply.body)) return end();
+        if (!out.append(head.head()) || !out.append(response.body)) return close();
         connection_.write(std::move(out));
         connection_.finish();
     }
 
-    Window& window_;
+    AdminServer& server_;
     http::Reader reader_;
-    net::Timer limit_;
-    Call call_{};
-    std::size_t body_ = 0;
-    bool answered_ = false, over_ = false;
+    net::Timer timeout_;
+    AdminRequest request_{};
+    std::size_t body_bytes_ = 0;
+    bool has_responded_ = false;
+    bool is_closed_ = false;
     net::Connection connection_;
 };
 
-Window::Window(net::Loop& loop, const net::Address& at, Clerk& clerk, log::Log& log)
+AdminServer::AdminServer(net::Loop& loop, const net::Address& address, AdminHandler& handler, log::Log& log)
     : loop_(loop),
-      clerk_(clerk),
+      handler_(handler),
       log_(log),
       listener_(
-          loop, at, [this](evutil_socket_t socket) { accept(socket); }, [this] { make_room(); }) {}
+          loop, address, [this](evutil_socket_t socket) { on_accept(socket); },
+          [this] { close_one_session(); }) {}
+
+AdminServer::~AdminServer() = default;
 
-Window::~Window() = default;
+void AdminServer::on_accept(evutil_socket_t socket) {
+    if (session_count() >= kMaxSessions) close_one_session();
+    sessions_.push_back(std::make_unique<Session>(*this, socket));
+    sessions_.back()->position = std::prev(sessions_.end());
+}
 
-void Window::accept(evutil_socket_t socket) {
-    if (callers() >= kMostCallers) make_room();
-    callers_.push_back(std::make_unique<Caller>(*this, socket));
-    callers_.back()->place = std::prev(callers_.end());
+// Makes place for another: of the sessions that only have to close the oldest goes, else the oldest that has
+// sent no complete request.
+void AdminServer::close_one_session() {
+    for (const auto& session : sessions_)
+        if (!session->is_closed() && session->is_response_sent()) return close(*session);
+    for (const auto& session : sessions_)
+        if (!session->is_closed() && !session->has_responded()) return close(*session);
 }
 
-// Against callers who come and say nothing: who has been answered and only has to close goes first, then
-// whoever came first of those that have not made their call.
-void Window::make_room() {
-    for (const bool told : {true, false})
-        for (const auto& caller : callers_)
-            if (!caller->over() && (told ? caller->told() : caller->asks())) {
-                log_.debug(net::Loop::now(), "window: made room, ", callers(), " callers stand there");
-                return caller->end();
-            }
+void AdminServer::close(Session& session) {
+    log_.debug(net::Loop::now(), "admin: closed one of ", session_count(), " sessions to accept another");
+    session.close();
 }
 
-void Window::sweep() {
-    for (Caller* const caller : std::exchange(ended_, {})) callers_.erase(caller->place);
+void AdminServer::erase_ended_sessions() {
+    for (const Session* const session : std::exchange(ended_sessions_, {}))
+        sessions_.erase(session->position);
 }
 
-}  // namespace gannethold::window
+}  // namespace gannethold::admin
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,55 +1,64 @@
-// The second address, at which operators' programs call: HTTP/1.1, one call to a connection. Bounded in
-// callers and in time, so that who says nothing, or half a call, costs neither another caller nor a client
-// anything.
+// The second address, for operators' programs: HTTP/1.1, one request a connection. Connections are bounded in
+// number and time, so that a caller who sends nothing, or half a request, costs neither another caller nor a
+// client anything.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <list>
 #include <memory>
-#include <optional>
 #include <vector>
 
+#include "admin/admin_requests.hpp"
 #include "log/log.hpp"
 #include "net/connection.hpp"
 #include "net/listener.hpp"
-#include "admin/admin_requests.hpp"
 
-namespace gannethold::window {
+namespace gannethold::admin {
 
-// Who answers. Called from inside a turn of the loop; must not wait.
-class Clerk {
+class AdminHandler {
   public:
-    virtual Reply heed(Call call) = 0;
+    AdminHandler() = default;
+    AdminHandler(const AdminHandler&) = delete;
+    AdminHandler& operator=(const AdminHandler&) = delete;
+
+    // Called from inside a turn of the loop; must not block.
+    virtual AdminResponse on_admin_request(AdminRequest request) = 0;
 
   protected:
-    ~Clerk() = default;
+    ~AdminHandler() = default;
 };
 
-class Window {
+class AdminServer {
   public:
-    static constexpr std::size_t kMostCallers = 24;
-    static constexpr std::size_t kDescriptors = kMostCallers + 1;  // with its own socket
+    static constexpr std::size_t kMaxSessions = 24;
+    static constexpr std::size_t kMaxDescriptors = kMaxSessions + 1;  // with the listening socket
 
-    // Throws std::runtime_error where it cannot listen there.
-    Window(net::Loop& loop, const net::Address& at, Clerk& clerk, log::Log& log);
-    ~Window();
+    // Throws std::runtime_error where it cannot listen. REQUIRES: loop, handler and log outlive the server.
+    AdminServer(net::Loop& loop, const net::Address& address, AdminHandler& handler, log::Log& log);
+    ~AdminServer();
+    AdminServer(const AdminServer&) = delete;
+    AdminServer& operator=(const AdminServer&) = delete;
 
-    void sweep();  // frees what has ended; once a turn, after its last callback
-    std::size_t callers() const { return callers_.size() - ended_.size(); }
+    // Frees the sessions that have ended. REQUIRES: called once a turn, after the last callback of the loop.
+    void erase_ended_sessions();
+    std::size_t session_count() const { return sessions_.size() - ended_sessions_.size(); }
     std::uint16_t port() const { return listener_.port(); }
 
   private:
-    class Caller;
-    using Callers = std::list<std::unique_ptr<Caller>>;
+    class Session;
+    using Sessions = std::list<std::unique_ptr<Session>>;
 
-    void accept(evutil_socket_t socket);
-    void make_room();
+    void on_accept(evutil_socket_t socket);
+    void close_one_session();
+    void close(Session& session);
 
     net::Loop& loop_;
-    Clerk& clerk_;
+    AdminHandler& handler_;
     log::Log& log_;
-    Callers callers_;  // who came first stands first
-    std::vector<Caller*> ended_;
+    Sessions sessions_;  // the oldest first
+    std::vector<Session*> ended_sessions_;
     net::Listener listener_;
 };
 
-}  // namespace gannethold::window
+}  // namespace gannethold::admin
--- a/src/dispatcher/calling.cpp
+++ b/src/dispatcher/calling.cpp
@@ -1,5 +1,5 @@
-// What operators' programs are answered at the window. Orders go to the same drain as those of the control
-// socket.
+// What operators' programs are answered at the admin address. Orders go to the same drain as those of the
+// control socket.
 #include <algorithm>
 
 #include "dispatcher/dispatcher.hpp"
@@ -7,11 +7,11 @@
 namespace gannethold::dispatcher {
 namespace {
 
-const std::string kCaller = "a call at the window";
+const std::string kCaller = "an admin request";
 
 }  // namespace
 
-figures::Present Dispatcher::present() const {
+metrics::Gauges Dispatcher::gauges() const {
     const Micros now = net::Loop::now();
     std::set<RunnerId> avoided;
     for (const RunnerView& r : choice_.runners())
@@ -21,31 +21,32 @@
             book_.count_listed([&](RunnerId r) { return avoided.contains(r); })};
 }
 
-window::Reply Dispatcher::heed(window::Call call) {
+admin::AdminResponse Dispatcher::on_admin_request(admin::AdminRequest request) {
     const Micros now = net::Loop::now();
-    switch (call) {
-        case window::Call::ready: {
+    switch (request) {
+        case admin::AdminRequest::get_readiness: {
             const bool takes = ready() && healthy_;
             return {takes ? 200 : 503, takes ? "ready\n" : "not ready\n"};
         }
-        case window::Call::figures:
-            return {200, window::spell(tally_, present()), "text/plain; version=0.0.4; charset=utf-8"};
-        case window::Call::send_away: {
+        case admin::AdminRequest::get_metrics:
+            return {200, admin::format_metrics(counters_, gauges()),
+                    "text/plain; version=0.0.4; charset=utf-8"};
+        case admin::AdminRequest::take_out_of_service: {
             // Whoever ordered it before, it is being emptied: that is all that was asked for.
             if (drain_.phase() != drain::Phase::serving)
                 return {200, "out of service, " + drain_.by() + "\n"};
             const drain::Ruling ruling =
                 drain_.order(now, now + drain_.manners().longest, 0, kCaller, &drain_.manners().brisk);
             if (!ruling.granted) return {409, ruling.why + "\n"};
-            log_.info(now, "window: out of service");
+            log_.info(now, "admin: out of service");
             look_at_drain();
             return {200, "out of service\n"};
         }
-        case window::Call::take_again: {
+        case admin::AdminRequest::return_to_service: {
             if (drain_.phase() == drain::Phase::serving) return {200, "in service\n"};
             const drain::Ruling ruling = drain_.undo(now, 0, kCaller);
             if (!ruling.granted) return {409, ruling.why + "\n"};
-            log_.info(now, "window: in service again");
+            log_.info(now, "admin: in service again");
             look_at_drain();
             return {200, "in service\n"};
         }
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -53,7 +53,7 @@
 // What the connections of the other front and of operators' programs leave.
 std::size_t sockets_left(const Posting& posting, const beanstalk::Furnishing& tubes, std::size_t own) {
     const std::size_t theirs = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
-                               (posting.window ? window::Window::kDescriptors : 0) +
+                               (posting.window ? admin::AdminServer::kMaxDescriptors : 0) +
                                (posting.heirloom.empty() ? 0 : handover::Passage::kDescriptors);
     return own > theirs ? own - theirs : 1;
 }
@@ -116,8 +116,9 @@
         pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
                                                        tubes_.trade, tube_workloads_.places, *this, log);
     if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
-    if (posting_.window) window_ = std::make_unique<window::Window>(loop, *posting_.window, *this, log);
-    for (const auto& [name, id] : directory_.workloads) tally_.open(name);
+    if (posting_.window)
+        admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
+    for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     heard(posting_.known, RosterScope::remembered);
     all_blocks_ = loop.blocks().most();
     if (!posting_.heirloom.empty())
@@ -179,10 +180,10 @@
             change = terms_.restate(now, fresh.orders, [this](WorkloadId place) { return open(place); });
     } catch (const std::exception& e) {
         // Against a file that is missing, half written or wrong: what serves goes on as it was, whole.
-        tally_.reloaded(false);
+        counters_.on_reload_rejected();
         return log_.warning(now, "reload: ", e.what(), "; the old configuration stays");
     }
-    tally_.reloaded(true);
+    counters_.on_reload_applied();
     if (fresh.orders != posting_.orders)
         restate(fresh, change);
     else
@@ -218,7 +219,7 @@
     const Micros now = net::Loop::now();
     posting_.orders = fresh.orders, posting_.stated = fresh.stated;
     directory_ = clients::Directory(posting_.orders, terms_.places());
-    for (const auto& [name, id] : directory_.workloads) tally_.open(name);
+    for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     share_out();
     note(OrdersRestated{terms_.stated(), change.learn_from});
     const auto list = [](const std::vector<std::string>& names) {
@@ -405,7 +406,7 @@
     server_.sweep();
     follower_.sweep();
     if (desk_) desk_->sweep();
-    if (window_) window_->sweep();
+    if (admin_server_) admin_server_->erase_ended_sessions();
     if (passage_) passage_->sweep();
     if (pullers_) pullers_->sweep();
 }
@@ -469,7 +470,7 @@
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || !task->second.asker) return;
     fronts::Asker* const asker = task->second.asker;
-    tally_.ended(workload_name(task->second.workload), answer);
+    counters_.on_answered(workload_name(task->second.workload), answer);
     note_end(id, task->second, answer, result);
     end_asking(task);
     asker->answer(id, answer, result, stay_away);
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -57,7 +57,7 @@
                          public runners::Sender,
                          public control::Office,
                          public beanstalk::House,
-                         public window::Clerk,
+                         public admin::AdminHandler,
                          public handover::Party {
   public:
     Dispatcher(net::Loop& loop, const Posting& posting, log::Log& log, const Extras& extras = {});
@@ -67,8 +67,8 @@
     void leave();                          // answers what it has and what still comes, then ends
     void reload(const std::string& path);  // takes from the file what can change in service
     std::uint16_t port() const { return server_.port(); }
-    std::uint16_t window_port() const { return window_ ? window_->port() : 0; }
-    const figures::Tally& tally() const { return tally_; }
+    std::uint16_t admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
+    const metrics::Counters& counters() const { return counters_; }
     const shadow::Counts* watched() const { return shadow_ ? &shadow_->counts() : nullptr; }
     const beanstalk::Server* pullers() const { return pullers_.get(); }
     // nullptr: there are no snapshots.
@@ -109,10 +109,10 @@
     bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
     bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
     void turned_away(WorkloadId workload) override {
-        tally_.ended(workload_name(workload), fronts::Answer::bounced);
+        counters_.on_answered(workload_name(workload), fronts::Answer::bounced);
     }
     void errand_ended(runners::ErrandEnded&& ended) override;
-    void written_whole() override { tally_.written_whole(); }
+    void written_whole() override { counters_.on_assignment_written(); }
     void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
     void probe_ended(RunnerId runner, net::Ending ending, Micros elapsed, Report&& report) override;
 
@@ -168,8 +168,8 @@
     json::Object tell_drain() const;
     void heard_anew(const std::string& runner);
     // What operators' programs call; in calling.cpp.
-    window::Reply heed(window::Call call) override;
-    figures::Present present() const;
+    admin::AdminResponse on_admin_request(admin::AdminRequest request) override;
+    metrics::Gauges gauges() const;
     // Between an old and a new one at an upgrade; in handing_over.cpp.
     std::vector<handover::Word> hand_over() override;
     void handed(const handover::Word& word) override;
@@ -216,7 +216,7 @@
     roster::Guests guests_;
     std::deque<Failure> failures_;  // the newest last
     std::uint64_t failed_ = 0;
-    figures::Tally tally_;
+    metrics::Counters counters_;
     std::size_t idle_at_closing_ = 0;
     bool closing_ = false, healthy_ = true;
     drain::Phase told_phase_ = drain::Phase::serving;
@@ -236,7 +236,7 @@
     handover::Troubles troubles_;
     std::unique_ptr<handover::Passage> passage_;
     std::unique_ptr<control::Desk> desk_;
-    std::unique_ptr<window::Window> window_;
+    std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<beanstalk::Server> pullers_;
     std::unique_ptr<snapshot::SnapshotScheduler> snapshot_scheduler_;
     std::string restored_ = "there are no snapshots";
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -127,10 +127,10 @@
         whole(std::count_if(tasks_.begin(), tasks_.end(), [](const auto& t) { return t.second.out > 0; }));
     o["connections"] = whole(server_.sessions());
     o["taken"] = whole(tasks_taken_);
-    const figures::Ends ends = tally_.all();
-    o["finished"] = whole(ends.finished);
-    o["bounced"] = whole(ends.bounced);
-    o["abandoned"] = whole(ends.abandoned);
+    const metrics::AnswerCounts answers = counters_.total_answers();
+    o["finished"] = whole(answers.finished);
+    o["bounced"] = whole(answers.rejected);
+    o["abandoned"] = whole(answers.abandoned);
     o["failed_assignments"] = whole(failed_);
     o["roster_version"] = whole(book_.version());
     if (deduplication_.is_enabled) o["repeats"] = Value(tell_repeats());
--- a/src/dispatcher/repeating.cpp
+++ b/src/dispatcher/repeating.cpp
@@ -103,7 +103,7 @@
         fronts::Asker* const asker = joined_.at(id).asker;
         const WorkloadId workload = joined_.at(id).workload;
         left_joined(id);
-        tally_.ended(workload_name(workload), answer);
+        counters_.on_answered(workload_name(workload), answer);
         asker->answer(id, answer, result, stay_away);
     }
 }
@@ -120,7 +120,7 @@
         fronts::Asker* const asker = one->second.asker;
         const WorkloadId workload = one->second.workload;
         left_joined(id);
-        tally_.ended(workload_name(workload), answer);
+        counters_.on_answered(workload_name(workload), answer);
         asker->answer(id, answer, result, 0);
     }
     if (!joined_until_.empty()) joined_timer_.set(joined_until_.begin()->first);
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -1,27 +1,30 @@
 #include "metrics/counters.hpp"
 
-namespace gannethold::figures {
+namespace gannethold::metrics {
 
-void Tally::ended(const std::string& workload, fronts::Answer answer) {
-    Ends& e = ends_[workload];
+void Counters::on_answered(const std::string& workload, fronts::Answer answer) {
+    AnswerCounts& counts = answers_[workload];
     switch (answer) {
         case fronts::Answer::finished:
-            ++e.finished;
+            ++counts.finished;
             return;
         case fronts::Answer::bounced:
-            ++e.bounced;
+            ++counts.rejected;
             return;
         case fronts::Answer::abandoned:
-            ++e.abandoned;
+            ++counts.abandoned;
             return;
     }
 }
 
-Ends Tally::all() const {
-    Ends sum;
-    for (const auto& [name, e] : ends_)
-        sum.finished += e.finished, sum.bounced += e.bounced, sum.abandoned += e.abandoned;
-    return sum;
+AnswerCounts Counters::total_answers() const {
+    AnswerCounts total;
+    for (const auto& [workload, counts] : answers_) {
+        total.finished += counts.finished;
+        total.rejected += counts.rejected;
+        total.abandoned += counts.abandoned;
+    }
+    return total;
 }
 
-}  // namespace gannethold::figures
+}  // namespace gannethold::metrics
--- a/src/metrics/counters.hpp
+++ b/src/metrics/counters.hpp
@@ -1,48 +1,53 @@
-// What the dispatcher did since its process began, counted where it happens. No I/O and no clock.
+// What the dispatcher did since its process started, counted where it happens. No I/O and no clock.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
 
 #include "fronts/front.hpp"
 
-namespace gannethold::figures {
+namespace gannethold::metrics {
 
-// How the tasks of one workload ended, by what their clients were told.
-struct Ends {
-    std::uint64_t finished = 0, bounced = 0, abandoned = 0;
+// The tasks of a workload by their final answer.
+struct AnswerCounts {
+    std::uint64_t finished = 0;
+    std::uint64_t rejected = 0;   // a retry is harmless
+    std::uint64_t abandoned = 0;  // it may have run
 };
 
-// Counts never fall and never start anew: a workload that is dropped keeps its row, and has it again if it
-// returns.
-class Tally {
+// Counters never fall and never restart: a workload that is dropped from the settings keeps its counts, and
+// goes on from them if it returns.
+class Counters {
   public:
-    // From now on that workload has a row, with zeros if nothing of it has ended yet.
-    void open(const std::string& workload) { ends_[workload]; }
-    // A task's final answer. A task whose client had left has none and is counted nowhere.
-    void ended(const std::string& workload, fronts::Answer answer);
-    // An assignment whose last byte was given to the system.
-    void written_whole() { ++written_; }
-    // A configuration at SIGHUP, taken or turned down.
-    void reloaded(bool taken) { ++(taken ? reloads_taken_ : reloads_turned_down_); }
-
-    const std::map<std::string, Ends>& ends() const { return ends_; }
-    Ends all() const;
-    std::uint64_t written() const { return written_; }
-    std::uint64_t reloads_taken() const { return reloads_taken_; }
-    std::uint64_t reloads_turned_down() const { return reloads_turned_down_; }
+    // From now on that workload is listed, with zeros if nothing of it was answered yet.
+    void add_workload(const std::string& workload) { answers_[workload]; }
+    // A task's final answer. A task whose client has gone gets none, and is counted nowhere.
+    void on_answered(const std::string& workload, fronts::Answer answer);
+    // The last byte of an assignment was handed to the operating system.
+    void on_assignment_written() { ++assignments_written_; }
+    void on_reload_applied() { ++reloads_applied_; }
+    void on_reload_rejected() { ++reloads_rejected_; }
+
+    const std::map<std::string, AnswerCounts>& answers_by_workload() const { return answers_; }
+    AnswerCounts total_answers() const;
+    std::uint64_t assignments_written() const { return assignments_written_; }
+    std::uint64_t reloads_applied() const { return reloads_applied_; }
+    std::uint64_t reloads_rejected() const { return reloads_rejected_; }
 
   private:
-    std::map<std::string, Ends> ends_;
-    std::uint64_t written_ = 0, reloads_taken_ = 0, reloads_turned_down_ = 0;
+    std::map<std::string, AnswerCounts> answers_;
+    std::uint64_t assignments_written_ = 0;
+    std::uint64_t reloads_applied_ = 0;
+    std::uint64_t reloads_rejected_ = 0;
 };
 
-// What holds at one moment.
-struct Present {
-    std::size_t outstanding = 0;  // tasks taken and not yet answered
-    std::size_t listed = 0;       // runners in the list, those that drain among them
-    std::size_t avoided = 0;      // listed ones to which the module sends nothing now for what they did
+// Values at one moment.
+struct Gauges {
+    std::size_t outstanding_tasks = 0;  // accepted and not yet answered
+    std::size_t listed_runners = 0;     // in the endpoint list, draining ones among them
+    std::size_t ejected_runners = 0;    // of these, the ones that get nothing now for what they did
 };
 
-}  // namespace gannethold::figures
+}  // namespace gannethold::metrics
--- a/tests/window_stories.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -1,15 +1,14 @@
-// What operators' programs call, and clients sent away and back: on sockets, against scripted peers.
+// The admin address, and the dispatcher out of service and back: on sockets, against scripted peers.
 #include "helpers.hpp"
-#include "admin/admin_requests.hpp"
 
 using namespace gannethold;
 
 namespace {
 
-bool yes(const std::string& answer) { return answer.starts_with("HTTP/1.1 200 "); }
-bool no(const std::string& answer, int status) {
-    return answer.starts_with("HTTP/1.1 " + std::to_string(status) + " ");
+bool has_status(const std::string& response, int status) {
+    return response.starts_with("HTTP/1.1 " + std::to_string(status) + " ");
 }
+bool is_ok(const std::string& response) { return has_status(response, 200); }
 
 DispatcherFixture make_fixture(const std::string& limits = "\"memory_mb\":64,\"sockets\":96",
                                const std::string& effect = "pure", const std::string& caps = "") {
@@ -18,13 +17,13 @@
 }
 
 std::string health(DispatcherFixture& fixture) {
-    TestConnection front = fixture.client();
-    front.send("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n");
-    fixture.until([&] { return front.has("\r\n\r\n"); }, 500);
-    return front.got;
+    TestConnection load_balancer = fixture.client();
+    load_balancer.send("GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n");
+    fixture.until([&] { return load_balancer.has("\r\n\r\n"); }, 500);
+    return load_balancer.got;
 }
 
-double figure(DispatcherFixture& fixture, const std::string& name) {
+double metric(DispatcherFixture& fixture, const std::string& name) {
     const std::string all = fixture.call("GET", "/control/counters");
     const auto at = all.find("\n" + name + " ");
     REQUIRE_MESSAGE(at != std::string::npos, all);
@@ -33,17 +32,17 @@
 
 }  // namespace
 
-TEST_CASE("nothing listens beside the clients' address where no second one is named") {
-    CHECK(DispatcherFixture().dispatcher->window_port() == 0);
+TEST_CASE("without an admin address nothing listens beside the clients' address") {
+    CHECK(DispatcherFixture().dispatcher->admin_port() == 0);
 }
 
-TEST_CASE("a call that is none is told so and changes nothing") {
+TEST_CASE("an invalid request is answered so and changes nothing") {
     DispatcherFixture fixture = make_fixture();
-    CHECK(yes(fixture.call("GET", "/control/ready")));
-    CHECK(no(fixture.call("GET", "/control"), 404));
-    CHECK(no(fixture.call("POST", "/control/ready"), 405));
-    CHECK(no(fixture.call("GET", "/control/out-of-service"), 405));
-    CHECK(no(fixture.call("DELETE", "/control/in-service"), 405));
+    CHECK(is_ok(fixture.call("GET", "/control/ready")));
+    CHECK(has_status(fixture.call("GET", "/control"), 404));
+    CHECK(has_status(fixture.call("POST", "/control/ready"), 405));
+    CHECK(has_status(fixture.call("GET", "/control/out-of-service"), 405));
+    CHECK(has_status(fixture.call("DELETE", "/control/in-service"), 405));
     for (const std::string words : {"POST /control/out-of-service HTTP/9\r\n\r\n", "\r\r\r\nPOST",
                                     "POST /control/out-of-service HTTP/1.1\r\nContent-Length: -1\r\n\r\n"}) {
         TestConnection wire = fixture.caller(words);
@@ -51,14 +50,14 @@
         CHECK(wire.got.starts_with("HTTP/1.1 "));
         CHECK(wire.got[9] != '2');
     }
-    // Half a call is none, whatever the rest would have said.
+    // Half a request is none, whatever the rest would have said.
     fixture.caller("POST /control/out-of-service HTTP/1.1\r\nContent-Length: 5\r\n\r\n12").hang_up();
     fixture.pass(20);
-    CHECK(yes(fixture.call("GET", "/control/ready")));
-    CHECK(yes(health(fixture)));
+    CHECK(is_ok(fixture.call("GET", "/control/ready")));
+    CHECK(is_ok(health(fixture)));
 }
 
-TEST_CASE("a call in any pieces is heard, and one to a connection") {
+TEST_CASE("a request in any fragments is answered, and one a connection") {
     DispatcherFixture fixture = make_fixture();
     const std::string words = "GET /control/ready HTTP/1.1\r\nHost: n\r\n\r\n";
     for (std::size_t at = 1; at < words.size(); ++at) {
@@ -66,27 +65,27 @@
         fixture.turn();
         wire.send(words.substr(at));
         REQUIRE(fixture.until([&] { return wire.ended(); }, 1000));
-        CHECK(yes(wire.got));
+        CHECK(is_ok(wire.got));
         CHECK(wire.got.find("Connection: close") != std::string::npos);
     }
 }
 
-TEST_CASE("callers who say nothing, or half a call, cost neither a caller nor a client anything") {
+TEST_CASE("callers who send nothing, or half a request, cost neither a caller nor a client anything") {
     DispatcherFixture fixture = make_fixture("\"memory_mb\":64,\"sockets\":96");
     std::vector<TestConnection> idlers;
     for (int i = 0; i < 120; ++i) {
         idlers.push_back(fixture.caller(i % 2 ? "POST /control/out-of" : ""));
         fixture.turn();
     }
-    const Micros asked_at = net::Loop::now();
-    CHECK(yes(fixture.call("GET", "/control/ready")));
-    CHECK(net::Loop::now() - asked_at < 500'000);
+    const Micros requested_at = net::Loop::now();
+    CHECK(is_ok(fixture.call("GET", "/control/ready")));
+    CHECK(net::Loop::now() - requested_at < 500'000);
     std::vector<TestConnection> clients;
     for (int i = 0; i < 20; ++i) {
         clients.push_back(fixture.client());
         clients.back().send(DispatcherFixture::post("c" + std::to_string(i)));
     }
-    REQUIRE(fixture.until([&] { return figure(fixture, "app_outstanding") == 20; }, 900));
+    REQUIRE(fixture.until([&] { return metric(fixture, "app_outstanding") == 20; }, 900));
     CHECK(fixture.until(
         [&] {
             return std::all_of(idlers.begin(), idlers.end(), [](TestConnection& w) { return w.ended(); });
@@ -94,11 +93,11 @@
         3000));
 }
 
-TEST_CASE("the figures are those of the day that was played") {
+TEST_CASE("the metrics count what happened") {
     DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":96", "on_request", "900000", {},
                               DispatcherFixture::with_admin_server());
-    CHECK(figure(fixture, "app_succeeded_total{service=\"render\"}") == 0);
-    CHECK(figure(fixture, "app_discovered") == 2);
+    CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 0);
+    CHECK(metric(fixture, "app_discovered") == 2);
     for (int i = 0; i < 5; ++i) {
         const std::string id = "f" + std::to_string(i);
         TestConnection client = fixture.client();
@@ -109,37 +108,37 @@
     TestConnection waits = fixture.client();
     waits.send(DispatcherFixture::post("w"));
     fixture.at_runner("w");
-    CHECK(figure(fixture, "app_outstanding") == 1);
-    CHECK(figure(fixture, "app_forwards_total") == 6);
-    // Beyond its time the pure task is bounced; whoever left before is in no count.
+    CHECK(metric(fixture, "app_outstanding") == 1);
+    CHECK(metric(fixture, "app_forwards_total") == 6);
+    // After its expiry the pure task is rejected; a client that left before is in no count.
     REQUIRE(fixture.until([&] { return waits.has("503"); }));
     TestConnection left = fixture.client();
     left.send(DispatcherFixture::post("l"));
     fixture.at_runner("l");
     left.hang_up();
-    REQUIRE(fixture.until([&] { return figure(fixture, "app_outstanding") == 0; }));
-    CHECK(figure(fixture, "app_succeeded_total{service=\"render\"}") == 5);
-    CHECK(figure(fixture, "app_declined_total{service=\"render\"}") == 1);
-    CHECK(figure(fixture, "app_aborted_total{service=\"render\"}") == 0);
-    const double written = figure(fixture, "app_forwards_total");
+    REQUIRE(fixture.until([&] { return metric(fixture, "app_outstanding") == 0; }));
+    CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 5);
+    CHECK(metric(fixture, "app_declined_total{service=\"render\"}") == 1);
+    CHECK(metric(fixture, "app_aborted_total{service=\"render\"}") == 0);
+    const double written = metric(fixture, "app_forwards_total");
     CHECK(written >= 7);
-    CHECK(written == static_cast<double>(fixture.dispatcher->tally().written()));
+    CHECK(written == static_cast<double>(fixture.dispatcher->counters().assignments_written()));
     fixture.reload(fixture.text);
     fixture.reload("{");
     fixture.reload("");
-    CHECK(figure(fixture, "app_sighup_applied_total") == 1);
-    CHECK(figure(fixture, "app_sighup_rejected_total") == 2);
-    // A runner that cannot be reached is avoided, and the module's word for it is the figure.
-    CHECK(figure(fixture, "app_ejected") == 0);
+    CHECK(metric(fixture, "app_sighup_applied_total") == 1);
+    CHECK(metric(fixture, "app_sighup_rejected_total") == 2);
+    // A runner that cannot be reached is ejected, as the balancer says.
+    CHECK(metric(fixture, "app_ejected") == 0);
     for (TestConnection& wire : fixture.runner_listeners[0]->connections()) wire.hang_up();
     fixture.runner_listeners[0]->shut();
     std::vector<TestConnection> more;
-    for (int i = 0; i < 20 && figure(fixture, "app_ejected") == 0; ++i) {
+    for (int i = 0; i < 20 && metric(fixture, "app_ejected") == 0; ++i) {
         more.push_back(fixture.client());
         more.back().send(DispatcherFixture::post("x" + std::to_string(i)));
         fixture.pass(20);
     }
-    CHECK(figure(fixture, "app_ejected") == 1);
+    CHECK(metric(fixture, "app_ejected") == 1);
 }
 
 TEST_CASE("an assignment counts once its last byte is written, and a connect that fails never does") {
@@ -149,42 +148,26 @@
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("a"));
     REQUIRE(fixture.until([&] { return client.has("503") || client.has("502"); }));
-    CHECK(figure(fixture, "app_forwards_total") == 0);
-    CHECK(figure(fixture, "app_succeeded_total{service=\"render\"}") == 0);
+    CHECK(metric(fixture, "app_forwards_total") == 0);
+    CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 0);
 }
 
-TEST_CASE(
-    "a workload that ended its quotes would end the figures: it is escaped, and a dropped one keeps its "
-    "counts") {
-    figures::Tally tally;
-    tally.open("a\"b\\c\nd");
-    tally.ended("gone", fronts::Answer::abandoned);
-    tally.ended("gone", fronts::Answer::finished);
-    const std::string all = window::spell(tally, {3, 2, 1});
-    CHECK(all.find("app_succeeded_total{service=\"a\\\"b\\\\c\\nd\"} 0\n") != std::string::npos);
-    CHECK(all.find("app_aborted_total{service=\"gone\"} 1\n") != std::string::npos);
-    tally.open("gone");
-    CHECK(tally.ends().at("gone").finished == 1);
-    for (const std::string line :
-         {"app_outstanding 3\n", "app_discovered 2\n", "app_ejected 1\n", "app_sighup_applied_total 0\n"})
-        CHECK(all.find(line) != std::string::npos);
-}
-
-TEST_CASE("sent away, clients are told at once, lose nothing, and are gone well inside four seconds") {
+TEST_CASE("out of service, clients learn it at once, lose nothing, and are gone well inside four seconds") {
     DispatcherFixture fixture = make_fixture();
-    TestConnection idle = fixture.client(), busy = fixture.client();
+    TestConnection idle = fixture.client();
+    TestConnection busy = fixture.client();
     idle.send(DispatcherFixture::post("i"));
     fixture.at_runner("i").send(DispatcherFixture::done("i"));
     REQUIRE(fixture.until([&] { return idle.has("picture"); }));
     busy.send(DispatcherFixture::post("b"));
     TestConnection& runner = fixture.at_runner("b");
     const Micros from = net::Loop::now();
-    CHECK(yes(fixture.call("POST", "/control/out-of-service")));
-    CHECK(no(health(fixture), 503));
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
+    CHECK(has_status(health(fixture), 503));
     CHECK(net::Loop::now() - from < 100'000);
-    CHECK(no(fixture.call("GET", "/control/ready"), 503));
-    CHECK(yes(fixture.call("POST", "/control/out-of-service")));  // twice is once
-    // Before the front has noticed whoever still comes is served.
+    CHECK(has_status(fixture.call("GET", "/control/ready"), 503));
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));  // twice is once
+    // Until the load balancer has noticed, whoever still comes is served.
     TestConnection late = fixture.client();
     late.send(DispatcherFixture::post("l"));
     runner.send(DispatcherFixture::done("b"));
@@ -197,11 +180,11 @@
     CHECK(fixture.until([&] { return after.ended(); }, 300));
     CHECK(after.has("503"));
     CHECK(after.has("Retry-After"));
-    CHECK(figure(fixture, "app_declined_total{service=\"render\"}") == 1);
-    // And back, also twice; an order while it serves is one it carries out already.
-    CHECK(yes(fixture.call("POST", "/control/in-service")));
-    CHECK(yes(health(fixture)));
-    CHECK(yes(fixture.call("POST", "/control/in-service")));
+    CHECK(metric(fixture, "app_declined_total{service=\"render\"}") == 1);
+    // And back, also twice: in service already.
+    CHECK(is_ok(fixture.call("POST", "/control/in-service")));
+    CHECK(is_ok(health(fixture)));
+    CHECK(is_ok(fixture.call("POST", "/control/in-service")));
     TestConnection again = fixture.client();
     again.send(DispatcherFixture::post("g"));
     fixture.at_runner("g").send(DispatcherFixture::done("g"));
@@ -209,35 +192,36 @@
     CHECK_FALSE(again.ended());
 }
 
-TEST_CASE("a request that is half here when clients are sent away is taken whole and answered") {
+TEST_CASE(
+    "a request that has half arrived when the dispatcher goes out of service is completed and answered") {
     DispatcherFixture fixture = make_fixture();
     TestConnection half = fixture.client();
     const std::string words = DispatcherFixture::post("h");
     half.send(words.substr(0, words.size() - 2));
     fixture.pass(20);
-    CHECK(yes(fixture.call("POST", "/control/out-of-service")));
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
     fixture.pass(600);  // connections are being closed by now
     half.send(words.substr(words.size() - 2));
     fixture.at_runner("h").send(DispatcherFixture::done("h"));
     CHECK(fixture.until([&] { return half.has("picture") && half.ended(); }, 500));
 }
 
-TEST_CASE("orders at the window and on the control socket are one drain, and a signal ends both") {
+TEST_CASE("orders at the admin address and on the control socket are one drain, and a signal ends both") {
     DispatcherFixture fixture = make_fixture();
     auto& office = static_cast<control::Office&>(*fixture.dispatcher);
     json::Object order;
     order["deadline_s"] = json::Value(json::Number{"60"});
     office.answer("drain", json::Value(order), "ada");
-    CHECK(yes(fixture.call("POST", "/control/out-of-service")));
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
     const std::string refused = fixture.call("POST", "/control/in-service");
-    CHECK(no(refused, 409));
+    CHECK(has_status(refused, 409));
     CHECK(refused.find("the order of ada stands") != std::string::npos);
-    CHECK(no(health(fixture), 503));
+    CHECK(has_status(health(fixture), 503));
     // In mid-reload, and with a signal beside it.
     fixture.reload(fixture.text);
-    CHECK(no(fixture.call("GET", "/control/ready"), 503));
+    CHECK(has_status(fixture.call("GET", "/control/ready"), 503));
     fixture.dispatcher->leave();
-    CHECK(yes(fixture.call("POST", "/control/out-of-service")));
-    CHECK(no(fixture.call("POST", "/control/in-service"), 409));
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
+    CHECK(has_status(fixture.call("POST", "/control/in-service"), 409));
     CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 4000));
 }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -287,7 +287,7 @@
         return "\"admin\":\"127.0.0.1:" + std::to_string(TestListener(-1).port) + "\",";
     }
     TestConnection caller(const std::string& words = "") const {
-        TestConnection wire = TestConnection::to(dispatcher->window_port());
+        TestConnection wire = TestConnection::to(dispatcher->admin_port());
         wire.send(words);
         return wire;
     }
--- a/tests/shadow_stories.cpp
+++ b/tests/shadow_stories.cpp
@@ -187,10 +187,10 @@
     put("{");
     fixture.reload(fixture.with("\"importance\":1", "\"importance\":2"));
     CHECK(fixture.said.str().find("the old configuration stays") != std::string::npos);
-    CHECK(fixture.dispatcher->tally().reloads_turned_down() == 1);
+    CHECK(fixture.dispatcher->counters().reloads_rejected() == 1);
     put(plain.text);
     fixture.reload(fixture.with("\"importance\":1", "\"importance\":2"));
-    CHECK(fixture.dispatcher->tally().reloads_taken() == 1);
+    CHECK(fixture.dispatcher->counters().reloads_applied() == 1);
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("s"));
     fixture.at_runner("s").send(DispatcherFixture::done("s"));
--- a/tests/terms_stories.cpp
+++ b/tests/terms_stories.cpp
@@ -155,10 +155,10 @@
     TestConnection unknown = fixture.client();
     unknown.send(DispatcherFixture::post("u"));
     CHECK(fixture.until([&] { return unknown.has("404"); }));
-    const auto& ends = fixture.dispatcher->tally().ends();
+    const auto& ends = fixture.dispatcher->counters().answers_by_workload();
     CHECK(ends.at("render").finished == 1);
     CHECK(ends.at("proof").finished == 1);
-    CHECK(fixture.dispatcher->tally().reloads_taken() == 2);
+    CHECK(fixture.dispatcher->counters().reloads_applied() == 2);
 }
 
 TEST_CASE("a file that is short of something, or has nonsense in it, changes nothing at all") {
@@ -193,9 +193,9 @@
         fixture.reload(file);
         CHECK_MESSAGE(fixture.said.str().find(why) != std::string::npos, why << ": " << fixture.said.str());
         CHECK(fixture.said.str().find("discovery moves") == std::string::npos);
-        CHECK(fixture.dispatcher->tally().reloads_turned_down() == ++refused);
+        CHECK(fixture.dispatcher->counters().reloads_rejected() == ++refused);
     }
-    CHECK(fixture.dispatcher->tally().reloads_taken() == 0);
+    CHECK(fixture.dispatcher->counters().reloads_applied() == 0);
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("s"));
     fixture.at_runner("s").send(DispatcherFixture::done("s"));
--- a/tests/upgrade_stories.cpp
+++ b/tests/upgrade_stories.cpp
@@ -117,7 +117,7 @@
         CHECK(p.until([&] { return queued[static_cast<std::size_t>(i)].has("picture"); }));
         CHECK_FALSE(queued[static_cast<std::size_t>(i)].ended());  // kept by the new one
     }
-    CHECK(p.heir->tally().ends().at("render").finished == 3);
+    CHECK(p.heir->counters().answers_by_workload().at("render").finished == 3);
     // A kept idle connection is closed, so that its client comes to the new one.
     CHECK(p.until([&] { return kept.ended(); }, 1000));
     CHECK_FALSE(p.fixture->loop.stopping());
@@ -302,7 +302,7 @@
     REQUIRE(p.until([&] { return kept.has("picture"); }));
     p.heir = p.start(with(DispatcherFixture::with_admin_server()));
     const auto call = [&](const dispatcher::Dispatcher& at, const std::string& line) {
-        TestConnection wire = TestConnection::to(at.window_port());
+        TestConnection wire = TestConnection::to(at.admin_port());
         wire.send(line + " HTTP/1.1\r\nHost: n\r\n\r\n");
         p.until([&] { return wire.ended(); }, 1000);
         return wire.got.substr(0, 12);
