--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -13,7 +13,7 @@
 #include "cluster/programs/coordinator.hpp"
 #include "cluster/programs/process.hpp"
 #include "cluster/store/store.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "cluster/transport/message_connection.hpp"
 
 namespace gannethold::cluster {
@@ -49,8 +49,9 @@
           settings_(std::move(settings)),
           watch_(loop, [this](const Settings& s) { restated(s); }),
           control_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
-                   {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
-                    [this](HttpService::Exchange e) { puts_.erase(e); }},
+                   {.on_request = [this](ExchangeId exchange,
+                                         HttpMessage&& request) { asked(exchange, std::move(request)); },
+                    .on_client_disconnected = [this](ExchangeId exchange) { puts_.erase(exchange); }},
                    512),
           listener_(
               loop,
@@ -63,7 +64,7 @@
           int_(loop, SIGINT, [this] { leave(); }) {
         Limits limits;
         limits.body_bytes = 16U << 20;
-        control_.limit(limits);
+        control_.set_limits(limits);
         open();
         due();
     }
@@ -94,13 +95,12 @@
                 BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
                 Consensus::Options options = consensus_options(settings_);
                 options.first_start = settings_.initial_start && !state.promise.member;
-                Output out;
                 Event("disk_opened")
                     .with("member", state.promise.member)
                     .with("term", state.promise.term)
                     .with("version", state.entry.version);
-                consensus_.emplace(std::move(options), std::move(state), now, out);
-                carry_out(out);
+                consensus_.emplace(std::move(options), std::move(state), now);
+                carry_out(consensus_->start());
                 return {};
             },
             [&](ErrorCode kind, const ErrorDetail& detail) {
@@ -112,8 +112,8 @@
     }
 
     // First what is written, then what follows from it.
-    void carry_out(Output& out) {
-        if (out.write) {
+    void carry_out(const ConsensusOutput& out) {
+        if (out.must_persist) {
             const bool done = leaf::try_handle_all(
                 [&]() -> leaf::result<bool> {
                     BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
@@ -133,25 +133,25 @@
                 return;
             }
         }
-        for (const Output::Envelope& mail : out.sends) send(mail.to, mail.message);
-        for (const Output::ProposalResult& result : out.results) answer_operator(result);
+        for (const ConsensusOutput::Envelope& mail : out.messages) send(mail.to, mail.message);
+        for (const ProposalResult& result : out.proposal_results) answer_operator(result);
         look();
     }
 
-    void answer_operator(const Output::ProposalResult& result) {
+    void answer_operator(const ProposalResult& result) {
         const auto at = std::find_if(puts_.begin(), puts_.end(),
                                      [&](const auto& put) { return put.second == result.ticket; });
         if (at == puts_.end()) return;
-        const HttpService::Exchange exchange = at->first;
+        const ExchangeId exchange = at->first;
         puts_.erase(at);
         switch (result.outcome) {
             case ProposalOutcome::committed:
                 return acknowledge(exchange);
             case ProposalOutcome::conflict:
-                return control_.answer(exchange, ErrorCode::version_conflict,
-                                       "another body was confirmed under it");
+                return control_.respond(exchange, ErrorCode::version_conflict,
+                                        "another body was confirmed under it");
             case ProposalOutcome::unknown:
-                return control_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
+                return control_.respond(exchange, ErrorCode::no_majority, {}, kRetryMs);
         }
     }
 
@@ -160,7 +160,7 @@
         consensus_.reset();
         reopen_at_ = net::Loop::now() + kReopen;
         for (const auto& [exchange, ticket] : std::exchange(puts_, {}))
-            control_.answer(exchange, ErrorCode::disk_failed, {}, 300);
+            control_.respond(exchange, ErrorCode::disk_failed, {}, 300);
     }
 
     // Whether this machine leads, and what is committed, may have changed.
@@ -171,17 +171,18 @@
         // A lease that runs out while this machine is short of time comes back with the next round: until
         // then nothing is said and nothing taken, but the coordinator stays. To close it would make all
         // fronts greet anew at the worst moment.
-        if (coordinator_ && (!consensus_->holds() || leaving_ || coordinator_->term() != consensus_->term()))
+        if (coordinator_ && (!consensus_->is_established_leader() || leaving_ ||
+                             coordinator_->term() != consensus_->current_term()))
             close_coordinator();
         if (leads && !coordinator_) {
-            coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->term(),
+            coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->current_term(),
                                                          [this](Session s, const Message& m) { tell(s, m); });
             for (auto& [key, inbound_peer] : inbound_peers_)
-                if (inbound_peer->front && inbound_peer->line->open())
+                if (inbound_peer->front && inbound_peer->line->is_open())
                     coordinator_->came(inbound_peer->session, inbound_peer->registration);
         }
         if (!coordinator_ || !leads) return;
-        if (const LogEntry* const entry = consensus_->committed()) {
+        if (const LogEntry* const entry = consensus_->committed_entry()) {
             const bool same = read_ && read_->version() == entry->version && read_body_ == entry->body;
             coordinator_->committed(*entry, same ? read_ : nullptr);
         }
@@ -189,7 +190,7 @@
         for (const auto& [session, message] : std::exchange(held_in_, {})) take(session, message);
     }
 
-    bool acts(Micros now) const { return consensus_ && !leaving_ && consensus_->leads(now); }
+    bool acts(Micros now) const { return consensus_ && !leaving_ && consensus_->has_lease(now); }
 
     // What a front says to the coordinator.
     void take(Session session, const Message& message) {
@@ -228,7 +229,7 @@
             if (now < peer.dialed + kRedial) return;
             dial(to, peer);
         }
-        if (peer.line && peer.line->unsent() < kMostUnsentBytes)
+        if (peer.line && peer.line->unsent_bytes() < kMostUnsentBytes)
             peer.line->send(message, settings_.control_plane);
     }
 
@@ -237,8 +238,8 @@
         if (!address) return;
         peer.dialed = net::Loop::now();
         MessageConnection::Events events;
-        events.message_received = [](const ReceivedMessage&) {};
-        events.ended = [this, to] {
+        events.on_message = [](const ReceivedMessage&) {};
+        events.on_disconnected = [this, to] {
             Peer& p = peers_[to];
             if (p.line) old_lines_.push_back(std::move(p.line));
         };
@@ -249,10 +250,10 @@
         auto inbound_peer = std::make_unique<InboundPeer>();
         InboundPeer* const key = inbound_peer.get();
         MessageConnection::Events events;
-        events.message_received = [this, key](const ReceivedMessage& message_received) {
+        events.on_message = [this, key](const ReceivedMessage& message_received) {
             got(*key, message_received);
         };
-        events.ended = [this, key] { gone_.push_back(key); };
+        events.on_disconnected = [this, key] { gone_.push_back(key); };
         inbound_peer->line = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
         inbound_peer->session = ++last_session_;
         by_session_[inbound_peer->session] = key;
@@ -265,9 +266,7 @@
             inbound_peer.member = message_received.from;
             peers_[message_received.from].heard = now;
             if (!consensus_) return;
-            Output out;
-            consensus_->receive(now, message_received.from, message_received.message, out);
-            carry_out(out);
+            carry_out(consensus_->on_message(now, message_received.from, message_received.message));
             set_timer();
             return;
         }
@@ -291,35 +290,35 @@
             return void();
         }
         const auto at = by_session_.find(session);
-        if (at != by_session_.end() && at->second->line->open()) at->second->line->send(message);
+        if (at != by_session_.end() && at->second->line->is_open()) at->second->line->send(message);
     }
 
     // ---- the operator ----
 
-    void asked(HttpService::Exchange exchange, HttpMessage&& m) {
+    void asked(ExchangeId exchange, HttpMessage&& m) {
         const std::string path = m.target.substr(0, m.target.find('?'));
-        if (path != "/v1/configuration") return control_.answer(exchange, ErrorCode::no_route, path);
+        if (path != "/v1/configuration") return control_.respond(exchange, ErrorCode::no_route, path);
         if (m.method != "PUT" && m.method != "GET")
-            return control_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
+            return control_.respond(exchange, ErrorCode::request_malformed, "PUT or GET");
         const Micros now = net::Loop::now();
-        if (leaving_ || !consensus_ || !consensus_->leads(now)) {
+        if (leaving_ || !consensus_ || !consensus_->has_lease(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
             if (leader.empty() || leader == settings_.control_plane)
-                return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
+                return control_.respond(exchange, ErrorCode::no_majority, {}, 200);
             HttpMessage answer;
             answer.status = error_response(ErrorCode::not_leading).status;
             answer.fields.emplace_back("Location", "http://" + leader + m.target);
-            return control_.answer(exchange, answer);
+            return control_.respond(exchange, answer);
         }
         if (m.method == "GET") {
-            const LogEntry* const entry = consensus_->committed();
+            const LogEntry* const entry = consensus_->committed_entry();
             if (!entry || entry->version == 0)
-                return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
+                return control_.respond(exchange, ErrorCode::no_majority, "no configuration yet", 200);
             HttpMessage answer;
             answer.status = 200;
             answer.fields.emplace_back("Content-Type", "application/json");
             answer.body = entry->body;
-            return control_.answer(exchange, answer);
+            return control_.respond(exchange, answer);
         }
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
@@ -328,9 +327,7 @@
                 read_body_ = m.body;
                 const Number ticket = ++last_ticket_;
                 puts_[exchange] = ticket;
-                Output out;
-                consensus_->propose(now, ticket, configuration->version(), std::move(m.body), out);
-                carry_out(out);
+                carry_out(consensus_->propose(now, {ticket, configuration->version(), std::move(m.body)}));
                 set_timer();
                 return {};
             },
@@ -338,17 +335,17 @@
                 Event("configuration_refused", Level::warning)
                     .with("kind", error_response(kind).name)
                     .with("detail", detail.text);
-                control_.answer(exchange, kind, detail.text);
+                control_.respond(exchange, kind, detail.text);
             },
-            [&] { control_.answer(exchange, ErrorCode::configuration_cut); });
+            [&] { control_.respond(exchange, ErrorCode::configuration_cut); });
     }
 
-    void acknowledge(HttpService::Exchange exchange) {
+    void acknowledge(ExchangeId exchange) {
         HttpMessage answer;
         answer.status = 200;
         answer.fields.emplace_back("Content-Type", "application/json");
         answer.body = "{}";
-        control_.answer(exchange, answer);
+        control_.respond(exchange, answer);
     }
 
     json::Value explain(const std::string& what) const {
@@ -358,18 +355,18 @@
             all["state"] = told(std::string("its disk can not be used"));
             return json::Value(std::move(all));
         }
-        all["term"] = told(static_cast<double>(consensus_->term()));
+        all["term"] = told(static_cast<double>(consensus_->current_term()));
         all["leader"] = told(consensus_->leader());
-        all["leads"] = json::Value(consensus_->leads(now));
-        all["recovering"] = json::Value(consensus_->recovering());
+        all["leads"] = json::Value(consensus_->has_lease(now));
+        all["recovering"] = json::Value(consensus_->is_recovering());
         all["fence"] = told(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
-        all["version"] =
-            told(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
-        all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed()));
+        all["version"] = told(
+            consensus_->committed_entry() ? static_cast<double>(consensus_->committed_entry()->version) : 0);
+        all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed_connections()));
         json::List core;
         if (what.empty() || what == "core")
-            for (const std::string& m : consensus_->members()) {
-                const Micros heard = consensus_->heard_from(m);
+            for (const std::string& m : consensus_->voters()) {
+                const Micros heard = consensus_->last_contact(m);
                 core.emplace_back(
                     json::Object{{"member", told(m)},
                                  {"itself", json::Value(m == settings_.control_plane)},
@@ -386,9 +383,7 @@
         const Micros now = net::Loop::now();
         if (!consensus_ && now >= reopen_at_) open();
         if (consensus_) {
-            Output out;
-            consensus_->tick(now, out);
-            carry_out(out);
+            carry_out(consensus_->on_timer(now));
         }
         if (coordinator_ && acts(now)) coordinator_->tick(now);
         if (now >= next_sweep_) sweep(now);
@@ -398,12 +393,12 @@
 
     void sweep(Micros now) {
         next_sweep_ = now + 500'000;
-        control_.sweep(now);
+        control_.close_expired(now);
         explain_.sweep(now);
         old_lines_.clear();
         closed_coordinators_.clear();
         for (auto& [key, inbound_peer] : inbound_peers_)
-            if (now > inbound_peer->line->heard() + kDeaf) {
+            if (now > inbound_peer->line->last_received_at() + kDeaf) {
                 inbound_peer->line->close();
                 gone_.push_back(key);
             }
@@ -429,7 +424,7 @@
     void set_timer() {
         Micros next = next_sweep_;
         if (consensus_)
-            next = std::min(next, consensus_->next_tick());
+            next = std::min(next, consensus_->next_timer());
         else
             next = std::min(next, reopen_at_);
         if (coordinator_ && acts(net::Loop::now())) next = std::min(next, coordinator_->next_tick());
@@ -447,13 +442,11 @@
         leaving_ = true;
         Event("leaving").with("open", puts_.size());
         if (consensus_) {
-            Output out;
-            consensus_->leave(net::Loop::now(), out);
-            carry_out(out);
+            carry_out(consensus_->begin_leaving(net::Loop::now()));
         }
         close_coordinator();
-        control_.say_goodbye();
-        control_.close_idle();
+        control_.disable_keep_alive();
+        control_.drain();
         leave_by_ = net::Loop::now() + settings_.grace_period / 2;
         leave_no_sooner_ = net::Loop::now() + kLeastLeaveTime;
         set_timer();
@@ -462,14 +455,14 @@
     // Ends once the others hold all that is committed here, and what was still to be answered has been.
     void end_if_done(Micros now) {
         if (!leaving_ || now < leave_no_sooner_) return;
-        const bool may_end = !consensus_ || consensus_->may_end();
+        const bool may_end = !consensus_ || consensus_->may_stop();
         if (may_end || now >= leave_by_) loop_.stop();
     }
 
     net::Loop& loop_;
     Settings settings_;
     SettingsWatch watch_;
-    HttpService control_;
+    HttpServer control_;
     net::Listener listener_;
     Store store_;
     std::optional<Consensus> consensus_;
@@ -483,7 +476,7 @@
     std::map<InboundPeer*, std::unique_ptr<InboundPeer>> inbound_peers_;
     std::map<Session, InboundPeer*> by_session_;
     std::vector<InboundPeer*> gone_;
-    std::map<HttpService::Exchange, Number> puts_;
+    std::map<ExchangeId, Number> puts_;
     Number last_ticket_ = 0;
     Session last_session_ = 0;
     Micros reopen_at_ = 0, next_sweep_ = 0, next_look_ = 0;
