--- /dev/null
+++ b/src/admin/admin_server.cpp
@@ -0,0 +1,144 @@
+#include "admin/admin_server.hpp"
+
+#include <iterator>
+#include <string_view>
+#include <utility>
+#include <variant>
+
+#include "http/reader.hpp"
+#include "http/writer.hpp"
+
+namespace gannethold::admin {
+namespace {
+
+constexpr Micros kRequestTimeout = 2'000'000;  // from the connect to the end of the request
+constexpr std::size_t kMaxBodyBytes = 65'536;
+
+}  // namespace
+
+class AdminServer::Session final : public net::Connection::Owner {
+  public:
+    Session(AdminServer& server, evutil_socket_t socket)
+        : server_(server),
+          reader_(http::Kind::request, server.loop_.blocks()),
+          timeout_(server.loop_,
+                   [this] {
+                       respond({408, "the call came no further\n"});
+                   }),
+          connection_(server.loop_, *this, socket) {
+        timeout_.set(net::Loop::now() + kRequestTimeout);
+    }
+    ~Session() = default;
+    Session(const Session&) = delete;
+    Session& operator=(const Session&) = delete;
+
+    void close() {
+        if (std::exchange(is_closed_, true)) return;
+        timeout_.cancel();
+        connection_.close();
+        reader_.restart();
+        server_.ended_sessions_.push_back(this);
+    }
+    bool is_closed() const { return is_closed_; }
+    bool has_responded() const { return has_responded_; }
+    // Only the closing of the connection is left.
+    bool is_response_sent() const { return has_responded_ && !connection_.unsent(); }
+
+    Sessions::iterator position;  // in the server's list
+
+  private:
+    // ---- net::Connection::Owner ----
+    void bytes(std::string_view bytes) override {
+        while (!has_responded_ && !is_closed_) {
+            const http::Found found = reader_.read(bytes);
+            if (found == http::Found::nothing) return;
+            on_found(found);
+        }
+    }
+    void ended(net::Ending) override { close(); }
+
+    void on_found(http::Found found) {
+        switch (found) {
+            case http::Found::nothing:
+                return;
+            case http::Found::head:
+                return on_head(parse_request(reader_.head()));
+            case http::Found::body:
+                body_bytes_ += reader_.piece().size();
+                if (body_bytes_ > kMaxBodyBytes) respond({413, "no call is so long\n"});
+                return;
+            case http::Found::end:
+                // Not before: half a request is none, whatever its head asks for.
+                return respond(server_.handler_.on_admin_request(request_));
+            case http::Found::fault:
+                const bool is_overloaded = reader_.fault() == http::Fault::out_of_blocks;
+                return respond({is_overloaded ? 503 : 400, "this cannot be read\n"});
+        }
+    }
+
+    void on_head(const std::variant<AdminRequest, AdminResponse>& parsed) {
+        if (const auto* const error = std::get_if<AdminResponse>(&parsed)) return respond(*error);
+        request_ = std::get<AdminRequest>(parsed);
+    }
+
+    void respond(const AdminResponse& response) {
+        if (has_responded_ || is_closed_) return;
+        has_responded_ = true;
+        timeout_.cancel();
+        auto head = http::Writer::answer(response.status);
+        head.field("Content-Type", response.content_type)
+            .field("Connection", "close")
+            .length(response.body.size());
+        net::Blocks out(server_.loop_.blocks());
+        reader_.restart();
+        if (!out.append(head.head()) || !out.append(response.body)) return close();
+        connection_.write(std::move(out));
+        connection_.finish();
+    }
+
+    AdminServer& server_;
+    http::Reader reader_;
+    net::Timer timeout_;
+    AdminRequest request_{};
+    std::size_t body_bytes_ = 0;
+    bool has_responded_ = false;
+    bool is_closed_ = false;
+    net::Connection connection_;
+};
+
+AdminServer::AdminServer(net::Loop& loop, const net::Address& address, AdminHandler& handler, log::Log& log)
+    : loop_(loop),
+      handler_(handler),
+      log_(log),
+      listener_(
+          loop, address, [this](evutil_socket_t socket) { on_accept(socket); },
+          [this] { close_one_session(); }) {}
+
+AdminServer::~AdminServer() = default;
+
+void AdminServer::on_accept(evutil_socket_t socket) {
+    if (session_count() >= kMaxSessions) close_one_session();
+    sessions_.push_back(std::make_unique<Session>(*this, socket));
+    sessions_.back()->position = std::prev(sessions_.end());
+}
+
+// Makes place for another: of the sessions that only have to close the oldest goes, else the oldest that has
+// sent no complete request.
+void AdminServer::close_one_session() {
+    for (const auto& session : sessions_)
+        if (!session->is_closed() && session->is_response_sent()) return close(*session);
+    for (const auto& session : sessions_)
+        if (!session->is_closed() && !session->has_responded()) return close(*session);
+}
+
+void AdminServer::close(Session& session) {
+    log_.debug(net::Loop::now(), "admin: closed one of ", session_count(), " sessions to accept another");
+    session.close();
+}
+
+void AdminServer::erase_ended_sessions() {
+    for (const Session* const session : std::exchange(ended_sessions_, {}))
+        sessions_.erase(session->position);
+}
+
+}  // namespace gannethold::admin
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -53,7 +53,7 @@
 // What the connections of the other front and of operators' programs leave.
 std::size_t sockets_left(const Posting& posting, const beanstalk::Furnishing& tubes, std::size_t own) {
     const std::size_t theirs = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
-                               (posting.window ? window::Window::kDescriptors : 0) +
+                               (posting.window ? admin::AdminServer::kMaxDescriptors : 0) +
                                (posting.heirloom.empty() ? 0 : handover::Passage::kDescriptors);
     return own > theirs ? own - theirs : 1;
 }
@@ -104,8 +104,8 @@
       wake_(loop, [this] { wake(); }),
       farewell_(loop, [this] { look_at_drain(); }),
       drain_(extras.manners),
-      recollection_(extras.recollection),
-      run_book_(extras.recollection),
+      deduplication_(extras.deduplication),
+      execution_log_(extras.deduplication),
       joined_timer_(loop, [this] { answer_owed(); }),
       watched_(extras.watched),
       watched_most_(extras.watched_most) {
@@ -116,13 +116,14 @@
         pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
                                                        tubes_.trade, tube_workloads_.places, *this, log);
     if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
-    if (posting_.window) window_ = std::make_unique<window::Window>(loop, *posting_.window, *this, log);
-    for (const auto& [name, id] : directory_.workloads) tally_.open(name);
+    if (posting_.window)
+        admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
+    for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     heard(posting_.known, RosterScope::remembered);
     all_blocks_ = loop.blocks().most();
     if (!posting_.heirloom.empty())
         passage_ = std::make_unique<handover::Passage>(loop, posting_.heirloom, posting_.name, *this, log);
-    if (!extras.keepsake.folder.empty()) recall(extras.keepsake);
+    if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
     follows_by_itself_ = Stated(posting_.orders).word("roster.how", "pushed") != "on_request";
     if (follows_by_itself_) follower_.follow(book_.since());
@@ -179,10 +180,10 @@
             change = terms_.restate(now, fresh.orders, [this](WorkloadId place) { return open(place); });
     } catch (const std::exception& e) {
         // Against a file that is missing, half written or wrong: what serves goes on as it was, whole.
-        tally_.reloaded(false);
+        counters_.on_reload_rejected();
         return log_.warning(now, "reload: ", e.what(), "; the old configuration stays");
     }
-    tally_.reloaded(true);
+    counters_.on_reload_applied();
     if (fresh.orders != posting_.orders)
         restate(fresh, change);
     else
@@ -218,7 +219,7 @@
     const Micros now = net::Loop::now();
     posting_.orders = fresh.orders, posting_.stated = fresh.stated;
     directory_ = clients::Directory(posting_.orders, terms_.places());
-    for (const auto& [name, id] : directory_.workloads) tally_.open(name);
+    for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     share_out();
     note(OrdersRestated{terms_.stated(), change.learn_from});
     const auto list = [](const std::vector<std::string>& names) {
@@ -266,7 +267,7 @@
         publish("drain", tell_drain());
     }
     if (wanted.exits) {
-        if (keeper_) keeper_->keep_now();
+        if (snapshot_scheduler_) snapshot_scheduler_->write_final();
         log_.info(now, "left after ", log::as("ms", (now - drain_.since()) / 1000), " ms");
         return loop_.stop();
     }
@@ -300,7 +301,8 @@
 
 TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::Blocks&& body, Micros came_at) {
     const TaskId id{++tasks_taken_};
-    if (recollection_.on && take_as_repeat(id, asker, request, came_at + request.patience)) return id;
+    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
+        return id;
     std::string lines;
     if (request.pushable) {
         auto head = http::Writer::request(request.method, request.target);
@@ -323,8 +325,8 @@
     arrived.slots = request.slots;
     arrived.memory = request.memory;
     arrived.client_repeat = request.repeat;
-    std::string sign = recollection_.on ? sign_of(request) : "";
-    if (!sign.empty()) run_book_.began(net::Loop::now(), sign, id);
+    std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
+    if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
     ids_.insert(request.id);
     tasks_.emplace(id, Task{&asker, std::move(request.id), std::move(lines), std::move(body), arrived.expiry,
                             request.workload, came_at, 0, 0, false, std::move(sign)});
@@ -343,8 +345,8 @@
     if (task == tasks_.end() || pass_on(task)) return;
     // Nobody waits any more, and what is out is withdrawn: how far it came nobody will hear.
     if (const Task& t = task->second; !t.sign.empty())
-        t.out > 0 || t.ran ? run_book_.may_have_run(net::Loop::now(), t.sign, id)
-                           : run_book_.never_ran(t.sign, id);
+        t.out > 0 || t.ran ? execution_log_.on_may_have_run(net::Loop::now(), t.sign, id)
+                           : execution_log_.on_never_ran(t.sign, id);
     end_asking(task);
     note(ClientLeft{id});
     forget_if_over(task);
@@ -404,7 +406,7 @@
     server_.sweep();
     follower_.sweep();
     if (desk_) desk_->sweep();
-    if (window_) window_->sweep();
+    if (admin_server_) admin_server_->erase_ended_sessions();
     if (passage_) passage_->sweep();
     if (pullers_) pullers_->sweep();
 }
@@ -468,7 +470,7 @@
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || !task->second.asker) return;
     fronts::Asker* const asker = task->second.asker;
-    tally_.ended(workload_name(task->second.workload), answer);
+    counters_.on_answered(workload_name(task->second.workload), answer);
     note_end(id, task->second, answer, result);
     end_asking(task);
     asker->answer(id, answer, result, stay_away);
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -19,9 +19,9 @@
 #include "control/desk.hpp"
 #include "dispatcher/posting.hpp"
 #include "drain/drain.hpp"
-#include "figures/tally.hpp"
+#include "metrics/counters.hpp"
 #include "handover/passage.hpp"
-#include "keepsake/keeper.hpp"
+#include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
 #include "orders/terms.hpp"
 #include "roster/book.hpp"
@@ -30,8 +30,8 @@
 #include "roster/holds.hpp"
 #include "runners/links.hpp"
 #include "shadow/shadow.hpp"
-#include "storms/run_book.hpp"
-#include "window/window.hpp"
+#include "retry/execution_log.hpp"
+#include "admin/admin_server.hpp"
 
 namespace gannethold::dispatcher {
 
@@ -39,9 +39,10 @@
 struct Extras {
     std::optional<control::Furniture> desk;  // none: no control socket
     drain::Manners manners;
-    keepsake::Custom keepsake;          // without a folder nothing is kept
-    storms::Recollection recollection;  // off: a retry of what may have run is a task like any other
-    beanstalk::Furnishing tubes;        // without an entrance it is off
+    snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
+    retry::DeduplicationSettings
+        deduplication;            // disabled: a retry of what may have run is a task like any other
+    beanstalk::Furnishing tubes;  // without an entrance it is off
     // Settings that are watched and never acted by: their file (read again at a reload; empty: none), a turn
     // of so many, and the processor's time that a second of it may take.
     std::string watched;
@@ -56,7 +57,7 @@
                          public runners::Sender,
                          public control::Office,
                          public beanstalk::House,
-                         public window::Clerk,
+                         public admin::AdminHandler,
                          public handover::Party {
   public:
     Dispatcher(net::Loop& loop, const Posting& posting, log::Log& log, const Extras& extras = {});
@@ -66,11 +67,14 @@
     void leave();                          // answers what it has and what still comes, then ends
     void reload(const std::string& path);  // takes from the file what can change in service
     std::uint16_t port() const { return server_.port(); }
-    std::uint16_t window_port() const { return window_ ? window_->port() : 0; }
-    const figures::Tally& tally() const { return tally_; }
+    std::uint16_t admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
+    const metrics::Counters& counters() const { return counters_; }
     const shadow::Counts* watched() const { return shadow_ ? &shadow_->counts() : nullptr; }
     const beanstalk::Server* pullers() const { return pullers_.get(); }
-    const keepsake::Kept* kept() const { return keeper_ ? &keeper_->kept() : nullptr; }
+    // nullptr: there are no snapshots.
+    const snapshot::SnapshotStats* snapshot_stats() const {
+        return snapshot_scheduler_ ? &snapshot_scheduler_->stats() : nullptr;
+    }
 
   private:
     struct Task {
@@ -105,10 +109,10 @@
     bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
     bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
     void turned_away(WorkloadId workload) override {
-        tally_.ended(workload_name(workload), fronts::Answer::bounced);
+        counters_.on_answered(workload_name(workload), fronts::Answer::bounced);
     }
     void errand_ended(runners::ErrandEnded&& ended) override;
-    void written_whole() override { tally_.written_whole(); }
+    void written_whole() override { counters_.on_assignment_written(); }
     void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
     void probe_ended(RunnerId runner, net::Ending ending, Micros elapsed, Report&& report) override;
 
@@ -164,19 +168,19 @@
     json::Object tell_drain() const;
     void heard_anew(const std::string& runner);
     // What operators' programs call; in calling.cpp.
-    window::Reply heed(window::Call call) override;
-    figures::Present present() const;
+    admin::AdminResponse on_admin_request(admin::AdminRequest request) override;
+    metrics::Gauges gauges() const;
     // Between an old and a new one at an upgrade; in handing_over.cpp.
     std::vector<handover::Word> hand_over() override;
     void handed(const handover::Word& word) override;
     void company(std::size_t others) override;
     std::size_t own_part(std::size_t of) const { return std::max<std::size_t>(1, of / (1 + others_)); }
     // What is kept over a restart; in remembering.cpp.
-    keepsake::Keeper::Part remember(std::size_t from, std::size_t most) const;
-    void recall(const keepsake::Custom& custom);
-    std::size_t take_over(const keepsake::Record& record, const keepsake::Prudence& prudence,
-                          const handover::Troubles& troubles);
-    json::Object tell_keepsake() const;
+    snapshot::SnapshotScheduler::Part collect_snapshot(std::size_t offset, std::size_t max_runners) const;
+    void restore_snapshot(const snapshot::SnapshotSettings& settings);
+    std::size_t apply_snapshot(const snapshot::Snapshot& saved, const snapshot::DecayPolicy& policy,
+                               const handover::Troubles& troubles);
+    json::Object snapshot_status() const;
     // What other settings would decide; in watching.cpp.
     StatedOrders over_ours(const Posting& watched) const;
     void watch_turn(const Event& event);
@@ -212,12 +216,12 @@
     roster::Guests guests_;
     std::deque<Failure> failures_;  // the newest last
     std::uint64_t failed_ = 0;
-    figures::Tally tally_;
+    metrics::Counters counters_;
     std::size_t idle_at_closing_ = 0;
     bool closing_ = false, healthy_ = true;
     drain::Phase told_phase_ = drain::Phase::serving;
-    const storms::Recollection recollection_;
-    storms::RunBook run_book_;
+    const retry::DeduplicationSettings deduplication_;
+    retry::ExecutionLog execution_log_;
     std::unordered_map<TaskId, Joined> joined_;
     std::unordered_map<TaskId, std::vector<TaskId>> joined_to_;
     std::unordered_map<TaskId, TaskId>
@@ -232,10 +236,10 @@
     handover::Troubles troubles_;
     std::unique_ptr<handover::Passage> passage_;
     std::unique_ptr<control::Desk> desk_;
-    std::unique_ptr<window::Window> window_;
+    std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<beanstalk::Server> pullers_;
-    std::unique_ptr<keepsake::Keeper> keeper_;
-    std::string recalled_ = "nothing is kept";
+    std::unique_ptr<snapshot::SnapshotScheduler> snapshot_scheduler_;
+    std::string restored_ = "there are no snapshots";
     const std::string watched_;
     const Micros watched_most_;
     std::unique_ptr<shadow::Shadow> shadow_;
--- /dev/null
+++ b/src/snapshot/file_system.hpp
@@ -0,0 +1,51 @@
+// The file system as a SnapshotStore uses it, one call for each step between which power can fail, so that a
+// test can simulate a disk that loses what was not synced.
+#pragma once
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace gannethold::snapshot {
+
+// Errors, here and in FileSystem: std::runtime_error with the operation, the path and the system's reason.
+
+// A file that is open for writing; closed by its destructor, without a sync.
+class WritableFile {
+  public:
+    WritableFile() = default;
+    virtual ~WritableFile() = default;
+    WritableFile(const WritableFile&) = delete;
+    WritableFile& operator=(const WritableFile&) = delete;
+
+    virtual void append(std::string_view bytes) = 0;
+    // After it returns, what was appended outlasts a power failure, if the file's name does.
+    virtual void sync() = 0;
+};
+
+class FileSystem {
+  public:
+    FileSystem() = default;
+    virtual ~FileSystem() = default;
+    FileSystem(const FileSystem&) = delete;
+    FileSystem& operator=(const FileSystem&) = delete;
+
+    // Empty; whatever bore that name is replaced.
+    virtual std::unique_ptr<WritableFile> create(const std::string& path) = 0;
+    // Gives a file a second name. False: it has none to give, or the new name is taken, neither an error
+    // here.
+    virtual bool link(const std::string& from, const std::string& to) = 0;
+    virtual void rename(const std::string& from, const std::string& to) = 0;
+    virtual void remove(const std::string& path) = 0;  // need not exist
+    // After it returns, the names in the folder outlast a power failure.
+    virtual void sync_folder(const std::string& path) = 0;
+    // The first bytes, at most `max_bytes` of them; nullopt: no such file.
+    virtual std::optional<std::string> read(const std::string& path, std::size_t max_bytes) const = 0;
+};
+
+// The operating system's; lives as long as the process.
+FileSystem& posix_file_system();
+
+}  // namespace gannethold::snapshot
--- /dev/null
+++ b/src/snapshot/snapshot_writer.hpp
@@ -0,0 +1,42 @@
+// A child process that encodes, writes and syncs snapshots, so that the dispatcher's loop never waits for a
+// disk. It is forked once, while there are few pages to copy, and gets each snapshot in parts over a socket.
+#pragma once
+
+#include <sys/types.h>
+
+#include <optional>
+#include <string>
+
+#include "snapshot/file_descriptor.hpp"
+#include "snapshot/snapshot_store.hpp"
+
+namespace gannethold::snapshot {
+
+class SnapshotWriter {
+  public:
+    // Where no process can be started, is_running() is false from the beginning.
+    explicit SnapshotWriter(const SnapshotStore& store);
+    ~SnapshotWriter();  // kills the process, also in the middle of a write
+    SnapshotWriter(const SnapshotWriter&) = delete;
+    SnapshotWriter& operator=(const SnapshotWriter&) = delete;
+
+    bool is_running() const { return process_ > 0; }
+    pid_t process() const { return process_; }
+
+    // Queues one part of a snapshot. Lists are appended to those of the parts before it; all else counts as
+    // the first part says. After the last part the process writes the snapshot.
+    void queue_part(const Snapshot& part, bool is_last);
+    // Sends what is queued, as far as it goes without blocking. True: nothing is left.
+    bool flush();
+    // After the last part. nullopt: still writing; "": written; else why not, in one line.
+    std::optional<std::string> poll_result();
+
+  private:
+    void stop();
+
+    pid_t process_ = -1;
+    FileDescriptor socket_;
+    std::string unsent_;
+};
+
+}  // namespace gannethold::snapshot
