--- a/src/cluster/wire/messages.hpp
+++ b/src/cluster/wire/messages.hpp
@@ -9,11 +9,23 @@
 
 namespace gannethold::cluster {
 
+// What a number says. They are all of one type, as the messages and the stored records carry them.
+using Term = std::uint64_t;                  // of leadership; grows for as long as the cluster exists
+using LogIndex = std::uint64_t;              // of an entry in the replicated log; the first is 1
+using ConfigurationVersion = std::uint64_t;  // which the operator gives; 0: none yet
+using Digest = std::uint64_t;                // of a configuration's text (configuration/digest.hpp)
+using Incarnation = std::uint64_t;           // of a process: another one after each start
+using Round = std::uint64_t;                 // of heartbeats, counted from 1 within a term
+using Nonce = std::uint64_t;                 // ties a response to its request
+using ByteCount = std::uint64_t;
+using RunnerNumber = std::uint32_t;  // stands for a runner within a term; 0: none
+// Where the kind of number is not said yet.
 using Number = std::uint64_t;
 
 // Where an accepted state stands among all others: later terms first, then later indexes.
 struct LogPosition {
-    Number term = 0, index = 0;
+    Term term = 0;
+    LogIndex index = 0;
     // clang-tidy 14 takes the defaulted comparison for a null pointer.
     friend auto operator<=>(const LogPosition&,
                             const LogPosition&) = default;  // NOLINT(modernize-use-nullptr)
@@ -21,9 +33,9 @@
 
 // A configuration number under which one body was confirmed to an operator. The digest says which body.
 struct ConfirmedVersion {
-    Number version = 0;
-    Number digest = 0;
-    Number index = 0;  // of the log entry that confirmed it
+    ConfigurationVersion version = 0;
+    Digest digest = 0;
+    LogIndex index = 0;  // of the log entry that confirmed it
     friend bool operator==(const ConfirmedVersion&, const ConfirmedVersion&) = default;
 };
 
@@ -31,7 +43,7 @@
 // newest entry is ever needed; the newest one that a quorum holds is in force.
 struct LogEntry {
     LogPosition position;
-    Number version = 0;                         // of the configuration; 0: none yet
+    ConfigurationVersion version = 0;           // of the configuration; 0: none yet
     std::vector<std::string> members;           // the voters
     std::vector<std::string> outgoing_members;  // while membership changes: the voters before; else empty
     std::vector<ConfirmedVersion> confirmed;  // the newest ones, by index (consensus/confirmed_versions.hpp)
@@ -41,17 +53,17 @@
 // What a member has promised; it must be on disk before anything that follows from it is said.
 struct Promise {
     bool member = false;  // false: a new disk, or no voter; its owner may have promised anything before
-    Number term = 0;
-    std::string voted_for;         // in that term
-    Number no_vote_through = 0;    // votes in no term up to this one: its lost disk may have
-    Number pre_voted_through = 0;  // the newest term in which it granted a pre-vote
+    Term term = 0;
+    std::string voted_for;       // in that term
+    Term no_vote_through = 0;    // votes in no term up to this one: its lost disk may have
+    Term pre_voted_through = 0;  // the newest term in which it granted a pre-vote
     std::string
         last_leader;  // whose heartbeat was answered last: a lease may still be owed to it after a start
 };
 
 // What a log entry changes against another one; how it travels (consensus/entry_transfer.hpp).
 struct EntryPayload {
-    Number version = 0;
+    ConfigurationVersion version = 0;
     std::vector<std::string> members, outgoing_members;
     std::vector<ConfirmedVersion> confirmed;  // those that the base entry does not hold
     std::string body_delta;
@@ -68,49 +80,52 @@
 // Asks for a vote in a term. A pre-vote asks whether the vote would be given, so that a member that was cut
 // off does not raise the others' terms when it is back.
 struct VoteRequest {
-    Number term = 0;
+    Term term = 0;
     LogPosition held;
     bool pre_vote = false;
     bool leader_hands_over = false;  // the leader itself asked for this election and has given up its lease
 };
 struct VoteResponse {
-    Number term = 0;
+    Term term = 0;
     bool granted = false;
     bool pre_vote = false;
-    Number no_vote_through = 0;  // the sender gives no vote in terms up to this one
+    Term no_vote_through = 0;  // the sender gives no vote in terms up to this one
 };
 // The leader's heartbeat.
 struct AppendRequest {
-    Number term = 0;
-    Number round = 0;       // of heartbeats, in this term
+    Term term = 0;
+    Round round = 0;        // of heartbeats, in this term
     LogPosition head;       // the leader's newest entry
     LogPosition committed;  // the newest that a quorum holds
 };
 // A piece of the leader's newest entry (consensus/entry_transfer.hpp).
 struct EntryChunk {
-    Number term = 0, round = 0;
+    Term term = 0;
+    Round round = 0;
     LogPosition position;
-    LogPosition base;              // the entry that the payload is the difference to; {}: none
-    Number offset = 0, total = 0;  // bytes of the encoded payload
+    LogPosition base;  // the entry that the payload is the difference to; {}: none
+    ByteCount offset = 0;
+    ByteCount total = 0;  // bytes of the encoded payload
     std::string bytes;
 };
 // Answers a heartbeat and a chunk.
 struct AppendResponse {
-    Number term = 0, round = 0;
-    LogPosition held;       // on disk
-    LogPosition receiving;  // the entry that is being received; {}: none
-    Number received = 0;    // bytes of its payload
-    bool leaving = false;   // the sender is about to end
+    Term term = 0;
+    Round round = 0;
+    LogPosition held;        // on disk
+    LogPosition receiving;   // the entry that is being received; {}: none
+    ByteCount received = 0;  // bytes of its payload
+    bool leaving = false;    // the sender is about to end
 };
 // From a member that lost its disk, or a machine that is no member: how do things stand?
 struct RecoveryRequest {
-    Number nonce = 0;
+    Nonce nonce = 0;
 };
 struct RecoveryResponse {
-    Number nonce = 0;
-    Number term = 0;
-    Number pre_voted_through = 0;  // the newest term in which the sender granted a pre-vote
-    std::string leader;            // as far as the sender knows; empty: not known
+    Nonce nonce = 0;
+    Term term = 0;
+    Term pre_voted_through = 0;  // the newest term in which the sender granted a pre-vote
+    std::string leader;          // as far as the sender knows; empty: not known
     LogPosition held;
     std::vector<std::string> members, outgoing_members;
 };
@@ -118,12 +133,12 @@
 struct JoinRequest {};
 // From the leader before it ends: stand for election at once.
 struct TimeoutNow {
-    Number term = 0;
+    Term term = 0;
 };
 // From a member that is about to end, and the leader's answer once it may.
 struct LeaveRequest {};
 struct LeaveResponse {
-    Number term = 0;
+    Term term = 0;
 };
 
 // ---- between fronts and the core ----
@@ -138,7 +153,8 @@
 };
 struct Register {
     std::string name, zone;
-    Number incarnation = 0, version = 0;
+    Incarnation incarnation = 0;
+    ConfigurationVersion version = 0;
     std::vector<RunnerInfo> runners;
     std::vector<Load>
         unrestricted;  // functions whose slots it takes unasked, and its part of each in the last second
@@ -147,20 +163,20 @@
     std::string leader;
 };
 struct Registered {
-    Number term = 0;
+    Term term = 0;
     std::uint32_t rank = 0, fronts = 1;
     std::vector<std::string> members;
 };
 struct ConfigurationSent {
-    Number version = 0;
+    ConfigurationVersion version = 0;
     Delta delta;
 };
 struct ConfigurationHeld {
-    Number version = 0;
+    ConfigurationVersion version = 0;
 };
 enum class RunnerState : std::uint8_t { starting, ready, gone };
 struct RunnerUpdate {
-    std::uint32_t number = 0;  // for short, in this term
+    RunnerNumber number = 0;
     RunnerState state = RunnerState::gone;
     RunnerInfo runner;
     bool watch = false;  // say when it can be reached
