--- /dev/null
+++ b/tests/system/configuration/delta_test.cpp
@@ -0,0 +1,35 @@
+// Differences between two texts of a configuration.
+#include "cluster/configuration/delta.hpp"
+
+#include <boost/test/unit_test.hpp>
+#include <string>
+#include <string_view>
+
+namespace gannethold::cluster::tests {
+
+BOOST_AUTO_TEST_CASE(a_difference_gives_the_text_back_and_refuses_another_base) {
+    std::string old_text = "{\"routes\":[";
+    std::string new_text = old_text;
+    for (int i = 0; i < 900; ++i) {
+        old_text += "{\"name\":\"r-" + std::to_string(i * 7919) + "\",\"timeout_ms\":4000},";
+        new_text += "{\"name\":\"r-" + std::to_string(i * 7919) +
+                    "\",\"timeout_ms\":" + (i == 450 ? "100" : "4000") + "},";
+    }
+    const std::string delta = make_delta(old_text, new_text);
+    BOOST_TEST(delta.size() < 150U);
+    const auto got = [](std::string_view base, std::string_view bytes) {
+        return leaf::try_handle_all([&] { return apply_delta(base, bytes); },
+                                    [] { return std::string("refused"); });
+    };
+    BOOST_TEST(got(old_text, delta) == new_text);
+    BOOST_TEST(got(new_text, delta) == "refused");
+    BOOST_TEST(got({}, make_delta({}, new_text)) == new_text);
+    for (std::size_t i = 0; i < delta.size(); ++i) {
+        std::string broken = delta;
+        broken[i] = static_cast<char>(broken[i] ^ 0x55);
+        const std::string back = got(old_text, broken);
+        BOOST_TEST((back == "refused" || back == new_text));
+    }
+}
+
+}  // namespace gannethold::cluster::tests
