--- a/src/cluster/base/error.hpp
+++ b/src/cluster/base/error.hpp
@@ -1,7 +1,8 @@
-// The closed list of what can go wrong in the system, and what each kind is answered with.
+// The errors of the cluster's processes, and the HTTP response that each of them becomes.
 //
-// Functions that can fail return leaf::result<T>; an error carries one Kind and, where it helps, a Detail
-// that says what is wrong and where. Nothing else is thrown across a part's border.
+// A function that can fail returns leaf::result<T> (Boost.LEAF). Its error is made by make_error and carries
+// an ErrorCode and an ErrorDetail; a handler (leaf::try_handle_all) takes both, or the code alone. No
+// exception leaves a folder's public functions.
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -13,43 +14,45 @@
 namespace leaf = boost::leaf;
 
 enum class ErrorCode {
-    settings_unreadable,    // the settings file is missing or not made of a.b=value lines
-    settings_invalid,       // a key is missing or has a value that can not be used
-    bytes_malformed,        // between processes: not a message
-    configuration_cut,      // not whole, or not JSON
-    configuration_invalid,  // read whole, and against the rules for configurations
-    too_large,              // over a limit of the configuration in force
-    head_too_large,
+    settings_unreadable,      // the settings file is missing, or not made of a.b=value lines
+    settings_invalid,         // a setting is missing, or has a value that cannot be used
+    bytes_malformed,          // bytes of another process, or of the disk, that are not what they should be
+    configuration_malformed,  // cut short, or not JSON
+    configuration_invalid,    // JSON that breaks the rules for configurations
+    body_too_large,           // over a limit of the configuration in force
+    header_too_large,         // likewise
     request_malformed,
     no_route,
-    not_leading,       // another core machine decides
-    version_conflict,  // another configuration was confirmed under this number
-    no_majority,       // the core can not decide at present
-    disk_failed,       // not on disk, so not acknowledged
-    no_slot,           // no runner can take it in the time it has; it has not run
-    leaving,           // this process ends; it has not run
-    not_offered,       // the time is over and it was never sent
-    may_have_run,      // sent, and no whole answer came
-    time_over,         // sent, and the time is over
-    platform_silent,
-    platform_refused,
+    not_leader,         // another controller is the leader
+    version_conflict,   // another configuration was confirmed under this version
+    no_quorum,          // no decision can be made at present
+    disk_failed,        // not on disk, so not acknowledged
+    no_slot,            // no runner has a free slot in time; the request has not run
+    shutting_down,      // this process shuts down; the request has not run
+    not_sent,           // the deadline passed before any runner got the request
+    may_have_run,       // sent to a runner, and no complete response came
+    deadline_exceeded,  // sent to a runner, and the deadline passed
+    platform_timeout,
+    platform_rejected,
 };
 
+// What is wrong, and where, for the operator who reads it.
 struct ErrorDetail {
     std::string text;
 };
 
 struct ErrorResponse {
-    const char* name;         // in log lines
-    int status;               // for whoever asked over HTTP; 0: nobody is asked
-    bool guarantees_not_run;  // the status says that it has not run and never will
+    const char* name;         // in log lines and in the body of the response; part of the interface
+    int status;               // of HTTP; 0: an error that never becomes a response
+    bool guarantees_not_run;  // the response promises that the request has not run and will not run
 };
 
-// Total over Kind.
-ErrorResponse error_response(ErrorCode kind);
+// Defined for every ErrorCode.
+ErrorResponse error_response(ErrorCode code);
 
-inline leaf::error_id failure(ErrorCode kind, std::string detail = {}) {
-    return leaf::new_error(kind, ErrorDetail{std::move(detail)});
+// The one way to make an error: return it from a function that returns leaf::result<T>.
+inline leaf::error_id make_error(ErrorCode code, std::string detail = {}) {
+    return leaf::new_error(code, ErrorDetail{std::move(detail)});
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/base/settings.cpp
+++ b/src/cluster/base/settings.cpp
@@ -25,7 +25,7 @@
     leaf::result<std::string> needed(const std::string& key) const {
         const auto at = table_.find(key);
         if (at == table_.end() || at->second.empty())
-            return failure(ErrorCode::settings_invalid, key + " is missing");
+            return make_error(ErrorCode::settings_invalid, key + " is missing");
         return at->second;
     }
     std::string text(const std::string& key) const {
@@ -40,7 +40,7 @@
         double read = 0;
         const auto [end, wrong] = std::from_chars(at->second.data(), last, read);
         if (wrong != std::errc() || end != last || !(read >= 0) || read > 1e12)
-            return failure(ErrorCode::settings_invalid, key + " is no number from 0 on: " + at->second);
+            return make_error(ErrorCode::settings_invalid, key + " is no number from 0 on: " + at->second);
         value = read;
         return {};
     }
@@ -61,7 +61,7 @@
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
-    if (!file) return failure(ErrorCode::settings_unreadable, path + " can not be read");
+    if (!file) return make_error(ErrorCode::settings_unreadable, path + " can not be read");
     return parse(text.str());
 }
 
@@ -74,7 +74,7 @@
         for (const auto& option : po::parse_config_file(in, none, true).options)
             if (!option.value.empty()) table[option.string_key] = option.value.front();
     } catch (const po::error& wrong) {
-        return failure(ErrorCode::settings_unreadable, wrong.what());
+        return make_error(ErrorCode::settings_unreadable, wrong.what());
     }
     const Reader reader(table);
     Settings s;
@@ -90,7 +90,7 @@
     if (range.empty() ||
         std::from_chars(range[0].data(), range[0].data() + range[0].size(), port).ec != std::errc() ||
         port == 0 || port > 65535)
-        return failure(ErrorCode::settings_invalid, "internal_port_range is no range of ports: " + ports);
+        return make_error(ErrorCode::settings_invalid, "internal_port_range is no range of ports: " + ports);
     s.internal_port = static_cast<std::uint16_t>(port);
     for (const auto& [key, value] : table)
         if (key.starts_with("zones.")) s.region_of[key.substr(6)] = value;
@@ -120,7 +120,7 @@
     double turn = s.late_turn;
     BOOST_LEAF_CHECK(reader.number("urgency.late_turn", turn));
     if (turn < 2 || turn > 100)
-        return failure(ErrorCode::settings_invalid, "urgency.late_turn is not from 2 to 100");
+        return make_error(ErrorCode::settings_invalid, "urgency.late_turn is not from 2 to 100");
     s.late_turn = static_cast<int>(turn);
     return s;
 }
--- a/src/cluster/configuration/configuration.cpp
+++ b/src/cluster/configuration/configuration.cpp
@@ -14,7 +14,7 @@
 using simdjson::dom::object;
 
 leaf::error_id wrong(const std::string& where, const std::string& what) {
-    return failure(ErrorCode::configuration_invalid, where + ": " + what);
+    return make_error(ErrorCode::configuration_invalid, where + ": " + what);
 }
 
 leaf::result<std::string> word(const object& from, const char* key, const std::string& where) {
@@ -140,7 +140,7 @@
     simdjson::dom::parser parser;
     object top;
     if (parser.parse(json.data(), json.size()).get(top))
-        return failure(ErrorCode::configuration_cut, "not whole, or no JSON object");
+        return make_error(ErrorCode::configuration_malformed, "not whole, or no JSON object");
     std::uint64_t version = 0;
     if (top["version"].get(version)) return wrong("configuration", "version is no whole number from 0 on");
     return version;
@@ -150,7 +150,7 @@
     simdjson::dom::parser parser;
     object top;
     if (parser.parse(json.data(), json.size()).get(top))
-        return failure(ErrorCode::configuration_cut, "not whole, or no JSON object");
+        return make_error(ErrorCode::configuration_malformed, "not whole, or no JSON object");
     auto made = std::make_shared<Configuration>();
     if (top["version"].get(made->version_) || made->version_ == 0)
         return wrong("configuration", "version is no whole number from 1 on");
--- a/src/cluster/configuration/configuration.hpp
+++ b/src/cluster/configuration/configuration.hpp
@@ -47,7 +47,7 @@
 
 class Configuration {
   public:
-    // Errors: configuration_cut (not JSON, or cut short), configuration_invalid (the detail says what and
+    // Errors: configuration_malformed (not JSON, or cut short), configuration_invalid (the detail says what and
     // where).
     static leaf::result<std::shared_ptr<const Configuration>> read(std::string_view json);
     // Only the version, of anything that is JSON with one.
--- a/src/cluster/configuration/delta.cpp
+++ b/src/cluster/configuration/delta.cpp
@@ -95,7 +95,7 @@
 }
 
 leaf::result<std::string> apply_delta(std::string_view base, std::string_view difference) {
-    const auto bad = [](const char* why) { return failure(ErrorCode::bytes_malformed, why); };
+    const auto bad = [](const char* why) { return make_error(ErrorCode::bytes_malformed, why); };
     std::uint64_t size = 0;
     std::uint64_t base_check = 0;
     std::uint64_t text_check = 0;
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -103,9 +103,9 @@
                 carry_out(out);
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 Event("disk_failed", Level::error)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
             },
             [] {});
@@ -119,9 +119,9 @@
                     BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
                     return true;
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     Event("write_failed", Level::error)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                     return false;
                 },
@@ -151,7 +151,7 @@
                 return control_.answer(exchange, ErrorCode::version_conflict,
                                        "another body was confirmed under it");
             case ProposalOutcome::unknown:
-                return control_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
+                return control_.answer(exchange, ErrorCode::no_quorum, {}, kRetryMs);
         }
     }
 
@@ -305,16 +305,16 @@
         if (leaving_ || !consensus_ || !consensus_->leads(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
             if (leader.empty() || leader == settings_.control_plane)
-                return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
+                return control_.answer(exchange, ErrorCode::no_quorum, {}, 200);
             HttpMessage answer;
-            answer.status = error_response(ErrorCode::not_leading).status;
+            answer.status = error_response(ErrorCode::not_leader).status;
             answer.fields.emplace_back("Location", "http://" + leader + m.target);
             return control_.answer(exchange, answer);
         }
         if (m.method == "GET") {
             const LogEntry* const entry = consensus_->committed();
             if (!entry || entry->version == 0)
-                return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
+                return control_.answer(exchange, ErrorCode::no_quorum, "no configuration yet", 200);
             HttpMessage answer;
             answer.status = 200;
             answer.fields.emplace_back("Content-Type", "application/json");
@@ -334,13 +334,13 @@
                 set_timer();
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 Event("configuration_refused", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
-                control_.answer(exchange, kind, detail.text);
+                control_.answer(exchange, code, detail.text);
             },
-            [&] { control_.answer(exchange, ErrorCode::configuration_cut); });
+            [&] { control_.answer(exchange, ErrorCode::configuration_malformed); });
     }
 
     void acknowledge(HttpService::Exchange exchange) {
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -182,7 +182,7 @@
         case Call::What::list:
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(ErrorCode::platform_silent, "list");
+                    if (!answered) return make_error(ErrorCode::platform_timeout, "list");
                     BOOST_LEAF_AUTO(page, runners_.read(answer));
                     bool whole = false;
                     std::vector<std::string> gone;
@@ -194,10 +194,10 @@
                     if (whole) planner_.list_read(now);
                     return {};
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     listing_.failed(now);
                     Event("list_failed", Level::warning)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                 },
                 [&] { listing_.failed(now); });
@@ -206,16 +206,16 @@
             workers_out_ = false;
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(ErrorCode::platform_silent, "workers");
+                    if (!answered) return make_error(ErrorCode::platform_timeout, "workers");
                     BOOST_LEAF_AUTO(all, workers_.read(answer));
                     planner_.workers(now, std::move(all));
                     planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     next_workers_ = now + 300'000;
                     Event("workers_failed", Level::warning)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                 },
                 [&] { next_workers_ = now + 300'000; });
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -46,8 +46,8 @@
     if (!open_log(absl::GetFlag(FLAGS_log_level))) end("--log_level is none of debug, info, warning, error");
     std::signal(SIGPIPE, SIG_IGN);
     return leaf::try_handle_all([] { return Settings::read(path()); },
-                                [](ErrorCode kind, const ErrorDetail& detail) -> Settings {
-                                    end(std::string(error_response(kind).name) + ": " + detail.text);
+                                [](ErrorCode code, const ErrorDetail& detail) -> Settings {
+                                    end(std::string(error_response(code).name) + ": " + detail.text);
                                 },
                                 []() -> Settings { end("settings can not be read"); });
 }
@@ -66,10 +66,10 @@
             changed_(settings);
             return {};
         },
-        [&](ErrorCode kind, const ErrorDetail& detail) {
+        [&](ErrorCode code, const ErrorDetail& detail) {
             if (told)
                 Event("settings_kept", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
         },
         [] {});
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -80,9 +80,9 @@
     // ---- clients ----
 
     void ready(HttpService::Exchange exchange) {
-        if (shutdown_.begun()) return readiness_.answer(exchange, ErrorCode::leaving, {}, 1000);
+        if (shutdown_.begun()) return readiness_.answer(exchange, ErrorCode::shutting_down, {}, 1000);
         if (!handler_.configuration())
-            return readiness_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 500);
+            return readiness_.answer(exchange, ErrorCode::no_quorum, "no configuration yet", 500);
         HttpMessage answer;
         answer.status = 200;
         readiness_.answer(exchange, answer);
@@ -176,7 +176,7 @@
                 .with("service", l.service)
                 .with("took_ms", l.took / 1000);
         for (const Actions::Reply& r : actions.replies) {
-            clients_.answer(r.request, r.kind, {}, r.retry_ms);
+            clients_.answer(r.request, r.code, {}, r.retry_ms);
         }
         for (const RequestId id : actions.relays) relay(id);
         for (const RequestId id : actions.abandons) runners_.abandon(id);
@@ -264,7 +264,8 @@
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
                 if (m.delta.base != 0 && m.delta.base != handler_.version())
-                    return failure(ErrorCode::bytes_malformed, "a difference to a version that is not held");
+                    return make_error(ErrorCode::bytes_malformed,
+                                      "a difference to a version that is not held");
                 BOOST_LEAF_AUTO(body, apply_delta(m.delta.base == 0 ? std::string() : body_, m.delta.bytes));
                 BOOST_LEAF_AUTO(configuration, Configuration::read(body));
                 body_ = std::move(body);
@@ -273,9 +274,9 @@
                 Event("configuration").with("version", handler_.version());
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 Event("configuration_passed_over", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
             },
             [] {});
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -33,7 +33,7 @@
                              std::uint32_t deadline_ms, Actions& out) {
     Request& r = requests_[id];
     r.configuration = configuration_;
-    if (!configuration_) return give_up(now, id, r, ErrorCode::not_offered, 500, out);
+    if (!configuration_) return give_up(now, id, r, ErrorCode::not_sent, 500, out);
     r.route = configuration_->route(host, path);
     if (!r.route) return give_up(now, id, r, ErrorCode::no_route, 0, out);
     r.came = now;
@@ -59,7 +59,7 @@
 void RequestHandler::seek(Micros now, RequestId id, Request& r, Actions& out) {
     r.runner.clear();
     r.by_slot = r.unrestricted = false;
-    if (!fits_before_end(now, r)) return give_up(now, id, r, ErrorCode::leaving, kElsewhere, out);
+    if (!fits_before_end(now, r)) return give_up(now, id, r, ErrorCode::shutting_down, kElsewhere, out);
     if (!coordinator_) {
         r.state = State::held;
         return serve_alone(now, std::string(r.service), out);
@@ -238,18 +238,19 @@
     if (coordinator_ && !loads.loads.empty()) out.mails.push_back(std::move(loads));
 }
 
-void RequestHandler::give_up(Micros now, RequestId id, Request& r, ErrorCode kind, std::uint32_t retry_ms,
+void RequestHandler::give_up(Micros now, RequestId id, Request& r, ErrorCode code, std::uint32_t retry_ms,
                              Actions& out) {
-    if (r.may_have_run && error_response(kind).guarantees_not_run) {
-        kind = ErrorCode::may_have_run;
+    if (r.may_have_run && error_response(code).guarantees_not_run) {
+        code = ErrorCode::may_have_run;
         retry_ms = 0;
     }
-    if (r.client) out.replies.push_back({id, kind, retry_ms});
+    if (r.client) out.replies.push_back({id, code, retry_ms});
     if (r.client && r.route)
         lost(now, r,
-             kind == ErrorCode::may_have_run || kind == ErrorCode::time_over ? ValueLoss::How::failed
-                                                                             : ValueLoss::How::refused);
-    note(now, id, r, r.runner, error_response(kind).name);
+             code == ErrorCode::may_have_run || code == ErrorCode::deadline_exceeded
+                 ? ValueLoss::How::failed
+                 : ValueLoss::How::refused);
+    note(now, id, r, r.runner, error_response(code).name);
     close(id);
 }
 
@@ -510,9 +511,9 @@
             asks_.erase(ask);
             out.mails.push_back(Release{m->id, m->runner, ReleaseReason::unused, 0});
             r.ask = 0;
-            if (!ends_in_time) return give_up(now, id, r, ErrorCode::leaving, kElsewhere, out);
+            if (!ends_in_time) return give_up(now, id, r, ErrorCode::shutting_down, kElsewhere, out);
             if (!usable && now + 20'000 < r.deadline_at) return seek(now, id, r, out);
-            return give_up(now, id, r, ErrorCode::not_offered, 0, out);
+            return give_up(now, id, r, ErrorCode::not_sent, 0, out);
         }
         r.by_slot = true;
         held_up(r, m->waited);
@@ -543,10 +544,10 @@
         const RequestId id = deadlines_.begin()->second;
         Request& r = requests_.at(id);
         if (r.state == State::out) {
-            break_off(now, id, r, ErrorCode::time_over, out);
+            break_off(now, id, r, ErrorCode::deadline_exceeded, out);
         } else {
             withdraw_ask(r, out);
-            give_up(now, id, r, ErrorCode::not_offered, 0, out);
+            give_up(now, id, r, ErrorCode::not_sent, 0, out);
         }
     }
     refuse_what_can_not_end(now, out);
@@ -575,11 +576,11 @@
         out.mails.push_back(Release{r.ask, 0, ReleaseReason::unused, 0});
 }
 
-void RequestHandler::break_off(Micros now, RequestId id, Request& r, ErrorCode kind, Actions& out) {
+void RequestHandler::break_off(Micros now, RequestId id, Request& r, ErrorCode code, Actions& out) {
     functions_[r.service].split.ended(r.runner, static_cast<double>(r.route->timeout) / 1e6);
     release(now, r, ReleaseReason::failed, out);
     out.abandons.push_back(id);
-    give_up(now, id, r, kind, 0, out);
+    give_up(now, id, r, code, 0, out);
 }
 
 void RequestHandler::begin_shutdown(Micros now, Micros answer_by, Actions& out) {
@@ -595,7 +596,7 @@
     for (const RequestId id : refused) {
         Request& r = requests_.at(id);
         withdraw_ask(r, out);
-        give_up(now, id, r, ErrorCode::leaving, kElsewhere, out);
+        give_up(now, id, r, ErrorCode::shutting_down, kElsewhere, out);
     }
 }
 
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -38,7 +38,7 @@
     };
     struct Reply {  // our own
         RequestId request = 0;
-        ErrorCode kind = ErrorCode::no_slot;
+        ErrorCode code = ErrorCode::no_slot;
         std::uint32_t retry_ms = 0;
     };
     std::vector<Message> mails;  // to the coordinator
@@ -188,7 +188,7 @@
     void release(Micros now, Request& r, ReleaseReason how, Actions& out);
     void set_mode(const FunctionMode& m, Actions& out);
     void report(Micros now, Actions& out);
-    void give_up(Micros now, RequestId id, Request& r, ErrorCode kind, std::uint32_t retry_ms, Actions& out);
+    void give_up(Micros now, RequestId id, Request& r, ErrorCode code, std::uint32_t retry_ms, Actions& out);
     void close(RequestId id);
     void lost(Micros now, const Request& r, ValueLoss::How how);
     static void held_up(Request& r, WaitReason by);
@@ -202,7 +202,7 @@
     bool fits_before_end(Micros now, const Request& r) const;
     void refuse_what_can_not_end(Micros now, Actions& out);
     void withdraw_ask(const Request& r, Actions& out);
-    void break_off(Micros now, RequestId id, Request& r, ErrorCode kind, Actions& out);
+    void break_off(Micros now, RequestId id, Request& r, ErrorCode code, Actions& out);
 
     Options options_;
     std::shared_ptr<const Configuration> configuration_;
--- a/src/cluster/runners/resources.cpp
+++ b/src/cluster/runners/resources.cpp
@@ -65,12 +65,12 @@
 
 leaf::result<RunnerListPage> RunnerListResource::read(const HttpMessage& answer) const {
     if (answer.status != 200)
-        return failure(ErrorCode::platform_refused, "list: " + std::to_string(answer.status));
+        return make_error(ErrorCode::platform_rejected, "list: " + std::to_string(answer.status));
     simdjson::dom::parser parser;
     object top;
     simdjson::dom::array all;
     if (parser.parse(answer.body).get(top) || top["instances"].get(all))
-        return failure(ErrorCode::bytes_malformed, "list of runners");
+        return make_error(ErrorCode::bytes_malformed, "list of runners");
     RunnerListPage page;
     page.next = text(top, "next_page_token");
     for (const element one : all) {
@@ -95,12 +95,12 @@
 
 leaf::result<std::vector<Worker>> WorkerListResource::read(const HttpMessage& answer) const {
     if (answer.status != 200)
-        return failure(ErrorCode::platform_refused, "workers: " + std::to_string(answer.status));
+        return make_error(ErrorCode::platform_rejected, "workers: " + std::to_string(answer.status));
     simdjson::dom::parser parser;
     object top;
     simdjson::dom::array all;
     if (parser.parse(answer.body).get(top) || top["workers"].get(all))
-        return failure(ErrorCode::bytes_malformed, "list of workers");
+        return make_error(ErrorCode::bytes_malformed, "list of workers");
     std::vector<Worker> workers;
     for (const element one : all) {
         object o;
--- a/src/cluster/runners/resources.hpp
+++ b/src/cluster/runners/resources.hpp
@@ -20,7 +20,7 @@
 class RunnerListResource {
   public:
     HttpMessage get(const std::string& token) const;
-    // Errors: platform_refused (a status other than 200), bytes_malformed.
+    // Errors: platform_rejected (a status other than 200), bytes_malformed.
     leaf::result<RunnerListPage> read(const HttpMessage& answer) const;
 };
 
--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -37,7 +37,7 @@
     const bool key_read =
         std::sscanf(key.c_str() + sizeof kConfirmedPrefix - 1, "%20llu/%20llu", &index, &version) == 2;
     if (!key_read || std::sscanf(value.c_str(), "%16llx", &digest) != 1)
-        return failure(ErrorCode::disk_failed, "a confirmed version can not be read");
+        return make_error(ErrorCode::disk_failed, "a confirmed version can not be read");
     return ConfirmedVersion{version, digest, index};
 }
 
@@ -82,7 +82,7 @@
         leveldb::DestroyDB(folder + "/state", options);
         status = leveldb::DB::Open(options, folder + "/state", &opened);
     }
-    if (!status.ok()) return failure(ErrorCode::disk_failed, status.ToString());
+    if (!status.ok()) return make_error(ErrorCode::disk_failed, status.ToString());
     base_.reset(opened);
     return leaf::try_handle_all([&] { return read(); }, [] { return PersistentState{}; });
 }
@@ -110,7 +110,7 @@
         BOOST_LEAF_AUTO(record, confirmed_from(at->key().ToString(), at->value().ToString()));
         records.push_back(record);
     }
-    if (!at->status().ok()) return failure(ErrorCode::disk_failed, at->status().ToString());
+    if (!at->status().ok()) return make_error(ErrorCode::disk_failed, at->status().ToString());
     return records;
 }
 
@@ -131,7 +131,7 @@
 }
 
 leaf::result<void> Store::write(const PersistentState& state) {
-    if (!base_) return failure(ErrorCode::disk_failed, "not open");
+    if (!base_) return make_error(ErrorCode::disk_failed, "not open");
     leveldb::WriteBatch batch;
     batch.Put(kPromiseKey, encode_promise(state.promise));
     const bool entry_changed = !has_entry_ || written_ != state.entry.position;
@@ -141,7 +141,7 @@
     const leveldb::Status status = base_->Write(writing, &batch);
     if (!status.ok()) {
         base_.reset();
-        return failure(ErrorCode::disk_failed, status.ToString());
+        return make_error(ErrorCode::disk_failed, status.ToString());
     }
     if (entry_changed) {
         written_ = state.entry.position;
--- a/src/cluster/transport/http_service.cpp
+++ b/src/cluster/transport/http_service.cpp
@@ -160,9 +160,9 @@
     inbound_peer->answer(message);
 }
 
-void HttpService::answer(Exchange exchange, ErrorCode kind, const std::string& detail,
+void HttpService::answer(Exchange exchange, ErrorCode code, const std::string& detail,
                          std::uint32_t retry_ms) {
-    const ErrorResponse answer_is = error_response(kind);
+    const ErrorResponse answer_is = error_response(code);
     HttpMessage message;
     message.status = answer_is.status;
     if (answer_is.status == 503) {
--- a/src/cluster/transport/http_service.hpp
+++ b/src/cluster/transport/http_service.hpp
@@ -30,7 +30,7 @@
     ~HttpService();
 
     void answer(Exchange exchange, const HttpMessage& message);
-    void answer(Exchange exchange, ErrorCode kind, const std::string& detail = {},
+    void answer(Exchange exchange, ErrorCode code, const std::string& detail = {},
                 std::uint32_t retry_ms = 0);
     void limit(const Limits& limits) { limits_ = limits; }
     // From now on each answer closes its connection.
--- a/src/cluster/transport/message_connection.cpp
+++ b/src/cluster/transport/message_connection.cpp
@@ -59,10 +59,10 @@
                 events_.message_received(message_received);
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 ++malformed_lines;
                 Event("line_closed", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
                 close();
                 events_.ended();
--- a/src/cluster/wire/codec.cpp
+++ b/src/cluster/wire/codec.cpp
@@ -322,7 +322,7 @@
         case E::RUNNER_REACHABLE:
             return RunnerReachable{e.getRunnerReachable().getRunner(), e.getRunnerReachable().getUp()};
     }
-    return failure(ErrorCode::bytes_malformed, "no message of ours");
+    return make_error(ErrorCode::bytes_malformed, "no message of ours");
 }
 
 }  // namespace
@@ -362,7 +362,7 @@
         capnp::PackedMessageReader reader(in);
         return read(reader.getRoot<Record>());
     } catch (const kj::Exception& wrong) {
-        return failure(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
+        return make_error(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
     }
 }
 
@@ -449,7 +449,7 @@
         BOOST_LEAF_AUTO(message, get(envelope));
         return ReceivedMessage{text(envelope.getFrom()), std::move(message)};
     } catch (const kj::Exception& wrong) {
-        return failure(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
+        return make_error(ErrorCode::bytes_malformed, wrong.getDescription().cStr());
     }
 }
 
@@ -461,7 +461,7 @@
         length |= static_cast<std::size_t>(static_cast<unsigned char>(held_[static_cast<std::size_t>(i)]))
                   << (8 * i);
     if (length > kMost)
-        return failure(ErrorCode::bytes_malformed, "a message of " + std::to_string(length) + " bytes");
+        return make_error(ErrorCode::bytes_malformed, "a message of " + std::to_string(length) + " bytes");
     if (held_.size() < 4 + length) return std::optional<std::string_view>();
     read_ = 4 + length;
     return std::optional(std::string_view{held_}.substr(4, length));
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -642,7 +642,7 @@
     BOOST_TEST(together.actions.forwards.size() == 2U);
     together.end(1, AttemptResult::not_run);
     BOOST_REQUIRE(together.actions.replies.size() == 1U);
-    BOOST_TEST(!error_response(together.actions.replies[0].kind).guarantees_not_run);
+    BOOST_TEST(!error_response(together.actions.replies[0].code).guarantees_not_run);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_and_then_finds_no_slot_in_time_has_no_promise) {
@@ -656,7 +656,7 @@
     together.now += 3'100'000;
     together.handler.tick(together.now, together.actions);
     for (const Actions::Reply& reply : together.actions.replies)
-        if (reply.request == 1) BOOST_TEST(!error_response(reply.kind).guarantees_not_run);
+        if (reply.request == 1) BOOST_TEST(!error_response(reply.code).guarantees_not_run);
     BOOST_TEST(together.actions.replies.size() == 2U);
 }
 
@@ -670,7 +670,7 @@
         BOOST_TEST(together.actions.forwards.size() == 1U);
         BOOST_TEST(together.actions.replies.size() + together.actions.relays.size() == 1U);
         for (const Actions::Reply& reply : together.actions.replies)
-            BOOST_TEST(!error_response(reply.kind).guarantees_not_run);
+            BOOST_TEST(!error_response(reply.code).guarantees_not_run);
     }
     Together together(false, 3);
     together.add_runner("i-1");
--- a/tests/system/scenarios.cpp
+++ b/tests/system/scenarios.cpp
@@ -361,7 +361,7 @@
             BOOST_TEST(detail.find(kind.substr(colon + 1)) != std::string::npos, detail);
         if (!settings && got != "ok") {
             const int status = got == "configuration_cut"
-                                   ? error_response(ErrorCode::configuration_cut).status
+                                   ? error_response(ErrorCode::configuration_malformed).status
                                    : error_response(ErrorCode::configuration_invalid).status;
             BOOST_TEST((status >= 400 && status < 500));
         }
@@ -566,7 +566,7 @@
     BOOST_TEST(front.tick(WaitingFront::kStart + 3'500'000).replies.empty());
     const Actions late = front.tick(WaitingFront::kStart + 3'700'000);
     BOOST_REQUIRE(late.replies.size() == 1U);
-    BOOST_TEST((late.replies.front().kind == ErrorCode::leaving));
+    BOOST_TEST((late.replies.front().code == ErrorCode::shutting_down));
     BOOST_TEST(late.replies.front().retry_ms > 0U);
     // The coordinator is told that the slot is not wanted any more.
     BOOST_REQUIRE(late.mails.size() == 1U);
@@ -576,7 +576,7 @@
     // What comes now is refused at once.
     const Actions refused = front.arrive(WaitingFront::kStart + 3'800'000, 2);
     BOOST_REQUIRE(refused.replies.size() == 1U);
-    BOOST_TEST((refused.replies.front().kind == ErrorCode::leaving));
+    BOOST_TEST((refused.replies.front().code == ErrorCode::shutting_down));
     BOOST_TEST(refused.mails.empty());
     BOOST_TEST(front.handler.open() == 0U);
 }
@@ -597,7 +597,7 @@
     front.handler.said(WaitingFront::kStart + 3'700'000, AcquireGranted{id, 3}, granted);
     BOOST_TEST(granted.forwards.empty());
     BOOST_REQUIRE(granted.replies.size() == 1U);
-    BOOST_TEST((granted.replies.front().kind == ErrorCode::leaving));
+    BOOST_TEST((granted.replies.front().code == ErrorCode::shutting_down));
     BOOST_REQUIRE(granted.mails.size() == 1U);
     const auto& release = std::get<Release>(granted.mails.front());
     BOOST_TEST((release.id == id && release.runner == 3U && release.how == ReleaseReason::unused));
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -251,7 +251,7 @@
                 BOOST_LEAF_CHECK(Settings::parse(text));
                 return false;
             },
-            [](ErrorCode kind) { return kind == ErrorCode::settings_invalid; }, [] { return false; });
+            [](ErrorCode code) { return code == ErrorCode::settings_invalid; }, [] { return false; });
         BOOST_TEST(refused, name);
     }
 }
--- a/tests/system/world_digest.cpp
+++ b/tests/system/world_digest.cpp
@@ -27,7 +27,7 @@
 void World::digest_actions(std::size_t front, const Actions& actions) {
     if (!records_digest_) return;
     for (const auto& reply : actions.replies) {
-        const ErrorResponse answer = error_response(reply.kind);
+        const ErrorResponse answer = error_response(reply.code);
         digest_output(std::uint64_t{front}, reply.request, static_cast<std::uint64_t>(answer.status),
                       std::uint64_t{reply.retry_ms});
     }
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -128,7 +128,7 @@
         Try& t = tries_[reply.request];
         if (t.answered) breach("answered twice");
         t.answered = true;
-        const ErrorResponse a = error_response(reply.kind);
+        const ErrorResponse a = error_response(reply.code);
         ++statuses[a.status];
         ++refused_of[t.service];
         if (a.guarantees_not_run)
