--- a/rehearsal/scale/hollow_proxy.cpp
+++ b/rehearsal/scale/hollow_proxy.cpp
@@ -115,8 +115,9 @@
 
 void HollowProxy::got(const cluster::Message& message) {
     if (const auto* redirect = std::get_if<cluster::Redirect>(&message)) return got_redirect(*redirect);
-    if (std::holds_alternative<cluster::Registered>(message)) return got_registered();
-    if (const auto* sent = std::get_if<cluster::ConfigurationSent>(&message)) return got_configuration(*sent);
+    if (std::holds_alternative<cluster::RegisterResponse>(message)) return got_registered();
+    if (const auto* sent = std::get_if<cluster::ConfigurationUpdate>(&message))
+        return got_configuration(*sent);
     if (const auto* told = std::get_if<cluster::RunnerUpdate>(&message)) return got_runner(*told);
     if (const auto* grant = std::get_if<cluster::AcquireGranted>(&message)) return got_grant(*grant);
     if (const auto* mode = std::get_if<cluster::FunctionMode>(&message)) return got_mode(*mode);
@@ -143,11 +144,11 @@
     served_by_ = core_;
 }
 
-void HollowProxy::got_configuration(const cluster::ConfigurationSent& message) {
+void HollowProxy::got_configuration(const cluster::ConfigurationUpdate& message) {
     const cluster::Number held = version_;
     const bool fits = message.delta.base == 0 || message.delta.base == held;
     if (fits && message.version > held) version_ = message.version;
-    say(cluster::ConfigurationHeld{version_});
+    say(cluster::ConfigurationAck{version_});
 }
 
 void HollowProxy::got_runner(const cluster::RunnerUpdate& message) {
@@ -157,17 +158,17 @@
         return;
     }
     const cluster::RunnerInfo& holding = message.runner;
-    const auto [at, fresh] = known_.try_emplace(holding.runner);
+    const auto [at, fresh] = known_.try_emplace(holding.runner_id);
     Known& instance = at->second;
     if (fresh) {
         instance.function = function_of(holding.service);
         instance.worker = holding.worker;
         instance.zone = holding.zone;
-        functions_[instance.function].instances.push_back(holding.runner);
+        functions_[instance.function].instances.push_back(holding.runner_id);
     }
     instance.number = message.number;
     instance.up = message.state == cluster::RunnerState::ready;
-    by_number_[message.number] = holding.runner;
+    by_number_[message.number] = holding.runner_id;
     const Micros start = ground_.options.start_ms * kMilli;
     if (message.watch) reachable_.push_back({net::Loop::now() + start, message.number});
 }
@@ -199,14 +200,14 @@
 
 // ---- what it says ----
 
-cluster::Register HollowProxy::registration() const {
-    cluster::Register registration;
+cluster::RegisterRequest HollowProxy::registration() const {
+    cluster::RegisterRequest registration;
     registration.name = "hollow-";
     registration.name += std::to_string(number_);
     registration.zone = "z";
     registration.zone += std::to_string(zone_);
     registration.incarnation = static_cast<cluster::Number>(number_) + 1;
-    registration.version = version_;
+    registration.configuration_version = version_;
     const Micros now = net::Loop::now();
     for (const auto& [name, instance] : known_)
         if (registers(instance, now))
@@ -216,7 +217,7 @@
     for (const auto& [function, office] : functions_)
         if (office.unrestricted)
             registration.unrestricted.push_back(
-                {function_name(function), office.last.count, office.last.busy_ms});
+                {function_name(function), office.last.requests, office.last.busy_ms});
     return registration;
 }
 
@@ -281,7 +282,7 @@
 void HollowProxy::report_loads(Micros now) {
     if (now < reported_at_ + kReportEach) return;
     cluster::LoadReport report;
-    report.span_ms = static_cast<std::uint32_t>((now - reported_at_) / kMilli);
+    report.interval_ms = static_cast<std::uint32_t>((now - reported_at_) / kMilli);
     reported_at_ = now;
     for (auto& [number, function] : functions_) {
         if (!function.unrestricted) continue;
--- a/rehearsal/scale/hollow_proxy.hpp
+++ b/rehearsal/scale/hollow_proxy.hpp
@@ -75,7 +75,7 @@
     struct Function {
         bool unrestricted = false;
         std::uint32_t count = 0, busy_ms = 0;
-        cluster::Load last;
+        cluster::FunctionLoad last;
         Micros called_at = 0;
         std::vector<std::string> instances;
     };
@@ -90,12 +90,12 @@
     void got(const cluster::Message& message);
     void got_redirect(const cluster::Redirect& message);
     void got_registered();
-    void got_configuration(const cluster::ConfigurationSent& message);
+    void got_configuration(const cluster::ConfigurationUpdate& message);
     void got_runner(const cluster::RunnerUpdate& message);
     void got_grant(const cluster::AcquireGranted& message);
     void got_mode(const cluster::FunctionMode& message);
     void forget(const std::string& instance);
-    cluster::Register registration() const;
+    cluster::RegisterRequest registration() const;
     bool registers(const Known& instance, Micros now) const;
     void call(Micros now);
     void call_unasked(Micros now, Function& function);
--- a/rehearsal/scale/meter.hpp
+++ b/rehearsal/scale/meter.hpp
@@ -15,11 +15,11 @@
 /// The name of a message's type, by its place among all.
 inline const char* message_name(std::size_t type) {
     static constexpr std::array<const char*, kMessageTypes> kNames{
-        "VoteRequest",       "VoteResponse",    "AppendRequest",  "AppendResponse", "RecoveryRequest",
-        "RecoveryResponse",  "JoinRequest",     "TimeoutNow",     "LeaveRequest",   "LeaveResponse",
-        "EntryChunk",        "Register",        "Redirect",       "Registered",     "ConfigurationSent",
-        "ConfigurationHeld", "RunnerTold",      "AcquireRequest", "AcquireGranted", "AcquireDenied",
-        "Release",           "RunnerReachable", "Heartbeat",      "Mode",           "LoadReport",
+        "VoteRequest",      "VoteResponse",    "AppendRequest",  "AppendResponse",   "RecoveryRequest",
+        "RecoveryResponse", "JoinRequest",     "TimeoutNow",     "LeaveRequest",     "LeaveResponse",
+        "EntryChunk",       "RegisterRequest", "Redirect",       "RegisterResponse", "ConfigurationUpdate",
+        "ConfigurationAck", "RunnerUpdate",    "AcquireRequest", "AcquireGranted",   "AcquireDenied",
+        "Release",          "RunnerReachable", "Heartbeat",      "FunctionMode",     "LoadReport",
         "OutstandingReport"};
     return kNames[type];
 }
--- a/rehearsal/scale/tests/scale_tests.cpp
+++ b/rehearsal/scale/tests/scale_tests.cpp
@@ -121,9 +121,9 @@
     };
     BOOST_TEST(name_of_message(cluster::VoteRequest()) == "VoteRequest");
     BOOST_TEST(name_of_message(cluster::EntryChunk()) == "EntryChunk");
-    BOOST_TEST(name_of_message(cluster::Register()) == "Register");
-    BOOST_TEST(name_of_message(cluster::ConfigurationSent()) == "ConfigurationSent");
-    BOOST_TEST(name_of_message(cluster::RunnerUpdate()) == "RunnerTold");
+    BOOST_TEST(name_of_message(cluster::RegisterRequest()) == "RegisterRequest");
+    BOOST_TEST(name_of_message(cluster::ConfigurationUpdate()) == "ConfigurationUpdate");
+    BOOST_TEST(name_of_message(cluster::RunnerUpdate()) == "RunnerUpdate");
     BOOST_TEST(name_of_message(cluster::Heartbeat()) == "Heartbeat");
     BOOST_TEST(name_of_message(cluster::OutstandingReport()) == "OutstandingReport");
 }
--- a/src/cluster/configuration/configuration.cpp
+++ b/src/cluster/configuration/configuration.cpp
@@ -182,11 +182,11 @@
                 service.tightest_aim = route.latency_target;
         }
         const Service& first = made->services_[made->service_at_[route.shares.front().service]];
-        route.shape = shapes
-                          .try_emplace({route.latency_target, route.timeout, route.idempotent,
-                                        first.memory_mb, first.most, route.priority},
-                                       static_cast<std::uint16_t>(shapes.size() + 1))
-                          .first->second;
+        route.request_class = shapes
+                                  .try_emplace({route.latency_target, route.timeout, route.idempotent,
+                                                first.memory_mb, first.most, route.priority},
+                                               static_cast<std::uint16_t>(shapes.size() + 1))
+                                  .first->second;
         const auto [other, fresh] =
             made->route_at_.emplace(place(route.host, route.prefix), made->routes_.size());
         if (!fresh)
--- a/src/cluster/configuration/configuration.hpp
+++ b/src/cluster/configuration/configuration.hpp
@@ -36,8 +36,8 @@
         double weight = 1;
     };
     std::vector<Share> shares;  // never empty; weights add up to over 0
-    std::uint16_t shape =
-        0;  // routes that agree in service's kind, aim, time-out and attempts have one shape
+    std::uint16_t request_class =
+        0;  // routes that agree in service's kind, aim, time-out and attempts have one request class
 };
 
 struct Limits {
@@ -47,8 +47,8 @@
 
 class Configuration {
   public:
-    // Errors: configuration_malformed (not JSON, or cut short), configuration_invalid (the detail says what and
-    // where).
+    // Errors: configuration_malformed (not JSON, or cut short), configuration_invalid (the detail says what
+    // and where).
     static leaf::result<std::shared_ptr<const Configuration>> read(std::string_view json);
     // Only the version, of anything that is JSON with one.
     static leaf::result<std::uint64_t> version_of(std::string_view json);
--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -14,15 +14,15 @@
       started_(now),
       heard_leader_(now),
       random_(options_.random_seed * 2 + 1) {
-    if (!state_.promise.member && options_.first_start && contains(options_.seeds, options_.self)) {
+    if (!state_.voting_state.is_member && options_.first_start && contains(options_.seeds, options_.self)) {
         // All founders were told the same seeds, so all found the same core; whoever is no founder asks to be
         // let in.
-        state_.promise.member = true;
+        state_.voting_state.is_member = true;
         state_.entry.position = {0, 1};
         state_.entry.members = options_.seeds;
         out.write = true;
     }
-    if (state_.promise.member) {
+    if (state_.voting_state.is_member) {
         role_ = Role::follower;
         remember_body();
     }
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -32,7 +32,7 @@
 
 // What must survive: on disk before anything that follows from it is said.
 struct PersistentState {
-    Promise promise;
+    VotingState voting_state;
     LogEntry entry;
 };
 
@@ -112,11 +112,11 @@
     // The newest entry that is known to be committed; nullptr: none yet.
     const LogEntry* committed() const { return committed_.position > LogPosition{} ? &committed_ : nullptr; }
     const std::string& leader() const { return leader_; }  // empty: not known
-    Number term() const { return state_.promise.term; }
+    Number term() const { return state_.voting_state.term; }
     const std::vector<std::string>& members() const { return state_.entry.members; }
     const std::set<std::string>& learners() const { return learners_; }  // at the leader
     Micros next_tick() const { return next_tick_; }
-    bool recovering() const { return !state_.promise.member; }
+    bool recovering() const { return !state_.voting_state.is_member; }
     Micros heard_from(const std::string& member) const;  // 0: never
 
   private:
--- a/src/cluster/consensus/election.cpp
+++ b/src/cluster/consensus/election.cpp
@@ -17,7 +17,7 @@
     random_ ^= random_ << 13;
     random_ ^= random_ >> 7;
     random_ ^= random_ << 17;
-    const bool led_before = state_.promise.last_leader == options_.self && role_ != Role::leader;
+    const bool led_before = state_.voting_state.last_leader == options_.self && role_ != Role::leader;
     if (led_before && now_ < started_ + kEagerSpan) {
         // It led when it went down: whoever is up again may vote for it at once.
         election_at_ = now_ + kEagerInterval + static_cast<Micros>(random_ % kEagerInterval);
@@ -31,13 +31,13 @@
 bool Consensus::hears_other_leader(const std::string& candidate) const {
     if (role_ == Role::leader) return leads(now_);
     const bool recent = now_ < heard_leader_ + options_.election_timeout;
-    return recent && state_.promise.last_leader != candidate;
+    return recent && state_.voting_state.last_leader != candidate;
 }
 
 // The next term in which this member may stand: not one in which it, or a member that was asked, gives no
 // vote.
 Number Consensus::next_term() const {
-    return std::max({term() + 1, state_.promise.no_vote_through + 1, term_floor_});
+    return std::max({term() + 1, state_.voting_state.no_vote_through + 1, term_floor_});
 }
 
 void Consensus::campaign(bool pre_vote, Output& out) {
@@ -52,8 +52,8 @@
         role_ = Role::pre_candidate;
     } else {
         role_ = Role::candidate;
-        state_.promise.term = target;
-        state_.promise.voted_for = options_.self;
+        state_.voting_state.term = target;
+        state_.voting_state.voted_for = options_.self;
         out.write = true;
     }
     for (const std::string& voter : all_voters(state_.entry)) {
@@ -65,36 +65,37 @@
 
 void Consensus::handle(const std::string& from, const VoteRequest& request, Output& out) {
     if (role_ == Role::non_member) return;  // a new disk may have promised anything before
-    Promise& promise = state_.promise;
-    const bool owes_lease = hears_other_leader(from) && !request.leader_hands_over;
-    const bool up_to_date = request.held >= state_.entry.position;
-    const bool may_vote = request.term > promise.no_vote_through;
+    VotingState& voting_state = state_.voting_state;
+    const bool owes_lease = hears_other_leader(from) && !request.leadership_transfer;
+    const bool up_to_date = request.last_entry >= state_.entry.position;
+    const bool may_vote = request.term > voting_state.no_vote_through;
     if (request.pre_vote) {
-        const bool granted = request.term > promise.term && up_to_date && !owes_lease && may_vote;
-        if (granted && request.term > promise.pre_voted_through) {
+        const bool granted = request.term > voting_state.term && up_to_date && !owes_lease && may_vote;
+        if (granted && request.term > voting_state.pre_voted_through) {
             // On disk: a member that loses its disk learns from a quorum in which terms it may have voted,
             // and no candidate had a vote in a term that a quorum had not pre-granted.
-            promise.pre_voted_through = request.term;
+            voting_state.pre_voted_through = request.term;
             out.write = true;
         }
         // A candidate whose term is behind learns the first one in which it may get this vote.
-        const Number newest = std::max(promise.no_vote_through, promise.term);
+        const Number newest = std::max(voting_state.no_vote_through, voting_state.term);
         out.sends.push_back({from, VoteResponse{request.term, granted, true, newest}});
         return;
     }
     // Against one that did not hear what all others hear. A leader that hands over has given up its lease
     // itself.
     if (owes_lease) return;
-    if (request.term > promise.term) become_follower(request.term, out);
-    const bool not_given = promise.voted_for.empty() || promise.voted_for == from;
-    const bool current = request.term == promise.term && role_ == Role::follower;
+    if (request.term > voting_state.term) become_follower(request.term, out);
+    const bool not_given = voting_state.voted_for.empty() || voting_state.voted_for == from;
+    const bool current = request.term == voting_state.term && role_ == Role::follower;
     const bool granted = current && up_to_date && may_vote && not_given;
     if (granted) {
-        out.write = out.write || promise.voted_for.empty();
-        promise.voted_for = from;
+        out.write = out.write || voting_state.voted_for.empty();
+        voting_state.voted_for = from;
         set_election_timer();
     }
-    out.sends.push_back({from, VoteResponse{promise.term, granted, false, promise.no_vote_through}});
+    out.sends.push_back(
+        {from, VoteResponse{voting_state.term, granted, false, voting_state.no_vote_through}});
 }
 
 void Consensus::handle(const std::string& from, const VoteResponse& response, Output& out) {
@@ -130,9 +131,9 @@
 }
 
 void Consensus::become_follower(Number term, Output& out) {
-    if (term > state_.promise.term) {
-        state_.promise.term = term;
-        state_.promise.voted_for.clear();
+    if (term > state_.voting_state.term) {
+        state_.voting_state.term = term;
+        state_.voting_state.voted_for.clear();
         out.write = true;
     }
     if (role_ == Role::leader) {
@@ -161,7 +162,7 @@
     }
     // From here on each has the whole time to answer.
     for (const std::string& voter : all_voters(state_.entry)) peers_[voter].answered = now_;
-    state_.promise.last_leader = options_.self;  // written with the first entry
+    state_.voting_state.last_leader = options_.self;  // written with the first entry
     // What an earlier term left half done is committed, or not, with the first entry of this one.
     append(state_.entry, out);
 }
--- a/src/cluster/consensus/entry_transfer.cpp
+++ b/src/cluster/consensus/entry_transfer.cpp
@@ -35,12 +35,12 @@
 }
 
 std::optional<std::string> EntryReceiver::add(const EntryChunk& chunk) {
-    if (chunk.total > kMostPayloadBytes) return {};
-    if (position_ != chunk.position || base_ != chunk.base || total_ != chunk.total) {
+    if (chunk.total_bytes > kMostPayloadBytes) return {};
+    if (position_ != chunk.position || base_ != chunk.base || total_ != chunk.total_bytes) {
         reset();
         position_ = chunk.position;
         base_ = chunk.base;
-        total_ = chunk.total;
+        total_ = chunk.total_bytes;
     }
     if (chunk.offset != payload_.size()) return {};  // a chunk sent twice, or one whose predecessor was lost
     payload_ += chunk.bytes;
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -34,7 +34,7 @@
 void Consensus::handle(const std::string& from, const RecoveryRequest& request, Output& out) {
     if (role_ == Role::non_member) return;
     const bool knows_leader = role_ == Role::leader || now_ < heard_leader_ + options_.election_timeout;
-    out.sends.push_back({from, RecoveryResponse{request.nonce, term(), state_.promise.pre_voted_through,
+    out.sends.push_back({from, RecoveryResponse{request.nonce, term(), state_.voting_state.pre_voted_through,
                                                 knows_leader ? leader_ : "", state_.entry.position,
                                                 state_.entry.members, state_.entry.outgoing_members}});
 }
@@ -42,9 +42,9 @@
 void Consensus::handle(const std::string& from, const RecoveryResponse& response, Output& out) {
     if (response.nonce != nonce_ || nonce_ == 0) return;
     recovery_responses_[from] = response;
-    const auto newest =
-        std::max_element(recovery_responses_.begin(), recovery_responses_.end(),
-                         [](const auto& a, const auto& b) { return a.second.held < b.second.held; });
+    const auto newest = std::max_element(
+        recovery_responses_.begin(), recovery_responses_.end(),
+        [](const auto& a, const auto& b) { return a.second.last_entry < b.second.last_entry; });
     // As many of the others as a quorum: one of them at least has whatever was committed, even if we had the
     // other copy of it, and has pre-voted in any term in which we may have voted.
     const RecoveryResponse& known = newest->second;
@@ -69,11 +69,11 @@
 // Left out, or never in: from here on nothing is promised before it is let in again.
 void Consensus::become_learner(const RecoveryResponse& newest, Output& out) {
     if (role_ != Role::non_member) {
-        const bool newer = newest.held > state_.entry.position;
+        const bool newer = newest.last_entry > state_.entry.position;
         const bool left_out = newer || !is_voter(state_.entry, options_.self);
         if (!left_out || role_ == Role::leader) return;
         role_ = Role::non_member;
-        state_.promise.member = false;
+        state_.voting_state.is_member = false;
         out.write = true;
     }
     joining_ = true;
@@ -82,15 +82,15 @@
 
 void Consensus::await_state(const RecoveryResponse& newest) {
     joining_ = false;
-    Number& term = state_.promise.term;
+    Number& term = state_.voting_state.term;
     for (const auto& [from, response] : recovery_responses_) {
         // No heartbeat of an earlier leader is answered: before, it may have voted for a later one.
-        if (response.term > term) state_.promise.voted_for.clear();
+        if (response.term > term) state_.voting_state.voted_for.clear();
         term = std::max(term, response.term);
         awaited_no_vote_through_ = std::max(awaited_no_vote_through_, response.pre_voted_through);
     }
     awaited_no_vote_through_ = std::max(awaited_no_vote_through_, term);
-    awaited_state_ = newest.held;
+    awaited_state_ = newest.last_entry;
 }
 
 // Whether the leader may bring this non-member the state: it knows whether it belonged here before. If it
@@ -105,11 +105,12 @@
 void Consensus::become_member(Output& out) {
     if (!is_voter(state_.entry, options_.self)) return;
     if (awaited_state_ && state_.entry.position < *awaited_state_) return;
-    Promise& promise = state_.promise;
-    promise.member = true;
+    VotingState& voting_state = state_.voting_state;
+    voting_state.is_member = true;
     // In these terms its lost disk may have voted.
-    promise.no_vote_through = std::max({promise.no_vote_through, awaited_no_vote_through_, promise.term});
-    promise.voted_for = options_.self;
+    voting_state.no_vote_through =
+        std::max({voting_state.no_vote_through, awaited_no_vote_through_, voting_state.term});
+    voting_state.voted_for = options_.self;
     role_ = Role::follower;
     joining_ = false;
     awaited_state_.reset();
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -165,7 +165,7 @@
     else
         leaving_members_.erase(from);  // it has started anew
     if (response.round <= round_) peer.round = std::max(peer.round, response.round);
-    peer.held = response.held;
+    peer.held = response.last_entry;
     const LogPosition& head = state_.entry.position;
     if (peer.held == head) {
         peer.sender.stop();
@@ -187,12 +187,12 @@
         sender.stop();
         return start_transfer(peer);
     }
-    if (receives && response.received > sender.offset()) {
-        sender.confirmed(response.received, now_);
+    if (receives && response.received_bytes > sender.offset()) {
+        sender.confirmed(response.received_bytes, now_);
         return true;
     }
     if (response.round <= sender.sent_in_round()) return false;
-    sender.restart_at(receives ? response.received : 0);  // the chunk was lost
+    sender.restart_at(receives ? response.received_bytes : 0);  // the chunk was lost
     return true;
 }
 
@@ -216,21 +216,22 @@
 // Whether what that leader says is to be followed; the answer is sent where it is not.
 bool Consensus::accept_leader(const std::string& from, Number term, Output& out) {
     if (role_ == Role::non_member && !accepts_state()) return false;
-    if (term < state_.promise.term) {
+    if (term < state_.voting_state.term) {
         answer_leader(from, 0, out);  // no round of this term is answered
         return false;
     }
     const bool other_role = role_ != Role::follower && role_ != Role::non_member;
-    if (role_ != Role::non_member && (term > state_.promise.term || other_role)) become_follower(term, out);
-    if (role_ == Role::non_member && term > state_.promise.term) {
-        state_.promise.term = term;
-        state_.promise.voted_for.clear();
+    if (role_ != Role::non_member && (term > state_.voting_state.term || other_role))
+        become_follower(term, out);
+    if (role_ == Role::non_member && term > state_.voting_state.term) {
+        state_.voting_state.term = term;
+        state_.voting_state.voted_for.clear();
         out.write = true;
     }
     leader_ = from;
     heard_leader_ = now_;
-    if (state_.promise.last_leader != from) {
-        state_.promise.last_leader = from;  // before the answer that grants the lease
+    if (state_.voting_state.last_leader != from) {
+        state_.voting_state.last_leader = from;  // before the answer that grants the lease
         out.write = true;
     }
     set_election_timer();
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -158,7 +158,7 @@
     for (const auto& [number, runner] : slot_table.runners()) {
         const auto worker = workers_.find(runner.what.worker);
         const bool up = worker != workers_.end() && worker->second.ready;
-        if (runner.state == RunnerState::starting && !up) lost.push_back(runner.what.runner);
+        if (runner.state == RunnerState::starting && !up) lost.push_back(runner.what.runner_id);
     }
     for (const std::string& runner : lost) slot_table.gone(now, runner, "its worker drains or is down", mail);
 }
@@ -172,7 +172,7 @@
     if (!f.service) {
         for (const std::uint32_t number : std::vector<std::uint32_t>(f.runners)) {
             slot_table.retire(now, number, mail);
-            leaving_.try_emplace(slot_table.runner(number).what.runner, Leaving{number, 0, false});
+            leaving_.try_emplace(slot_table.runner(number).what.runner_id, Leaving{number, 0, false});
         }
         return;
     }
@@ -225,7 +225,7 @@
     }
     if (!chosen) return;
     const std::uint32_t number = chosen->number;
-    leaving_.try_emplace(chosen->what.runner, Leaving{number, 0, false});
+    leaving_.try_emplace(chosen->what.runner_id, Leaving{number, 0, false});
     slot_table.retire(now, number, mail);
 }
 
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -78,7 +78,7 @@
         std::string member;
         Session session = 0;
         bool front = false;
-        Register registration;
+        RegisterRequest registration;
     };
 
     // ---- disk and consensus ----
@@ -93,11 +93,11 @@
                 std::filesystem::create_directories(settings_.data_directory, ignored);
                 BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
                 Consensus::Options options = consensus_options(settings_);
-                options.first_start = settings_.initial_start && !state.promise.member;
+                options.first_start = settings_.initial_start && !state.voting_state.is_member;
                 Output out;
                 Event("disk_opened")
-                    .with("member", state.promise.member)
-                    .with("term", state.promise.term)
+                    .with("member", state.voting_state.is_member)
+                    .with("term", state.voting_state.term)
                     .with("version", state.entry.version);
                 consensus_.emplace(std::move(options), std::move(state), now, out);
                 carry_out(out);
@@ -200,7 +200,7 @@
                 close_coordinator();  // its books would be wrong: fronts greet the next one
             return;
         }
-        if (const auto* registration = std::get_if<Register>(&message))
+        if (const auto* registration = std::get_if<RegisterRequest>(&message))
             coordinator_->came(session, *registration);
         else
             coordinator_->said(session, message);
@@ -271,7 +271,7 @@
             set_timer();
             return;
         }
-        if (const auto* registration = std::get_if<Register>(&message_received.message)) {
+        if (const auto* registration = std::get_if<RegisterRequest>(&message_received.message)) {
             inbound_peer.front = true;
             inbound_peer.registration = *registration;
             const bool fresh = !coordinator_;
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -98,7 +98,7 @@
     if (delta.empty())
         delta = make_delta(from > 0 ? std::string_view{base->second} : std::string_view{}, bodies_[version_]);
     front.sent = version_;
-    say_(session, ConfigurationSent{version_, {from, delta}});
+    say_(session, ConfigurationUpdate{version_, {from, delta}});
 }
 
 void Coordinator::announce_registered() {
@@ -106,15 +106,17 @@
     for (const auto& [session, front] : proxies_) order.emplace_back(front.name, session);
     std::sort(order.begin(), order.end());
     for (std::uint32_t rank = 0; rank < order.size(); ++rank)
-        say_(order[rank].second, Registered{term_, rank, static_cast<std::uint32_t>(order.size()), members_});
+        say_(order[rank].second,
+             RegisterResponse{term_, rank, static_cast<std::uint32_t>(order.size()), members_});
 }
 
-void Coordinator::came(Session session, const Register& registration) {
+void Coordinator::came(Session session, const RegisterRequest& registration) {
     ProxySession& front = proxies_[session];
     front.name = registration.name;
-    front.version = registration.version;
-    say_(session, Registered{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
-                             members_});
+    front.version = registration.configuration_version;
+    say_(session,
+         RegisterResponse{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
+                          members_});
     push(session, front);
     std::vector<ProxyMessage> mail;
     slot_table_.on_proxy_registered(net::Loop::now(), session, registration, mail);
@@ -152,7 +154,7 @@
     if (const auto* loads = std::get_if<LoadReport>(&message)) slot_table_.loads(now, session, *loads);
     if (const auto* outs = std::get_if<OutstandingReport>(&message)) slot_table_.outs(now, session, *outs);
     if (std::holds_alternative<Heartbeat>(message)) say_(session, Heartbeat{});
-    if (const auto* held = std::get_if<ConfigurationHeld>(&message)) {
+    if (const auto* held = std::get_if<ConfigurationAck>(&message)) {
         at->second.version = held->version;
         at->second.sent = 0;
         push(session, at->second);
@@ -234,8 +236,8 @@
                 .with("worker", call.begin.worker)
                 .with("why", call.begin.why)
                 .with("answer", answered ? std::to_string(answer.status) : "none")
-                .with("runner", begun.runner);
-            recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner,
+                .with("runner", begun.runner_id);
+            recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner_id,
                                  answered ? std::to_string(answer.status) : "none", call.begin.why, true});
             planner_.on_start_result(now, call.begin.nonce, said);
             break;
--- a/src/cluster/programs/coordinator.hpp
+++ b/src/cluster/programs/coordinator.hpp
@@ -28,7 +28,7 @@
     // A newer configuration, or other members. read: the entry's configuration where it has been read
     // already.
     void committed(const LogEntry& entry, std::shared_ptr<const Configuration> read);
-    void came(Session session, const Register& registration);
+    void came(Session session, const RegisterRequest& registration);
     void left(Session session);
     void said(Session session, const Message& message);
     void tick(Micros now);
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -247,9 +247,9 @@
                 dialed_at_ = 0;
             return;
         }
-        if (const auto* m = std::get_if<ConfigurationSent>(&message)) return take(*m);
+        if (const auto* m = std::get_if<ConfigurationUpdate>(&message)) return take(*m);
         handler_.said(now, message, actions);
-        if (const auto* m = std::get_if<Registered>(&message)) {
+        if (const auto* m = std::get_if<RegisterResponse>(&message)) {
             members_ = m->members;
             if (!registered_) {
                 registered_ = true;
@@ -259,7 +259,7 @@
         carry_out(actions);
     }
 
-    void take(const ConfigurationSent& m) {
+    void take(const ConfigurationUpdate& m) {
         if (m.version <= handler_.version()) return;
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
@@ -280,7 +280,7 @@
                     .with("detail", detail.text);
             },
             [] {});
-        say(ConfigurationHeld{handler_.version()});
+        say(ConfigurationAck{handler_.version()});
     }
 
     json::Value explain(const std::string& what) const {
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -92,14 +92,14 @@
     };
     out.mails.push_back(AcquireRequest{r.ask, drawn ? runners_[drawn->runner].number : 0, r.service,
                                        left(r.target_at), left(r.deadline_at), r.route->priority,
-                                       r.route->shape, r.again});
+                                       r.route->request_class, r.again});
 }
 
 // So much of a runner's slots is this front's while nobody keeps them for all: the parts of all fronts add up
 // to them.
 std::uint32_t RequestHandler::part(const Runner& runner) const {
     const std::uint32_t n = std::max(1U, proxies_);
-    const auto shift = static_cast<std::uint32_t>(std::hash<std::string>()(runner.what.runner) % n);
+    const auto shift = static_cast<std::uint32_t>(std::hash<std::string>()(runner.what.runner_id) % n);
     return (runner.what.slots + n - 1 - (rank_ + shift) % n) / n;
 }
 
@@ -160,7 +160,7 @@
 
 void RequestHandler::send(Micros now, RequestId id, Request& r, Runner& runner, Actions& out) {
     r.state = State::out;
-    r.runner = runner.what.runner;
+    r.runner = runner.what.runner_id;
     r.sent_at = now;
     ++r.sends;
     ++runner.out;
@@ -220,7 +220,9 @@
             runner != runners_.end() && runner->second.number > 0)
             ++outs[runner->second.number];
     }
-    if (!outs.empty()) out.mails.push_back(OutstandingReport{{outs.begin(), outs.end()}});
+    OutstandingReport report;
+    for (const auto& [runner, count] : outs) report.counts.push_back({runner, count});
+    if (!report.counts.empty()) out.mails.push_back(std::move(report));
 }
 
 void RequestHandler::report(Micros now, Actions& out) {
@@ -367,22 +369,22 @@
 // ---- the coordinator
 // ----------------------------------------------------------------------------------------------
 
-Register RequestHandler::registration() {
-    Register g{options_.name, options_.zone, options_.incarnation, version(), {}, {}};
+RegisterRequest RequestHandler::registration() {
+    RegisterRequest g{options_.name, options_.zone, options_.incarnation, version(), {}, {}};
     for (auto& [id, r] : runners_) {
         r.registered = 0;
         if (r.state == RunnerState::gone && r.out == 0) continue;
         RunnerInfo h = r.what;
         const auto coordinator = functions_.find(h.service);
         const bool unrestricted = coordinator != functions_.end() && coordinator->second.unrestricted;
-        h.out = unrestricted ? 0 : r.out;  // of what is sent unasked no end is told
-        r.registered = h.out;
-        h.up = r.state == RunnerState::ready;
+        h.outstanding = unrestricted ? 0 : r.out;  // of what is sent unasked no end is told
+        r.registered = h.outstanding;
+        h.reachable = r.state == RunnerState::ready;
         g.runners.push_back(std::move(h));
     }
     for (const auto& [service, coordinator] : functions_)
         if (coordinator.unrestricted)
-            g.unrestricted.push_back({service, coordinator.last.count, coordinator.last.busy_ms});
+            g.unrestricted.push_back({service, coordinator.last.requests, coordinator.last.busy_ms});
     return g;
 }
 
@@ -440,10 +442,10 @@
 
 // One that is gone may still have requests out here, whose ends the coordinator counts under its number.
 void RequestHandler::told_gone(const RunnerUpdate& m, Actions& out) {
-    if (const auto held = runners_.find(m.runner.runner);
+    if (const auto held = runners_.find(m.runner.runner_id);
         held != runners_.end() && held->second.number == 0) {
         held->second.number = m.number;
-        by_number_[m.number] = m.runner.runner;
+        by_number_[m.number] = m.runner.runner_id;
         correct_registration(held->second, out);
     }
     if (const auto at = by_number_.find(m.number); at != by_number_.end())
@@ -452,22 +454,22 @@
 
 void RequestHandler::told(const RunnerUpdate& m, Actions& out) {
     if (m.state == RunnerState::gone) return told_gone(m, out);
-    Runner& r = runners_[m.runner.runner];
+    Runner& r = runners_[m.runner.runner_id];
     const std::uint32_t mine = r.out;
-    const bool fresh = r.what.runner.empty();
+    const bool fresh = r.what.runner_id.empty();
     r.what = m.runner;
     r.out = mine;
     const bool first = r.number == 0;  // in this session
     if (r.number != m.number) by_number_.erase(r.number);
     r.number = m.number;
-    by_number_[m.number] = m.runner.runner;
+    by_number_[m.number] = m.runner.runner_id;
     r.state = m.state;
     if (first) correct_registration(r, out);
     Coordinator& coordinator = functions_[m.runner.service];
-    if (fresh) coordinator.runners.push_back(m.runner.runner);
-    if (m.state == RunnerState::ready) coordinator.split.enter(m.runner.runner, m.runner.slots);
+    if (fresh) coordinator.runners.push_back(m.runner.runner_id);
+    if (m.state == RunnerState::ready) coordinator.split.enter(m.runner.runner_id, m.runner.slots);
     if (m.watch && m.state == RunnerState::starting) {
-        watched_[m.runner.address].push_back(m.runner.runner);
+        watched_[m.runner.address].push_back(m.runner.runner_id);
         out.watches.push_back(m.runner.address);
     }
 }
@@ -490,9 +492,9 @@
 }
 
 void RequestHandler::said(Micros now, const Message& message, Actions& out) {
-    if (const auto* m = std::get_if<Registered>(&message)) {
+    if (const auto* m = std::get_if<RegisterResponse>(&message)) {
         rank_ = m->rank;
-        proxies_ = std::max(1U, m->fronts);
+        proxies_ = std::max(1U, m->proxies);
     } else if (const auto* m = std::get_if<RunnerUpdate>(&message)) {
         told(*m, out);
     } else if (const auto* m = std::get_if<AcquireGranted>(&message)) {
@@ -516,7 +518,7 @@
             return give_up(now, id, r, ErrorCode::not_sent, 0, out);
         }
         r.by_slot = true;
-        held_up(r, m->waited);
+        held_up(r, m->wait_reason);
         note(now, id, r, runner->second,
              r.again                       ? "granted_again"
              : r.drawn_number == m->runner ? "granted_as_drawn"
@@ -530,9 +532,9 @@
         if (ask == asks_.end()) return;
         const RequestId id = ask->second;
         Request& r = requests_.at(id);
-        if (r.again && m->waited == WaitReason::nothing) r.slowed = ValueLoss::Cause::budget;
-        held_up(r, m->waited);
-        give_up(now, id, r, ErrorCode::no_slot, m->retry_ms, out);
+        if (r.again && m->wait_reason == WaitReason::none) r.slowed = ValueLoss::Cause::budget;
+        held_up(r, m->wait_reason);
+        give_up(now, id, r, ErrorCode::no_slot, m->retry_after_ms, out);
     }
 }
 
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -108,7 +108,7 @@
     // The coordinator: a session with it begins and ends; what it says.
     // What the coordinator is told as a session begins; what changes until coordinator_connected() is told
     // after it.
-    Register registration();
+    RegisterRequest registration();
     void on_coordinator_registered(Micros now, Actions& out);
     void on_coordinator_disconnected(Micros now, Actions& out);
     bool coordinator() const { return coordinator_; }
@@ -157,8 +157,8 @@
         std::uint32_t drawn_number = 0;                    // the runner that the coordinator was told
         ValueLoss::Cause slowed = ValueLoss::Cause::work;  // by what it was held up last
     };
-    // Routes that agree in these are taken to ask for work that takes alike long. A route's shape would not
-    // do: its number means something else in the next configuration.
+    // Routes that agree in these are taken to ask for work that takes alike long. A route's request class
+    // would not do: its number means something else in the next configuration.
     using WorkKind = std::tuple<std::uint8_t, Micros, bool>;  // priority, aim, idempotent
     static WorkKind kind_of(const Route& route) {
         return {route.priority, route.latency_target, route.idempotent};
@@ -175,9 +175,9 @@
         std::vector<std::string> runners;
         bool unrestricted = false;  // no slot is asked for
         std::uint32_t count = 0;
-        Micros busy = 0;  // since the last report
-        Load last;        // what that report said, a second of it
-        int turns = 0;    // without a coordinator: slots taken since a late one had its turn
+        Micros busy = 0;    // since the last report
+        FunctionLoad last;  // what that report said, a second of it
+        int turns = 0;      // without a coordinator: slots taken since a late one had its turn
     };
 
     void finish(Micros now, RequestId id, Request& r, AttemptResult how, Actions& out);
--- a/src/cluster/runners/listing.cpp
+++ b/src/cluster/runners/listing.cpp
@@ -22,7 +22,7 @@
 void RunnerListing::page(Micros now, const RunnerListPage& page, bool& whole,
                          std::vector<std::string>& gone) {
     out_ = false;
-    for (const ListedRunner& one : page.runners) reading_.insert(one.what.runner);
+    for (const ListedRunner& one : page.runners) reading_.insert(one.what.runner_id);
     token_ = page.next;
     whole = token_.empty();
     const auto apart = static_cast<Micros>(1.5e6 / std::max(0.1, options_.rate_per_s));
--- a/src/cluster/runners/resources.cpp
+++ b/src/cluster/runners/resources.cpp
@@ -86,7 +86,7 @@
                   0,
                   true};
         l.draining = text(o, "state") != "ready";
-        if (!l.what.runner.empty() && !l.what.address.empty()) page.runners.push_back(std::move(l));
+        if (!l.what.runner_id.empty() && !l.what.address.empty()) page.runners.push_back(std::move(l));
     }
     return page;
 }
@@ -125,9 +125,9 @@
     simdjson::dom::parser parser;
     object top;
     if (parser.parse(answer.body).get(top)) return StartResult::silent;
-    begun.runner = text(top, "runner_id");
+    begun.runner_id = text(top, "runner_id");
     begun.address = text(top, "address");
-    return begun.runner.empty() || begun.address.empty() ? StartResult::silent : StartResult::begun;
+    return begun.runner_id.empty() || begun.address.empty() ? StartResult::silent : StartResult::begun;
 }
 
 HttpMessage StopRunnerResource::post(const Fence& fence, const StopRunner& stop) const {
--- a/src/cluster/slots/demand.cpp
+++ b/src/cluster/slots/demand.cpp
@@ -1,4 +1,4 @@
-// Means of what requests ask for: the time of work of one shape, and the demand for slots.
+// Means of what requests ask for: the time of work of one request class, and the demand for slots.
 #include "cluster/slots/slot_table.hpp"
 
 #include <algorithm>
--- a/src/cluster/slots/modes.cpp
+++ b/src/cluster/slots/modes.cpp
@@ -23,21 +23,22 @@
 
 void SlotTable::loads(Micros now, Session session, const LoadReport& m) {
     const auto front = proxies_.find(session);
-    if (front == proxies_.end() || m.span_ms == 0) return;
-    for (const Load& l : m.loads) {
+    if (front == proxies_.end() || m.interval_ms == 0) return;
+    for (const FunctionLoad& l : m.loads) {
         const auto known = functions_.find(l.service);
         if (known == functions_.end()) continue;
         Function& f = *known->second;
         if (!f.interested.contains(session)) note_function(session, f);
-        f.parts[session] = {static_cast<double>(l.busy_ms) / m.span_ms, l.count * 1e3 / m.span_ms, now};
-        if (l.count > 0) f.last_used = now;
+        f.parts[session] = {static_cast<double>(l.busy_ms) / m.interval_ms, l.requests * 1e3 / m.interval_ms,
+                            now};
+        if (l.requests > 0) f.last_used = now;
         touch(f);
     }
 }
 
 void SlotTable::outs(Micros now, Session session, const OutstandingReport& m) {
     if (!proxies_.contains(session)) return;
-    for (const auto& [number, count] : m.by_runner) {
+    for (const auto& [number, count] : m.counts) {
         const auto at = runners_.find(number);
         if (at == runners_.end()) continue;
         if (!at->second.told.contains(session)) note_runner(session, number);
--- a/src/cluster/slots/proxies.cpp
+++ b/src/cluster/slots/proxies.cpp
@@ -17,28 +17,28 @@
 
 }  // namespace
 
-void SlotTable::on_proxy_registered(Micros now, Session session, const Register& registration,
+void SlotTable::on_proxy_registered(Micros now, Session session, const RegisterRequest& registration,
                                     std::vector<ProxyMessage>& out) {
     ProxySession& front = proxies_[session];
     front.name = registration.name;
     front.zone = registration.zone;
     for (const RunnerInfo& held : registration.runners) {
-        if (ended_.contains(held.runner)) continue;
-        const auto known = by_name_.find(held.runner);
+        if (ended_.contains(held.runner_id)) continue;
+        const auto known = by_name_.find(held.runner_id);
         RunnerSlots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, held);
-        if (held.up && r.state == RunnerState::starting) {
+        if (held.reachable && r.state == RunnerState::starting) {
             r.state = RunnerState::ready;
             starting_.erase(r.number);
             tell_all(r, out);
         }
-        for (std::uint32_t n = 0; n < held.out; ++n) r.given.push_back({session, 0, 0, now});
+        for (std::uint32_t n = 0; n < held.outstanding; ++n) r.given.push_back({session, 0, 0, now});
         if (r.function->interested.insert(session).second) note_function(session, *r.function);
         touch(*r.function);
         tell(r, session, out);
     }
     // What it takes unasked was free under the coordinator before: so it stays, unless it has been kept here
     // already; by the loads that are told with it the next sample judges it like any other.
-    for (const Load& l : registration.unrestricted) {
+    for (const FunctionLoad& l : registration.unrestricted) {
         Function& f = function(l.service);
         if (f.interested.insert(session).second) note_function(session, f);
         if (now < f.coordinated_until) {
@@ -47,7 +47,7 @@
         }
         f.used_since = std::min(f.used_since, now - kKnown);
         f.last_used = now;
-        f.parts[session] = {static_cast<double>(l.busy_ms) / 1e3, static_cast<double>(l.count), now};
+        f.parts[session] = {static_cast<double>(l.busy_ms) / 1e3, static_cast<double>(l.requests), now};
         touch(f);
         if (!f.unrestricted) {
             f.unrestricted = true;
@@ -58,7 +58,7 @@
     // One that kept on asking for what is free by now.
     std::set<std::string> kept;
     for (const RunnerInfo& held : registration.runners) kept.insert(held.service);
-    for (const Load& l : registration.unrestricted) kept.erase(l.service);
+    for (const FunctionLoad& l : registration.unrestricted) kept.erase(l.service);
     for (const std::string& name : kept)
         if (function(name).unrestricted) out.push_back({session, FunctionMode{name, true}});
     for (const std::uint32_t number : std::set<std::uint32_t>(starting_)) watch(runners_.at(number), out);
@@ -123,7 +123,7 @@
     const bool gone = r.draining || r.state == RunnerState::gone;
     RunnerUpdate told{r.number, gone ? RunnerState::gone : r.state, gone && !first ? RunnerInfo{} : r.what,
                       watch};
-    told.runner.out = 0;
+    told.runner.outstanding = 0;
     out.push_back({front, std::move(told)});
 }
 
--- a/src/cluster/slots/requests.cpp
+++ b/src/cluster/slots/requests.cpp
@@ -35,7 +35,7 @@
             if (RunnerSlots& r = runners_.at(number); !r.draining) tell(r, session, out);
         if (f.unrestricted) out.push_back({session, FunctionMode{f.name, true}});
     }
-    if (ask.again) {
+    if (ask.is_retry) {
         while (!f.tried_again.empty() && f.tried_again.front() < now - options_.budget_window)
             f.tried_again.pop_front();
         // Two coordinators in one window, each with half: the budget holds over a change of the coordinator
@@ -47,10 +47,10 @@
         f.tried_again.push_back(now);
     } else {
         ++f.places[front->second.zone].asked;
-        f.came += usual(ask.shape) / 1e6;
+        f.came += usual(ask.request_class) / 1e6;
     }
     if (RunnerSlots* const r = f.waiting.empty() ? choose(now, f, ask, front->second.zone) : nullptr) {
-        grant(now, *r, session, ask, WaitReason::nothing, out);
+        grant(now, *r, session, ask, WaitReason::none, out);
         return &f;
     }
     if (const std::uint32_t later = too_long(f, ask); later > 0) {
@@ -62,7 +62,7 @@
                                      now,
                                      now + ask.latency_target_ms * 1000LL,
                                      now + ask.deadline_ms * 1000LL,
-                                     static_cast<Micros>(usual(ask.shape)),
+                                     static_cast<Micros>(usual(ask.request_class)),
                                      lacks(f)};
     front->second.waiting[ask.id] = {&f, f.waiting.add(waiting)};
     serve(now, f, out);
@@ -70,7 +70,7 @@
 }
 
 RunnerSlots* SlotTable::choose(Micros now, Function& f, const AcquireRequest& ask, const std::string& zone) {
-    if (const auto drawn = runners_.find(ask.drawn);
+    if (const auto drawn = runners_.find(ask.preferred_runner);
         drawn != runners_.end() && drawn->second.function == &f && open(now, drawn->second))
         return &drawn->second;
     RunnerSlots* best = nullptr;
@@ -113,7 +113,7 @@
 
 void SlotTable::grant(Micros now, RunnerSlots& r, Session session, const AcquireRequest& ask,
                       WaitReason waited, std::vector<ProxyMessage>& out) {
-    r.given.push_back({session, ask.id, ask.shape, now});
+    r.given.push_back({session, ask.id, ask.request_class, now});
     if (!r.told.contains(session)) tell(r, session, out);
     out.push_back({session, AcquireGranted{ask.id, r.number, waited}});
 }
@@ -165,22 +165,22 @@
         return g.front == session && g.ask == m.id;
     });
     if (given != r.given.end()) {
-        if (m.how == ReleaseReason::answered && given->ask > 0)
-            durations_[given->shape].add(static_cast<double>(m.took_ms) * 1e3);
+        if (m.reason == ReleaseReason::answered && given->ask > 0)
+            durations_[given->request_class].add(static_cast<double>(m.duration_ms) * 1e3);
         r.given.erase(given);
         if (r.given.empty()) r.idle_since = now;
     }
     Function& f = *r.function;
-    if (m.how == ReleaseReason::gone)
-        return gone(now, std::string(r.what.runner), "another has its address", out);
-    if (m.how == ReleaseReason::unreachable) {
+    if (m.reason == ReleaseReason::gone)
+        return gone(now, std::string(r.what.runner_id), "another has its address", out);
+    if (m.reason == ReleaseReason::unreachable) {
         // It had started and nobody listens there: tried once more after a while, since it may be the path.
         if (r.state == RunnerState::ready && r.given.empty() && r.aside_until > 0 && now >= r.aside_until &&
             now < r.aside_until + 2 * kAside)
-            return gone(now, std::string(r.what.runner), "unreachable twice", out);
+            return gone(now, std::string(r.what.runner_id), "unreachable twice", out);
         if (now >= r.aside_until) r.aside_until = now + kAside;
     }
-    if (m.how == ReleaseReason::rejected) {
+    if (m.reason == ReleaseReason::rejected) {
         r.aside_until = std::max(r.aside_until, now + 50'000);
         f.rejected.push_back(now);
         if (f.unrestricted) settle_mode(now, f, out);
--- a/src/cluster/slots/runners.cpp
+++ b/src/cluster/slots/runners.cpp
@@ -15,27 +15,27 @@
     RunnerSlots& r = runners_[number];
     r.number = number;
     r.what = what;
-    r.what.out = 0;
+    r.what.outstanding = 0;
     r.began = r.idle_since = now;
     Function& f = function(what.service);
     r.function = &f;
     if (f.service) r.what.slots = f.service->most;
     f.runners.push_back(number);
-    by_name_[what.runner] = number;
+    by_name_[what.runner_id] = number;
     starting_.insert(number);
     touch(f);
     return r;
 }
 
 void SlotTable::began(Micros now, const RunnerInfo& what, std::vector<ProxyMessage>& out) {
-    if (by_name_.contains(what.runner) || ended_.contains(what.runner)) return;
+    if (by_name_.contains(what.runner_id) || ended_.contains(what.runner_id)) return;
     RunnerSlots& r = add(now, what);
     watch(r, out);
 }
 
 void SlotTable::listed(Micros now, const RunnerInfo& what, bool draining, std::vector<ProxyMessage>& out) {
-    const auto known = by_name_.find(what.runner);
-    if (known == by_name_.end() && (draining || ended_.contains(what.runner))) return;
+    const auto known = by_name_.find(what.runner_id);
+    if (known == by_name_.end() && (draining || ended_.contains(what.runner_id))) return;
     RunnerSlots& r = known != by_name_.end() ? runners_.at(known->second) : add(now, what);
     if (r.what.worker.empty()) r.what.worker = what.worker;
     const bool changed = r.state == RunnerState::starting || (draining && !r.draining);
@@ -57,8 +57,8 @@
     const auto at = runners_.find(m.runner);
     if (at == runners_.end() || at->second.state != RunnerState::starting) return;
     RunnerSlots& r = at->second;
-    if (!m.up) {
-        if (r.watcher == session) gone(now, std::string(r.what.runner), "it did not start", out);
+    if (!m.reachable) {
+        if (r.watcher == session) gone(now, std::string(r.what.runner_id), "it did not start", out);
         return;
     }
     r.state = RunnerState::ready;
--- a/src/cluster/slots/sampling.cpp
+++ b/src/cluster/slots/sampling.cpp
@@ -32,7 +32,8 @@
         else if (now < r.aside_until)
             first = static_cast<double>(r.aside_until - now);
         for (const RunnerSlots::Given& g : r.given)
-            free_in.push_back(std::max(usual(g.shape) - static_cast<double>(now - g.since), 20'000.0));
+            free_in.push_back(
+                std::max(usual(g.request_class) - static_cast<double>(now - g.since), 20'000.0));
         for (std::uint32_t i = r.out(); i < r.what.slots; ++i) free_in.push_back(first);
     }
     if (free_in.empty()) return 1e12;
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -52,8 +52,8 @@
     return at == proxies_.end() ? nullptr : &at->second.name;
 }
 
-double SlotTable::usual(std::uint16_t shape) const {
-    const auto at = durations_.find(shape);
+double SlotTable::usual(std::uint16_t request_class) const {
+    const auto at = durations_.find(request_class);
     return at == durations_.end() ? kGuess : at->second.get(kGuess);
 }
 
--- a/src/cluster/slots/slot_table.hpp
+++ b/src/cluster/slots/slot_table.hpp
@@ -35,7 +35,7 @@
     Message message;
 };
 
-// How long work of one shape takes, smoothed, in microseconds.
+// How long work of one request class takes, smoothed, in microseconds.
 class SmoothedDuration {
   public:
     void add(double took);
@@ -45,9 +45,9 @@
     double mean_ = 0, weight_ = 0;
 };
 
-// Demand for slots: what came, each counted with the time that work of its shape takes, as a mean over about
-// so long. The mean is over the time really seen, so that the first requests after a pause count at once and
-// not by and by.
+// Demand for slots: what came, each counted with the time that work of its request class takes, as a mean
+// over about so long. The mean is over the time really seen, so that the first requests after a pause count
+// at once and not by and by.
 class Demand {
   public:
     explicit Demand(double seconds) : seconds_(seconds) {}
@@ -65,7 +65,7 @@
     struct Given {
         Session front = 0;
         std::uint32_t ask = 0;  // 0: taken over from another coordinator, or sent while free
-        std::uint16_t shape = 0;
+        std::uint16_t request_class = 0;
         Micros since = 0;
     };
     std::uint32_t number = 0;
@@ -144,7 +144,7 @@
 
     void configure(std::shared_ptr<const Configuration> configuration);
 
-    void on_proxy_registered(Micros now, Session session, const Register& registration,
+    void on_proxy_registered(Micros now, Session session, const RegisterRequest& registration,
                              std::vector<ProxyMessage>& out);
     void on_proxy_disconnected(Micros now, Session session, std::vector<ProxyMessage>& out);
     // The function asked for; nullptr: there is none.
@@ -174,7 +174,7 @@
     std::size_t fronts() const { return proxies_.size(); }
     const std::string* zone_of(Session front) const;
     const std::string* name_of(Session front) const;
-    double usual(std::uint16_t shape) const;
+    double usual(std::uint16_t request_class) const;
     // When a slot of the function is likely to come free for one more, from now on; 0 if one is.
     double expected_wait(Micros now, const Function& function) const;
 
--- a/src/cluster/slots/wait_queue.hpp
+++ b/src/cluster/slots/wait_queue.hpp
@@ -23,8 +23,8 @@
         Session front = 0;
         AcquireRequest ask;
         Micros since = 0, target_at = 0, deadline_at = 0;
-        Micros work = 0;  // usual time of its shape: from aim_at less that on it counts as late
-        WaitReason waits_for = WaitReason::nothing;
+        Micros work = 0;  // usual time of its request class: from aim_at less that on it counts as late
+        WaitReason waits_for = WaitReason::none;
     };
     using Place = std::uint64_t;
 
--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -11,7 +11,7 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr char kPromiseKey[] = "promise";
+constexpr char kVotingStateKey[] = "promise";
 constexpr char kEntryKey[] = "entry";
 constexpr char kConfirmedPrefix[] = "confirmed/";
 
@@ -88,13 +88,13 @@
 }
 
 leaf::result<PersistentState> Store::read() {
-    std::string promise;
+    std::string voting_state;
     std::string entry;
-    const bool found =
-        base_->Get(reading(), kPromiseKey, &promise).ok() && base_->Get(reading(), kEntryKey, &entry).ok();
+    const bool found = base_->Get(reading(), kVotingStateKey, &voting_state).ok() &&
+                       base_->Get(reading(), kEntryKey, &entry).ok();
     if (!found) return PersistentState{};
     PersistentState state;
-    BOOST_LEAF_ASSIGN(state.promise, decode_promise(promise));
+    BOOST_LEAF_ASSIGN(state.voting_state, decode_voting_state(voting_state));
     BOOST_LEAF_ASSIGN(state.entry, decode_entry(entry));
     BOOST_LEAF_ASSIGN(state.entry.confirmed, read_confirmed());
     written_ = state.entry.position;
@@ -133,7 +133,7 @@
 leaf::result<void> Store::write(const PersistentState& state) {
     if (!base_) return make_error(ErrorCode::disk_failed, "not open");
     leveldb::WriteBatch batch;
-    batch.Put(kPromiseKey, encode_promise(state.promise));
+    batch.Put(kVotingStateKey, encode_voting_state(state.voting_state));
     const bool entry_changed = !has_entry_ || written_ != state.entry.position;
     if (entry_changed) put_entry(batch, state.entry);
     leveldb::WriteOptions writing;
--- a/src/cluster/transport/message_connection.hpp
+++ b/src/cluster/transport/message_connection.hpp
@@ -8,6 +8,7 @@
 
 #include "net/connection.hpp"
 #include "cluster/wire/codec.hpp"
+#include "cluster/wire/frames.hpp"
 
 namespace gannethold::cluster {
 
@@ -38,7 +39,7 @@
     void ended(net::Ending) override;
 
     Events events_;
-    Frames frames_;
+    FrameReader frames_;
     bool open_ = false, closed_ = false;
     Micros heard_ = 0;
     std::size_t message_bytes_ = 0;
--- a/src/cluster/wire/codec.hpp
+++ b/src/cluster/wire/codec.hpp
@@ -1,7 +1,6 @@
-// Bytes of a message: its length (4 bytes, lowest first), then a packed Cap'n Proto Envelope.
+// Messages and stored records as bytes. The functions have no state and may be called from any thread.
 #pragma once
 
-#include <optional>
 #include <string>
 #include <string_view>
 
@@ -11,35 +10,22 @@
 namespace gannethold::cluster {
 
 struct ReceivedMessage {
-    std::string from;  // empty unless the sender named itself
+    std::string from;  // the sender's control_plane address; empty unless the message names it
     Message message;
 };
 
+// A frame (frames.hpp) with a packed Cap'n Proto Envelope (cluster.capnp).
 std::string encode(const Message& message, std::string_view from = {});
-// Error: bytes_malformed.
+// The message in a frame's content. Error: bytes_malformed.
 leaf::result<ReceivedMessage> decode(std::string_view packed);
 
-// An entry as it travels, and as it stands on disk; a member's promises on disk. Errors of reading:
-// bytes_malformed.
+// Records, as packed Cap'n Proto structures without a frame: the payload that is sent in chunks, and what a
+// controller stores. Error of each decode_...: bytes_malformed.
 std::string encode_payload(const EntryPayload& payload);
 leaf::result<EntryPayload> decode_payload(std::string_view bytes);
 std::string encode_entry(const LogEntry& entry);
 leaf::result<LogEntry> decode_entry(std::string_view bytes);
-std::string encode_promise(const Promise& promise);
-leaf::result<Promise> decode_promise(std::string_view bytes);
-
-// Cuts a stream into messages. A length over the bound is an error: against memory taken by a stranger's
-// word.
-class Frames {
-  public:
-    static constexpr std::size_t kMost = 16U << 20;
-    void add(std::string_view bytes) { held_.append(bytes); }
-    // The next whole message's packed bytes, good until the next call; nothing yet: nullopt.
-    leaf::result<std::optional<std::string_view>> next();
-
-  private:
-    std::string held_;
-    std::size_t read_ = 0;
-};
+std::string encode_voting_state(const VotingState& voting_state);
+leaf::result<VotingState> decode_voting_state(std::string_view bytes);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/wire/messages.hpp
+++ b/src/cluster/wire/messages.hpp
@@ -1,5 +1,9 @@
-// What the system's own processes say to each other, as plain values; codec.hpp turns them to bytes and back.
-// Core machines are named by their control_plane address, runners by their runner_id.
+// The messages between the cluster's own processes, and the records that a controller stores, as plain
+// values. codec.hpp turns them into bytes and back.
+//
+// Controllers are named by their control_plane address ("ip:port"), runners by the platform's runner_id.
+// Terms, logs, votes and leases are Raft's (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+// Algorithm"); the sections that are named below are that paper's.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +13,22 @@
 
 namespace gannethold::cluster {
 
-// What a number says. They are all of one type, as the messages and the stored records carry them.
-using Term = std::uint64_t;                  // of leadership; grows for as long as the cluster exists
-using LogIndex = std::uint64_t;              // of an entry in the replicated log; the first is 1
-using ConfigurationVersion = std::uint64_t;  // which the operator gives; 0: none yet
+// What a number counts. The types are all the same, as the messages and the stored records carry them.
+using Term = std::uint64_t;                  // of leadership; never decreases while the cluster exists
+using LogIndex = std::uint64_t;              // of an entry in the replicated log; the first entry has 1
+using ConfigurationVersion = std::uint64_t;  // chosen by the operator; 0: no configuration yet
 using Digest = std::uint64_t;                // of a configuration's text (configuration/digest.hpp)
-using Incarnation = std::uint64_t;           // of a process: another one after each start
-using Round = std::uint64_t;                 // of heartbeats, counted from 1 within a term
+using Incarnation = std::uint64_t;           // of a process: differs after each start
+using Round = std::uint64_t;                 // of heartbeats, counted within a term
 using Nonce = std::uint64_t;                 // ties a response to its request
 using ByteCount = std::uint64_t;
-using RunnerNumber = std::uint32_t;  // stands for a runner within a term; 0: none
+using RunnerNumber = std::uint32_t;  // a runner's short name within one term; 0: no runner
+using AcquireId = std::uint32_t;     // of a request for a slot, chosen by the proxy; 0: none
 // Where the kind of number is not said yet.
 using Number = std::uint64_t;
 
-// Where an accepted state stands among all others: later terms first, then later indexes.
+// The position of an entry in the replicated log. Ordered by term, then by index: of two positions the
+// greater one is the more up-to-date (section 5.4.1).
 struct LogPosition {
     Term term = 0;
     LogIndex index = 0;
@@ -31,7 +37,7 @@
                             const LogPosition&) = default;  // NOLINT(modernize-use-nullptr)
 };
 
-// A configuration number under which one body was confirmed to an operator. The digest says which body.
+// A configuration version that was confirmed to an operator, with the digest of the text that it stands for.
 struct ConfirmedVersion {
     ConfigurationVersion version = 0;
     Digest digest = 0;
@@ -39,200 +45,231 @@
     friend bool operator==(const ConfirmedVersion&, const ConfirmedVersion&) = default;
 };
 
-// The core's whole replicated state. Each change appends a new entry that holds all of it, so that only the
-// newest entry is ever needed; the newest one that a quorum holds is in force.
+// An entry of the replicated log. Each entry contains the complete replicated state, so only the newest one
+// is stored, and only the newest one that a quorum has stored is in force.
 struct LogEntry {
     LogPosition position;
-    ConfigurationVersion version = 0;           // of the configuration; 0: none yet
+    ConfigurationVersion version = 0;
     std::vector<std::string> members;           // the voters
-    std::vector<std::string> outgoing_members;  // while membership changes: the voters before; else empty
+    std::vector<std::string> outgoing_members;  // the voters before a membership change that is in progress
+                                                // (joint consensus, section 6); empty otherwise
     std::vector<ConfirmedVersion> confirmed;  // the newest ones, by index (consensus/confirmed_versions.hpp)
     std::string body;                         // the configuration as the operator sent it
 };
 
-// What a member has promised; it must be on disk before anything that follows from it is said.
-struct Promise {
-    bool member = false;  // false: a new disk, or no voter; its owner may have promised anything before
-    Term term = 0;
-    std::string voted_for;       // in that term
-    Term no_vote_through = 0;    // votes in no term up to this one: its lost disk may have
+// What a member must remember about its votes (the persistent state of figure 2 in the paper). It is on disk
+// before any message is sent that depends on it.
+struct VotingState {
+    bool is_member = false;      // false: its earlier votes are unknown (an empty disk), or it is no voter
+    Term term = 0;               // current_term
+    std::string voted_for;       // in that term; empty: nobody
+    Term no_vote_through = 0;    // no votes up to this term: a disk that was lost may have voted in them
     Term pre_voted_through = 0;  // the newest term in which it granted a pre-vote
-    std::string
-        last_leader;  // whose heartbeat was answered last: a lease may still be owed to it after a start
+    std::string last_leader;  // whose heartbeat it answered last: that leader's lease may outlast a restart
 };
 
-// What a log entry changes against another one; how it travels (consensus/entry_transfer.hpp).
+// A log entry as the difference to a base entry (consensus/entry_transfer.hpp).
 struct EntryPayload {
     ConfigurationVersion version = 0;
-    std::vector<std::string> members, outgoing_members;
-    std::vector<ConfirmedVersion> confirmed;  // those that the base entry does not hold
-    std::string body_delta;
+    std::vector<std::string> members;
+    std::vector<std::string> outgoing_members;
+    std::vector<ConfirmedVersion> confirmed;  // those that the base entry lacks
+    std::string body_delta;                   // to the base entry's body (configuration/delta.hpp)
 };
 
-// A body as the difference to one that the receiver holds; whole where base is nothing.
+// A configuration's text as the difference to a base that the receiver has.
 struct Delta {
-    Number base = 0;  // for the core: the index; for fronts: the version. 0: whole
-    std::string bytes;
+    std::uint64_t base = 0;  // the base's configuration version; 0: the difference to an empty text
+    std::string bytes;       // of configuration/delta.hpp
 };
 
-// ---- among the core ----
+// ---- between controllers ----
 
-// Asks for a vote in a term. A pre-vote asks whether the vote would be given, so that a member that was cut
-// off does not raise the others' terms when it is back.
+// From a candidate: asks for a vote in a term (section 5.2). A pre-vote asks whether the vote would be
+// granted, so that a member that was partitioned does not raise the others' terms once it is back.
 struct VoteRequest {
     Term term = 0;
-    LogPosition held;
+    LogPosition last_entry;  // of the candidate
     bool pre_vote = false;
-    bool leader_hands_over = false;  // the leader itself asked for this election and has given up its lease
+    bool leadership_transfer = false;  // the leader asked for this election and has given up its lease
 };
 struct VoteResponse {
     Term term = 0;
     bool granted = false;
     bool pre_vote = false;
-    Term no_vote_through = 0;  // the sender gives no vote in terms up to this one
+    Term no_vote_through = 0;  // the sender grants no vote up to this term
 };
 // The leader's heartbeat.
 struct AppendRequest {
     Term term = 0;
-    Round round = 0;        // of heartbeats, in this term
-    LogPosition head;       // the leader's newest entry
-    LogPosition committed;  // the newest that a quorum holds
+    Round round = 0;
+    LogPosition last_entry;  // of the leader
+    LogPosition committed;   // the newest entry that a quorum has stored
 };
-// A piece of the leader's newest entry (consensus/entry_transfer.hpp).
+// A part of the leader's newest entry (consensus/entry_transfer.hpp).
 struct EntryChunk {
     Term term = 0;
     Round round = 0;
-    LogPosition position;
-    LogPosition base;  // the entry that the payload is the difference to; {}: none
-    ByteCount offset = 0;
-    ByteCount total = 0;  // bytes of the encoded payload
+    LogPosition position;  // of the entry
+    LogPosition base;      // of the entry that the payload is the difference to; {}: none
+    ByteCount offset = 0;  // of this chunk in the encoded payload
+    ByteCount total_bytes = 0;
     std::string bytes;
 };
 // Answers a heartbeat and a chunk.
 struct AppendResponse {
     Term term = 0;
     Round round = 0;
-    LogPosition held;        // on disk
-    LogPosition receiving;   // the entry that is being received; {}: none
-    ByteCount received = 0;  // bytes of its payload
-    bool leaving = false;    // the sender is about to end
+    LogPosition last_entry;  // on the sender's disk
+    LogPosition receiving;   // the entry of which chunks arrive; {}: none
+    ByteCount received_bytes = 0;
+    bool leaving = false;  // the sender is shutting down
 };
-// From a member that lost its disk, or a machine that is no member: how do things stand?
+// From a member that lost its disk, or from a controller that is no member.
 struct RecoveryRequest {
     Nonce nonce = 0;
 };
 struct RecoveryResponse {
     Nonce nonce = 0;
     Term term = 0;
-    Term pre_voted_through = 0;  // the newest term in which the sender granted a pre-vote
-    std::string leader;          // as far as the sender knows; empty: not known
-    LogPosition held;
-    std::vector<std::string> members, outgoing_members;
+    Term pre_voted_through = 0;
+    std::string leader;  // as far as the sender knows; empty: unknown
+    LogPosition last_entry;
+    std::vector<std::string> members;
+    std::vector<std::string> outgoing_members;
 };
-// From a machine that is no member: make me a learner.
+// From a controller that is no member: asks to become a learner.
 struct JoinRequest {};
-// From the leader before it ends: stand for election at once.
+// From the leader before it shuts down: the receiver starts an election at once (leadership transfer).
 struct TimeoutNow {
     Term term = 0;
 };
-// From a member that is about to end, and the leader's answer once it may.
+// From a member that is about to shut down for good; the leader answers once the member is no voter any more.
 struct LeaveRequest {};
 struct LeaveResponse {
     Term term = 0;
 };
 
-// ---- between fronts and the core ----
+// ---- between proxies and controllers ----
+
+// A runner: one instance of a function's service.
 struct RunnerInfo {
-    std::string runner, service, address, zone, worker;
-    std::uint32_t slots = 1, out = 0;
-    bool up = false;
+    std::string runner_id;
+    std::string service;
+    std::string address;  // "ip:port"
+    std::string zone;
+    std::string worker;             // the machine that it runs on
+    std::uint32_t slots = 1;        // requests that it may serve at once
+    std::uint32_t outstanding = 0;  // requests that the sender has at it
+    bool reachable = false;
 };
-struct Load {  // of one free function at one front, since its last report
+// What one proxy sent to one function since its last report.
+struct FunctionLoad {
     std::string service;
-    std::uint32_t count = 0, busy_ms = 0;  // requests; time that they took together
+    std::uint32_t requests = 0;
+    std::uint32_t busy_ms = 0;  // the sum of the requests' durations
 };
-struct Register {
-    std::string name, zone;
+// A proxy's first message to a controller.
+struct RegisterRequest {
+    std::string name;
+    std::string zone;
     Incarnation incarnation = 0;
-    ConfigurationVersion version = 0;
+    ConfigurationVersion configuration_version = 0;
     std::vector<RunnerInfo> runners;
-    std::vector<Load>
-        unrestricted;  // functions whose slots it takes unasked, and its part of each in the last second
+    std::vector<FunctionLoad> unrestricted;  // functions in unrestricted mode, with the last second's load
 };
-struct Redirect {  // not me
+// The answer of a controller that is not the leader.
+struct Redirect {
     std::string leader;
 };
-struct Registered {
+struct RegisterResponse {
     Term term = 0;
-    std::uint32_t rank = 0, fronts = 1;
+    std::uint32_t rank = 0;     // of this proxy among all proxies, from 0
+    std::uint32_t proxies = 1;  // that are registered
     std::vector<std::string> members;
 };
-struct ConfigurationSent {
+struct ConfigurationUpdate {
     ConfigurationVersion version = 0;
     Delta delta;
 };
-struct ConfigurationHeld {
+struct ConfigurationAck {
     ConfigurationVersion version = 0;
 };
 enum class RunnerState : std::uint8_t { starting, ready, gone };
+// The leader gives a runner its number, and says when its state changes.
 struct RunnerUpdate {
     RunnerNumber number = 0;
     RunnerState state = RunnerState::gone;
-    RunnerInfo runner;
-    bool watch = false;  // say when it can be reached
+    RunnerInfo runner;   // not sent of a runner that is gone
+    bool watch = false;  // the proxy reports with RunnerReachable when it can connect
 };
+// Asks for a slot of a function.
 struct AcquireRequest {
-    std::uint32_t id = 0, drawn = 0;  // drawn: the runner's number, 0: none
+    AcquireId id = 0;
+    RunnerNumber preferred_runner = 0;
     std::string service;
-    std::uint32_t latency_target_ms = 0, deadline_ms = 0;  // what is left of each
-    std::uint8_t priority = 0;
-    std::uint16_t shape = 0;  // of the work, by route: what has one shape takes alike long
-    bool again = false;       // a second runner for the same request
+    std::uint32_t latency_target_ms = 0;  // what is left of it
+    std::uint32_t deadline_ms = 0;        // what is left of it
+    std::uint8_t priority = 0;            // 0 is the highest
+    std::uint16_t request_class = 0;      // Route::request_class
+    bool is_retry = false;                // another runner had the request before
 };
+// What a request for a slot had to wait for.
 enum class WaitReason : std::uint8_t {
-    nothing,
-    start,
-    slot,
-    memory
-};  // memory: a start that no worker has room for
+    none,
+    start,   // of a runner
+    slot,    // at a runner
+    memory,  // a start for which no worker has memory
+};
 struct AcquireGranted {
-    std::uint32_t id = 0, runner = 0;
-    WaitReason waited = WaitReason::nothing;
+    AcquireId id = 0;
+    RunnerNumber runner = 0;
+    WaitReason wait_reason = WaitReason::none;
 };
 struct AcquireDenied {
-    std::uint32_t id = 0, retry_ms = 0;
-    WaitReason waited = WaitReason::nothing;
+    AcquireId id = 0;
+    std::uint32_t retry_after_ms = 0;
+    WaitReason wait_reason = WaitReason::none;
 };
 enum class ReleaseReason : std::uint8_t { unused, answered, failed, rejected, unreachable, gone };
+// Gives a slot back, or withdraws a request for one.
 struct Release {
-    std::uint32_t id = 0, runner = 0;
-    ReleaseReason how = ReleaseReason::unused;
-    std::uint32_t took_ms = 0;
+    AcquireId id = 0;         // 0: the slot was taken without a request
+    RunnerNumber runner = 0;  // 0: no slot was granted yet
+    ReleaseReason reason = ReleaseReason::unused;
+    std::uint32_t duration_ms = 0;  // of the work
 };
+// Answers RunnerUpdate::watch.
 struct RunnerReachable {
-    std::uint32_t runner = 0;
-    bool up = false;  // false: given up
+    RunnerNumber runner = 0;
+    bool reachable = false;  // false: the proxy has given up
 };
-// How a function's slots are kept. Free: there is so much room that each front sends where its fractions say,
-// unasked.
+// Whether slots of a function must be acquired. In unrestricted mode there is so much capacity that each
+// proxy balances by itself and only reports its load.
 struct FunctionMode {
     std::string service;
     bool unrestricted = false;
 };
 struct LoadReport {
-    std::uint32_t span_ms = 0;
-    std::vector<Load> loads;
+    std::uint32_t interval_ms = 0;  // since the last report
+    std::vector<FunctionLoad> loads;
+};
+struct OutstandingCount {
+    RunnerNumber runner = 0;
+    std::uint32_t requests = 0;
 };
-struct OutstandingReport {  // what a front has out of a function that is no longer free; each is released
-                            // when it ends
-    std::vector<std::pair<std::uint32_t, std::uint32_t>> by_runner;  // number, count
+// Requests that a proxy has outstanding at a function that has just left unrestricted mode. Each is released
+// when it ends.
+struct OutstandingReport {
+    std::vector<OutstandingCount> counts;
 };
 struct Heartbeat {};
 
-using Message = std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse, RecoveryRequest,
-                             RecoveryResponse, JoinRequest, TimeoutNow, LeaveRequest, LeaveResponse,
-                             EntryChunk, Register, Redirect, Registered, ConfigurationSent, ConfigurationHeld,
-                             RunnerUpdate, AcquireRequest, AcquireGranted, AcquireDenied, Release,
-                             RunnerReachable, Heartbeat, FunctionMode, LoadReport, OutstandingReport>;
+using Message =
+    std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse, RecoveryRequest, RecoveryResponse,
+                 JoinRequest, TimeoutNow, LeaveRequest, LeaveResponse, EntryChunk, RegisterRequest, Redirect,
+                 RegisterResponse, ConfigurationUpdate, ConfigurationAck, RunnerUpdate, AcquireRequest,
+                 AcquireGranted, AcquireDenied, Release, RunnerReachable, Heartbeat, FunctionMode, LoadReport,
+                 OutstandingReport>;
 
 }  // namespace gannethold::cluster
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -596,11 +596,11 @@
     }
     // The greeting is on its way; meanwhile may happen what the test does; then the answer comes.
     void greet(const std::function<void()>& meanwhile = [] {}) {
-        const Register registration = handler.registration();
+        const RegisterRequest registration = handler.registration();
         meanwhile();
         std::vector<ProxyMessage> mail;
         table->on_proxy_registered(now, kSession, registration, mail);
-        handler.said(now, Registered{1, 0, 1, {}}, actions);
+        handler.said(now, RegisterResponse{1, 0, 1, {}}, actions);
         handler.on_coordinator_registered(now, actions);
         deliver(mail);
     }
@@ -809,7 +809,7 @@
         LogEntry entry;
         entry.version = 1;
         coordinator->committed(entry, configuration(true, 2));
-        coordinator->came(kSession, Register{"front", "z0", 1, 1, {}, {}});
+        coordinator->came(kSession, RegisterRequest{"front", "z0", 1, 1, {}, {}});
         coordinator->said(kSession, AcquireRequest{1, 0, kService, 1500, 60'000, 1, 1, false});
     }
     bool until_asked(std::size_t times) {
--- a/tests/system/costs.cpp
+++ b/tests/system/costs.cpp
@@ -35,9 +35,10 @@
                     std::to_string(i) + "\",\"max_attempts\":2},";
     std::string text = old_text;
     text.replace(text.find("4000", text.size() / 2), 4, "3500");
-    const double whole = static_cast<double>(encode(ConfigurationSent{8, {0, make_delta({}, text)}}).size());
+    const double whole =
+        static_cast<double>(encode(ConfigurationUpdate{8, {0, make_delta({}, text)}}).size());
     const double change =
-        static_cast<double>(encode(ConfigurationSent{8, {7, make_delta(old_text, text)}}).size());
+        static_cast<double>(encode(ConfigurationUpdate{8, {7, make_delta(old_text, text)}}).size());
     std::printf(
         "bytes: ask %.0f, grant %.0f, release %.0f, a runner told %.0f, beat %.0f, report of ten functions "
         "%.0f, order %.0f, receipt %.0f,\n1,000 routes whole %.0f, one of them changed %.0f\n\n",
--- a/tests/system/formats_encoded.cpp
+++ b/tests/system/formats_encoded.cpp
@@ -9,6 +9,7 @@
 #include "cluster/configuration/delta.hpp"
 #include "cluster/configuration/digest.hpp"
 #include "cluster/wire/codec.hpp"
+#include "cluster/wire/frames.hpp"
 #include "field_values.hpp"
 #include "formats.hpp"
 
@@ -33,7 +34,7 @@
 };
 
 std::vector<ConfirmedVersion> confirmed_versions() { return {{3, kLarge, 1}, {9, kLarge - 1, 2}, {8, 5, 3}}; }
-std::vector<Load> loads() { return {{"render", 300, 70'000}, {"resize", 2, 9}}; }
+std::vector<FunctionLoad> loads() { return {{"render", 300, 70'000}, {"resize", 2, 9}}; }
 std::vector<RunnerInfo> runners() {
     return {{"i-1", "render", "10.1.64.9:8080", "plateau", "w-3", 4, 2, true},
             {"i-2", "resize", "10.2.64.7:8081", "almadies", "w-5", 70'000, 65'536, true}};
@@ -61,11 +62,11 @@
 
 std::vector<MessageExample> front_examples() {
     return {
-        {"register", Register{"front-1", "plateau", kLarge, 12, runners(), loads()}, {}},
+        {"register", RegisterRequest{"front-1", "plateau", kLarge, 12, runners(), loads()}, {}},
         {"redirect", Redirect{kOther}, {}},
-        {"registered", Registered{kLarge, 2, 70'000, {kSender, kOther}}, {}},
-        {"configuration_sent", ConfigurationSent{kLarge, {12, kBytes}}, {}},
-        {"configuration_held", ConfigurationHeld{kLarge}, {}},
+        {"registered", RegisterResponse{kLarge, 2, 70'000, {kSender, kOther}}, {}},
+        {"configuration_sent", ConfigurationUpdate{kLarge, {12, kBytes}}, {}},
+        {"configuration_held", ConfigurationAck{kLarge}, {}},
         {"runner_told", RunnerUpdate{70'000, RunnerState::ready, runners().back(), true}, {}},
         {"acquire_request", AcquireRequest{70'001, 70'002, "render", 70'003, 70'004, 200, 60'000, true}, {}},
         {"acquire_granted", AcquireGranted{70'001, 70'002, WaitReason::memory}, {}},
@@ -90,7 +91,7 @@
     return {
         {"runner_told_starting", RunnerUpdate{1, RunnerState::starting, runners().front(), false}, {}},
         {"runner_told_gone", RunnerUpdate{1, RunnerState::gone, nothing_sent(), false}, {}},
-        {"acquire_granted_nothing", AcquireGranted{1, 2, WaitReason::nothing}, {}},
+        {"acquire_granted_nothing", AcquireGranted{1, 2, WaitReason::none}, {}},
         {"acquire_granted_start", AcquireGranted{1, 2, WaitReason::start}, {}},
         {"acquire_granted_slot", AcquireGranted{1, 2, WaitReason::slot}, {}},
         {"acquire_denied_memory", AcquireDenied{1, 2, WaitReason::memory}, {}},
@@ -109,7 +110,7 @@
     return all;
 }
 
-Promise promise_example() { return {true, kLarge, kOther, 6, 8, kThird}; }
+VotingState promise_example() { return {true, kLarge, kOther, 6, 8, kThird}; }
 LogEntry entry_example() {
     return {{kLarge, 14}, 9, {kSender, kOther, kThird}, {kSender, kOther}, confirmed_versions(), kBytes};
 }
@@ -151,7 +152,7 @@
 std::map<std::string, std::string> encoded_now() {
     std::map<std::string, std::string> all;
     for (const MessageExample& one : message_examples()) all[one.name] = encode(one.message, one.from);
-    all["record_promise"] = encode_promise(promise_example());
+    all["record_promise"] = encode_voting_state(promise_example());
     all["record_entry"] = encode_entry(entry_example());
     all["record_payload"] = encode_payload(payload_example());
     all["delta"] = make_delta(kOlderText, kNewerText);
@@ -175,7 +176,7 @@
 
 // The message in bytes as they come from a connection.
 ReceivedMessage received(const std::string& framed) {
-    Frames frames;
+    FrameReader frames;
     frames.add(framed);
     const auto packed = required<std::optional<std::string_view>>([&] { return frames.next(); });
     BOOST_REQUIRE(packed.has_value());
@@ -216,7 +217,7 @@
                 },
                 one.message);
         }
-    check_every_field_set(promise_example(), Promise{});
+    check_every_field_set(promise_example(), VotingState{});
     check_every_field_set(entry_example(), LogEntry{});
     check_every_field_set(payload_example(), EntryPayload{});
 }
@@ -242,10 +243,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(records_are_encoded_as_before_and_decoded_to_the_same_values) {
-    const auto promise = required<Promise>([] { return decode_promise(fixture("record_promise")); });
-    BOOST_TEST(same(promise, promise_example()));
-    BOOST_TEST(hexadecimal(encode_promise(promise_example())) == hexadecimal(fixture("record_promise")));
-    BOOST_TEST(encode_promise(promise) == fixture("record_promise"));
+    const auto voting_state =
+        required<VotingState>([] { return decode_voting_state(fixture("record_promise")); });
+    BOOST_TEST(same(voting_state, promise_example()));
+    BOOST_TEST(hexadecimal(encode_voting_state(promise_example())) == hexadecimal(fixture("record_promise")));
+    BOOST_TEST(encode_voting_state(voting_state) == fixture("record_promise"));
     const auto entry = required<LogEntry>([] { return decode_entry(fixture("record_entry")); });
     BOOST_TEST(same(entry, entry_example()));
     BOOST_TEST(hexadecimal(encode_entry(entry_example())) == hexadecimal(fixture("record_entry")));
--- a/tests/system/formats_store.cpp
+++ b/tests/system/formats_store.cpp
@@ -46,8 +46,8 @@
     const std::vector<std::string> members{kFirst, kSecond, kFourth};
     const ConfirmedVersion eighth{8, 0x0123456789abcdefULL, 5};
     PersistentState state = lives_of_member().back().back();
-    state.promise.term = 6;
-    state.promise.voted_for = kFourth;
+    state.voting_state.term = 6;
+    state.voting_state.voted_for = kFourth;
     state.entry = {{6, 5}, 9, members, {}, {state.entry.confirmed[1], eighth}, R"({"version":9})"};
     return state;
 }
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_calls.cpp
@@ -107,15 +107,15 @@
     void got(const Message& message) {
         MessageConnection& line = *lines_.back();
         if (std::holds_alternative<Heartbeat>(message)) line.send(Heartbeat{});
-        if (std::holds_alternative<Register>(message)) {
-            line.send(Registered{1, 0, 1, {}});
-            line.send(ConfigurationSent{1, {0, make_delta({}, kConfiguration)}});
+        if (std::holds_alternative<RegisterRequest>(message)) {
+            line.send(RegisterResponse{1, 0, 1, {}});
+            line.send(ConfigurationUpdate{1, {0, make_delta({}, kConfiguration)}});
             line.send(RunnerUpdate{kRunnerNumber,
                                    RunnerState::ready,
                                    {kRunnerName, "f", runner.address(), "z0", "w", 8, 0, true},
                                    false});
         }
-        if (const auto* held = std::get_if<ConfigurationHeld>(&message)) held_ = held->version == 1;
+        if (const auto* held = std::get_if<ConfigurationAck>(&message)) held_ = held->version == 1;
         if (const auto* ask = std::get_if<AcquireRequest>(&message)) {
             ++asked;
             if (grants) line.send(AcquireGranted{ask->id, kRunnerNumber});
--- a/tests/system/scenarios.cpp
+++ b/tests/system/scenarios.cpp
@@ -387,7 +387,7 @@
     options.self = "a";
     options.seeds = {"a", "b", "c"};
     PersistentState state;
-    state.promise = {true, 3, "a", 5, 0, {}};
+    state.voting_state = {true, 3, "a", 5, 0, {}};
     state.entry = {{3, 4}, 1, {"a", "b", "c"}, {}, {}, "x"};
     Output out;
     Consensus consensus(options, state, 10'000'000, out);
@@ -406,8 +406,8 @@
     // And it gives none in them.
     out = {};
     PersistentState voter = state;
-    voter.promise.term = 4;
-    voter.promise.voted_for.clear();
+    voter.voting_state.term = 4;
+    voter.voting_state.voted_for.clear();
     Consensus other(options, voter, 10'000'000, out);
     out = {};
     other.receive(12'000'000, "c", VoteRequest{5, {4, 9}, false, false}, out);
@@ -572,7 +572,7 @@
     BOOST_REQUIRE(late.mails.size() == 1U);
     const auto* const release = std::get_if<Release>(&late.mails.front());
     BOOST_REQUIRE(release != nullptr);
-    BOOST_TEST((release->id == request->id && release->how == ReleaseReason::unused));
+    BOOST_TEST((release->id == request->id && release->reason == ReleaseReason::unused));
     // What comes now is refused at once.
     const Actions refused = front.arrive(WaitingFront::kStart + 3'800'000, 2);
     BOOST_REQUIRE(refused.replies.size() == 1U);
@@ -600,7 +600,7 @@
     BOOST_TEST((granted.replies.front().code == ErrorCode::shutting_down));
     BOOST_REQUIRE(granted.mails.size() == 1U);
     const auto& release = std::get<Release>(granted.mails.front());
-    BOOST_TEST((release.id == id && release.runner == 3U && release.how == ReleaseReason::unused));
+    BOOST_TEST((release.id == id && release.runner == 3U && release.reason == ReleaseReason::unused));
 }
 
 // A member that was frozen may answer, in the term of now, heartbeats of an earlier life of the same leader:
@@ -630,12 +630,12 @@
     Consensus::Options options;
     options.self = "a";
     PersistentState state;
-    state.promise = {true, 1, {}, 0, 0, {}};
+    state.voting_state = {true, 1, {}, 0, 0, {}};
     state.entry = {{1, 8}, 1, {"a", "b", "c"}, {}, {}, "x"};
     Output out;
     Consensus candidate(options, state, 1'000'000, out);
     options.self = "b";
-    state.promise = {true, 2, "a", 0, 0, {}};
+    state.voting_state = {true, 2, "a", 0, 0, {}};
     state.entry.position = {1, 7};
     Consensus voter(options, state, 1'000'000, out);
     out = {};
@@ -686,7 +686,7 @@
 
 PersistentState kept(std::uint64_t index, std::size_t bytes) {
     PersistentState d;
-    d.promise = {true, index, "10.0.0.1:80", 0, 0, {}};
+    d.voting_state = {true, index, "10.0.0.1:80", 0, 0, {}};
     d.entry = {{index, index}, index, {"10.0.0.1:80"}, {}, {{index, index * 7, index}}, {}};
     std::mt19937 random(static_cast<unsigned>(index));
     for (std::size_t n = 0; n < bytes; ++n) d.entry.body += static_cast<char>('a' + random() % 26);
@@ -730,7 +730,7 @@
     Folder folder;
     {
         Store store;
-        BOOST_TEST(!opened(store, folder.path).promise.member);
+        BOOST_TEST(!opened(store, folder.path).voting_state.is_member);
         for (std::uint64_t n = 1; n <= 120; ++n) written(store, kept(n, 250'000));
     }
     std::uintmax_t bytes = 0;
@@ -738,7 +738,7 @@
     BOOST_TEST(bytes < 24U << 20, bytes);  // 30 MB were written; the disk holds 128
     Store again;
     const PersistentState back = opened(again, folder.path);
-    BOOST_TEST(back.promise.member);
+    BOOST_TEST(back.voting_state.is_member);
     BOOST_TEST(back.entry.version == 120U);
     BOOST_TEST((back.entry.body == kept(120, 250'000).entry.body));
 }
@@ -757,7 +757,8 @@
                 std::filesystem::resize_file(f, std::filesystem::file_size(f) - torn);
         Store store;
         const PersistentState back = opened(store, folder.path);
-        BOOST_TEST((!back.promise.member || back.entry.body == kept(back.entry.version, 1000).entry.body));
+        BOOST_TEST(
+            (!back.voting_state.is_member || back.entry.body == kept(back.entry.version, 1000).entry.body));
     }
 }
 
@@ -771,7 +772,7 @@
     for (const auto& f : folder.files())
         if (f.filename().string().starts_with("MANIFEST")) std::filesystem::resize_file(f, 3);
     Store store;
-    BOOST_TEST(!opened(store, folder.path).promise.member);
+    BOOST_TEST(!opened(store, folder.path).voting_state.is_member);
     written(store, kept(9, 10));
     Store again;
 }
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -343,7 +343,7 @@
     RunnerInfo begun;
     const std::string body = R"({"runner_id":"i-7","address":"10.1.64.9:8080","no_such_field":1})";
     BOOST_TEST((begin.read(answer(200, body), begun) == StartResult::begun));
-    BOOST_TEST(begun.runner == "i-7");
+    BOOST_TEST(begun.runner_id == "i-7");
     BOOST_TEST(begun.address == "10.1.64.9:8080");
     BOOST_TEST((begin.read(answer(409, ""), begun) == StartResult::no_room));
     BOOST_TEST((begin.read(answer(429, ""), begun) == StartResult::busy));
--- a/tests/system/slots_tests.cpp
+++ b/tests/system/slots_tests.cpp
@@ -23,8 +23,8 @@
         [] { return std::shared_ptr<const Configuration>(); });
 }
 
-Register proxy(const char* name) {
-    Register registration;
+RegisterRequest proxy(const char* name) {
+    RegisterRequest registration;
     registration.name = name;
     registration.zone = "z";
     return registration;
--- a/tests/system/store_growth.cpp
+++ b/tests/system/store_growth.cpp
@@ -53,8 +53,8 @@
 PersistentState state_at(std::uint64_t index) {
     std::mt19937 random(static_cast<unsigned>(index));
     PersistentState state;
-    state.promise.member = true;
-    state.promise.term = index;
+    state.voting_state.is_member = true;
+    state.voting_state.term = index;
     state.entry.position = {index, index};
     state.entry.version = index;
     state.entry.members = {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"};
@@ -109,8 +109,8 @@
     BOOST_TEST_MESSAGE("opened in " << std::chrono::duration_cast<std::chrono::milliseconds>(took).count()
                                     << " ms");
     BOOST_TEST((took < kLongestOpening));
-    BOOST_TEST(back.promise.member);
-    BOOST_TEST(back.promise.term == kWrites);
+    BOOST_TEST(back.voting_state.is_member);
+    BOOST_TEST(back.voting_state.term == kWrites);
     BOOST_TEST(back.entry.version == kWrites);
     BOOST_TEST((back.entry.body == state_at(kWrites).entry.body));
 }
--- a/tests/system/wire/codec_test.cpp
+++ b/tests/system/wire/codec_test.cpp
@@ -7,6 +7,8 @@
 #include <string>
 #include <string_view>
 
+#include "cluster/wire/frames.hpp"
+
 namespace gannethold::cluster::tests {
 
 BOOST_AUTO_TEST_CASE(messages_come_back_as_they_were_and_other_bytes_are_no_message) {
@@ -24,7 +26,7 @@
     BOOST_REQUIRE(back.has_value());
     const auto* const same = std::get_if<AcquireRequest>(&back->message);
     BOOST_REQUIRE(same != nullptr);
-    BOOST_TEST((same->service == ask.service && same->deadline_ms == ask.deadline_ms && same->again &&
+    BOOST_TEST((same->service == ask.service && same->deadline_ms == ask.deadline_ms && same->is_retry &&
                 back->from == "10.0.0.1:80"));
     std::mt19937 random(5);
     for (int n = 0; n < 20'000; ++n) {
@@ -32,7 +34,7 @@
         for (int flips = 0; flips < 3; ++flips) noise[random() % noise.size()] = static_cast<char>(random());
         read(noise);  // must not crash, whatever it makes of it
     }
-    Frames frames;
+    FrameReader frames;
     frames.add(std::string("\xff\xff\xff\xff", 4));
     const bool refused = leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -97,8 +97,8 @@
         std::set<std::pair<Session, std::uint32_t>> granted;
         for (const RunnerSlots::Given& g : r.given)
             if (g.ask > 0 && !granted.insert({g.front, g.ask}).second)
-                breach("one ask has two slots of " + r.what.runner);
-        if (granted.size() > r.what.slots) breach("more granted than " + r.what.runner + " has slots");
+                breach("one ask has two slots of " + r.what.runner_id);
+        if (granted.size() > r.what.slots) breach("more granted than " + r.what.runner_id + " has slots");
     }
     // Nobody goes before one that came earlier but by having less time left, or where that one can not be in
     // aim, or as a late one in its turn.
--- a/tests/system/world_cores.cpp
+++ b/tests/system/world_cores.cpp
@@ -33,13 +33,13 @@
     Consensus::Options options;
     options.self = core.name;
     options.seeds = seeds_;
-    options.first_start = core.first && !core.disk.promise.member;
+    options.first_start = core.first && !core.disk.voting_state.is_member;
     options.random_seed = random_();
     if (shape_.sabotage == Sabotage::lease_without_drift)
         options.lease_duration = 3 * options.election_timeout;
-    if (shape_.sabotage == Sabotage::vote_after_wipe && !core.first && !core.disk.promise.member) {
+    if (shape_.sabotage == Sabotage::vote_after_wipe && !core.first && !core.disk.voting_state.is_member) {
         // As if an empty disk were that of a member that never voted.
-        core.disk.promise.member = true;
+        core.disk.voting_state.is_member = true;
         core.disk.entry.position = {0, 1};
         core.disk.entry.members = seeds_;
     }
--- a/tests/system/world_digest.cpp
+++ b/tests/system/world_digest.cpp
@@ -13,7 +13,7 @@
     if (!records_digest_) return;
     if (out.write) {
         const PersistentState& state = cores_[core]->consensus->persistent_state();
-        digest_output(std::uint64_t{core}, std::string_view(encode_promise(state.promise)),
+        digest_output(std::uint64_t{core}, std::string_view(encode_voting_state(state.voting_state)),
                       std::string_view(encode_entry(state.entry)));
     }
     for (const Output::Envelope& envelope : out.sends) {
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -78,7 +78,7 @@
                     std::distance(next.coordinator->fronts.begin(), next.coordinator->fronts.find(f)));
                 mail.push_back(
                     {front.session,
-                     Registered{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}}});
+                     RegisterResponse{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}}});
                 next.coordinator->slot_table.on_proxy_registered(now_, front.session,
                                                                  front.handler->registration(), mail);
                 if (next.consensus && next.consensus->committed() &&
--- a/tests/system/world_looks.cpp
+++ b/tests/system/world_looks.cpp
@@ -81,10 +81,11 @@
             continue;
         }
         const PersistentState& d = c->consensus->persistent_state();
-        text << "[term " << d.promise.term << " voted " << d.promise.voted_for << " no_vote_through_term "
-             << d.promise.no_vote_through << " entry " << d.entry.position.term << "."
-             << d.entry.position.index << " members " << d.entry.members.size()
-             << (d.promise.member ? "" : " non_member") << " leader " << c->consensus->leader() << "] ";
+        text << "[term " << d.voting_state.term << " voted " << d.voting_state.voted_for
+             << " no_vote_through_term " << d.voting_state.no_vote_through << " entry "
+             << d.entry.position.term << "." << d.entry.position.index << " members "
+             << d.entry.members.size() << (d.voting_state.is_member ? "" : " non_member") << " leader "
+             << c->consensus->leader() << "] ";
     }
     return text.str();
 }
