--- a/rehearsal/scale/tests/scale_tests.cpp
+++ b/rehearsal/scale/tests/scale_tests.cpp
@@ -22,7 +22,7 @@
 std::shared_ptr<const cluster::Configuration> read(const std::string& text) {
     return cluster::leaf::try_handle_all(
         [&]() -> cluster::leaf::result<std::shared_ptr<const cluster::Configuration>> {
-            return cluster::Configuration::read(text);
+            return cluster::Configuration::parse(text);
         },
         [] { return std::shared_ptr<const cluster::Configuration>(); });
 }
@@ -140,8 +140,8 @@
     BOOST_REQUIRE(configuration);
     BOOST_TEST(configuration->version() == 3U);
     BOOST_TEST(configuration->routes().size() == 50U);
-    BOOST_REQUIRE(configuration->route("scale.example", "/f49/x"));
-    BOOST_TEST(configuration->route("scale.example", "/f49/x")->shares.front().service == "f49");
+    BOOST_REQUIRE(configuration->find_route("scale.example", "/f49/x"));
+    BOOST_TEST(configuration->find_route("scale.example", "/f49/x")->services.front().service == "f49");
 }
 
 BOOST_AUTO_TEST_CASE(a_next_version_differs_little) {
--- a/src/cluster/base/bounded_history.hpp
+++ b/src/cluster/base/bounded_history.hpp
@@ -1,4 +1,4 @@
-// What was decided lately and why, in memory and bounded: the oldest goes first.
+// The newest entries of a sequence, in memory, for operators to look at.
 #pragma once
 
 #include <cstddef>
@@ -7,21 +7,26 @@
 
 namespace gannethold::cluster {
 
-template <class T>
+// Keeps at most max_size entries; a further one replaces the oldest. Not thread-safe.
+template <class Entry>
 class BoundedHistory {
   public:
-    explicit BoundedHistory(std::size_t most) : most_(most) {}
-    void add(T one) {
-        if (kept_.size() >= most_) kept_.pop_front();
-        kept_.push_back(std::move(one));
-        ++all_;
+    explicit BoundedHistory(std::size_t max_size) : max_size_(max_size) {}
+
+    void add(Entry entry) {
+        if (entries_.size() >= max_size_) entries_.pop_front();
+        entries_.push_back(std::move(entry));
+        ++total_added_;
     }
-    const std::deque<T>& kept() const { return kept_; }
-    std::size_t all() const { return all_; }  // ever
+    // The oldest first.
+    const std::deque<Entry>& entries() const { return entries_; }
+    // With those that were replaced.
+    std::size_t total_added() const { return total_added_; }
 
   private:
-    std::size_t most_, all_ = 0;
-    std::deque<T> kept_;
+    std::size_t max_size_;
+    std::size_t total_added_ = 0;
+    std::deque<Entry> entries_;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/base/events.cpp
+++ b/src/cluster/base/events.cpp
@@ -5,10 +5,19 @@
 #include <log4cplus/layout.h>
 #include <log4cplus/logger.h>
 
+#include <memory>
+#include <optional>
+
 namespace gannethold::cluster {
 namespace {
 
-log4cplus::LogLevel rank(Level level) {
+constexpr bool kToStandardError = true;
+constexpr bool kFlushEachLine = true;
+
+// The logger once the log is open; never destroyed before the last event.
+log4cplus::Logger* open_logger = nullptr;
+
+log4cplus::LogLevel log4cplus_level(Level level) {
     switch (level) {
         case Level::debug:
             return log4cplus::DEBUG_LOG_LEVEL;
@@ -22,40 +31,35 @@
     return log4cplus::ERROR_LOG_LEVEL;
 }
 
-log4cplus::Logger* logger = nullptr;
+std::optional<Level> level_named(const std::string& name) {
+    if (name == "debug") return Level::debug;
+    if (name == "info") return Level::info;
+    if (name == "warning") return Level::warning;
+    if (name == "error") return Level::error;
+    return std::nullopt;
+}
 
 }  // namespace
 
 bool open_log(const std::string& level) {
-    log4cplus::LogLevel least = 0;
-    if (level == "debug")
-        least = rank(Level::debug);
-    else if (level == "info")
-        least = rank(Level::info);
-    else if (level == "warning")
-        least = rank(Level::warning);
-    else if (level == "error")
-        least = rank(Level::error);
-    else
-        return false;
+    const auto min_level = level_named(level);
+    if (!min_level) return false;
     static log4cplus::Initializer initializer;
     static log4cplus::Logger root = log4cplus::Logger::getRoot();
-    log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(true, true));
-    console->setLayout(
-        std::unique_ptr<log4cplus::Layout>(new log4cplus::PatternLayout("time=%d{%q} level=%p %m%n")));
+    log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(kToStandardError, kFlushEachLine));
+    console->setLayout(std::make_unique<log4cplus::PatternLayout>("time=%d{%q} level=%p %m%n"));
     root.removeAllAppenders();
     root.addAppender(console);
-    root.setLogLevel(least);
-    logger = &root;
+    root.setLogLevel(log4cplus_level(*min_level));
+    open_logger = &root;
     return true;
 }
 
-Event::Event(std::string_view what, Level level)
-    : level_(level), on_(logger && logger->isEnabledFor(rank(level))) {
-    if (on_) line_.append("event=").append(what);
+Event::Event(std::string_view name, Level level)
+    : level_(level), is_enabled_(open_logger && open_logger->isEnabledFor(log4cplus_level(level))) {
+    if (is_enabled_) line_.append("event=").append(name);
 }
 
-// A value that holds a blank, a quote or a line's end is quoted, so that a line stays one line.
 Event& Event::add(std::string_view key, const std::string& value) {
     line_.append(" ").append(key).append("=");
     if (!value.empty() && value.find_first_of(" \"\r\n\t=") == std::string::npos) {
@@ -63,16 +67,17 @@
         return *this;
     }
     line_ += '"';
-    for (const char c : value) {
-        if (c == '"' || c == '\\') line_ += '\\';
-        line_ += c < ' ' && c >= 0 ? ' ' : c;
+    for (const char character : value) {
+        if (character == '"' || character == '\\') line_ += '\\';
+        const bool is_control = character < ' ' && character >= 0;  // the bytes of UTF-8 may be negative
+        line_ += is_control ? ' ' : character;
     }
     line_ += '"';
     return *this;
 }
 
 Event::~Event() {
-    if (on_) logger->log(rank(level_), line_);
+    if (is_enabled_) open_logger->log(log4cplus_level(level_), line_);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/base/events.hpp
+++ b/src/cluster/base/events.hpp
@@ -1,5 +1,8 @@
-// Log lines: one line of key=value pairs for each event, through log4cplus, to standard error.
-//   Event("elected").with("term", 4).with("leader", address);          written when it goes out of scope
+// Log lines for operators: each event is one line of key=value pairs on standard error, written by log4cplus.
+//
+//   Event("leader_elected").with("term", 4).with("leader", address);
+//
+// An event is a snake_case noun and verb; docs/on-call.md lists them all.
 #pragma once
 
 #include <sstream>
@@ -10,19 +13,23 @@
 
 enum class Level { debug, info, warning, error };
 
-// Once, before the first event. Level names: debug, info, warning, error. False: no such level.
+// Opens the log at a level: debug, info, warning or error; events below it are not written. False: there is
+// no such level. REQUIRES: called before the first event and before a second thread is started. Events before
+// it are dropped.
 bool open_log(const std::string& level);
 
+// Collects one line and writes it when destroyed. Any number may exist at once; safe from several threads.
 class Event {
   public:
-    explicit Event(std::string_view what, Level level = Level::info);
+    explicit Event(std::string_view name, Level level = Level::info);
     Event(const Event&) = delete;
     Event& operator=(const Event&) = delete;
     ~Event();
 
-    template <class T>
-    Event& with(std::string_view key, const T& value) {
-        if (!on_) return *this;
+    // The value as operator<< writes it; quoted where it would not stay one word.
+    template <class Value>
+    Event& with(std::string_view key, const Value& value) {
+        if (!is_enabled_) return *this;
         std::ostringstream text;
         text << value;
         return add(key, text.str());
@@ -32,7 +39,7 @@
     Event& add(std::string_view key, const std::string& value);
 
     Level level_;
-    bool on_;
+    bool is_enabled_;
     std::string line_;
 };
 
--- a/src/cluster/configuration/delta.cpp
+++ b/src/cluster/configuration/delta.cpp
@@ -3,129 +3,185 @@
 #include <zlib.h>
 
 #include <cstdint>
+#include <optional>
 #include <unordered_map>
 
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMost = 64U << 20;  // of a text: against a length that is a non_member's word
+// Of a text and of decompressed steps, so that a length from outside does not decide how much is allocated.
+constexpr std::size_t kMaxBytes = 64U << 20;
+constexpr int kCompressionLevel = 6;
+constexpr int kVarintBits = 7;
+constexpr std::uint64_t kVarintMore = 0x80;  // set on all bytes but the last
+constexpr int kMaxVarintShift = 63;
 
-void put(std::string& to, std::uint64_t n) {
-    for (; n >= 0x80; n >>= 7) to += static_cast<char>(n | 0x80);
-    to += static_cast<char>(n);
+void append_varint(std::string& to, std::uint64_t number) {
+    for (; number >= kVarintMore; number >>= kVarintBits) to += static_cast<char>(number | kVarintMore);
+    to += static_cast<char>(number);
 }
 
-bool take(std::string_view& from, std::uint64_t& n) {
-    n = 0;
-    for (int shift = 0; shift < 63 && !from.empty(); shift += 7) {
-        const auto c = static_cast<unsigned char>(from.front());
+// Removes a varint from the front; nullopt: there is none.
+std::optional<std::uint64_t> take_varint(std::string_view& from) {
+    std::uint64_t number = 0;
+    for (int shift = 0; shift < kMaxVarintShift && !from.empty(); shift += kVarintBits) {
+        const auto byte = static_cast<unsigned char>(from.front());
         from.remove_prefix(1);
-        n |= static_cast<std::uint64_t>(c & 0x7f) << shift;
-        if (c < 0x80) return true;
+        number |= static_cast<std::uint64_t>(byte & (kVarintMore - 1)) << shift;
+        if (byte < kVarintMore) return number;
     }
-    return false;
+    return std::nullopt;
 }
 
-std::uint32_t check(std::string_view text) {
+std::uint32_t checksum(std::string_view text) {
     return static_cast<std::uint32_t>(
         crc32(0, reinterpret_cast<const Bytef*>(text.data()), static_cast<uInt>(text.size())));
 }
 
-// Pieces end behind each closing brace: routes and services are one each.
-std::size_t piece_end(std::string_view text, std::size_t from) {
-    const auto brace = text.find('}', from);
-    return brace == std::string_view::npos ? text.size() : brace + 1;
+// The piece of a text that begins at an offset. A piece ends behind a closing brace, and so each route and
+// each service is a piece.
+std::string_view piece_at(std::string_view text, std::size_t offset) {
+    const auto brace = text.find('}', offset);
+    return text.substr(offset, brace == std::string_view::npos ? brace : brace + 1 - offset);
 }
 
-}  // namespace
+// The first offset of each piece.
+std::unordered_map<std::string_view, std::size_t> piece_offsets(std::string_view text) {
+    std::unordered_map<std::string_view, std::size_t> offsets;
+    for (std::size_t offset = 0; offset < text.size();) {
+        const std::string_view piece = piece_at(text, offset);
+        offsets.emplace(piece, offset);
+        offset += piece.size();
+    }
+    return offsets;
+}
 
-std::string make_delta(std::string_view base, std::string_view text) {
-    std::unordered_map<std::string_view, std::size_t> places;
-    for (std::size_t at = 0; at < base.size();) {
-        const std::size_t end = piece_end(base, at);
-        places.emplace(base.substr(at, end - at), at);
-        at = end;
+// Collects literals and copies into as few steps as possible.
+class StepWriter {
+  public:
+    explicit StepWriter(std::string_view base) : base_(base) {}
+
+    // Whether the piece could be appended to the copy that is being collected.
+    bool extend_copy(std::string_view piece) {
+        if (copy_length_ == 0 || base_.substr(copy_offset_ + copy_length_, piece.size()) != piece)
+            return false;
+        copy_length_ += piece.size();
+        return true;
     }
-    // Turns of: length of own bytes, those bytes, place in base, length there.
-    std::string steps;
-    std::string own;
-    std::size_t from = 0;
-    std::size_t length = 0;
-    const auto flush = [&] {
-        put(steps, own.size());
-        steps += own;
-        put(steps, from);
-        put(steps, length);
-        own.clear();
-        length = 0;
-    };
-    for (std::size_t at = 0; at < text.size();) {
-        const std::size_t end = piece_end(text, at);
-        const std::string_view piece = text.substr(at, end - at);
-        at = end;
-        if (length > 0 && base.substr(from + length, piece.size()) == piece) {
-            length += piece.size();
-            continue;
-        }
-        const auto known = places.find(piece);
-        if (known != places.end()) {
-            if (length > 0) flush();
-            from = known->second;
-            length = piece.size();
-        } else {
-            if (length > 0) flush();
-            own.append(piece);
-        }
+    void start_copy(std::size_t offset, std::size_t length) {
+        finish_copy();
+        copy_offset_ = offset;
+        copy_length_ = length;
     }
-    flush();
-    std::string plain;
-    put(plain, text.size());
-    put(plain, check(base));
-    put(plain, check(text));
-    plain += steps;
-    std::string out;
-    put(out, plain.size());
-    const std::size_t head = out.size();
-    uLongf room = compressBound(static_cast<uLong>(plain.size()));
-    out.resize(head + room);
-    compress2(reinterpret_cast<Bytef*>(out.data() + head), &room,
-              reinterpret_cast<const Bytef*>(plain.data()), static_cast<uLong>(plain.size()), 6);
-    out.resize(head + room);
-    return out;
+    void add_literal(std::string_view piece) {
+        finish_copy();
+        literal_.append(piece);
+    }
+    std::string finish() {
+        write_step();
+        return std::move(steps_);
+    }
+
+  private:
+    void finish_copy() {
+        if (copy_length_ > 0) write_step();
+    }
+    void write_step() {
+        append_varint(steps_, literal_.size());
+        steps_ += literal_;
+        append_varint(steps_, copy_offset_);
+        append_varint(steps_, copy_length_);
+        literal_.clear();
+        copy_length_ = 0;
+    }
+
+    std::string_view base_;
+    std::string steps_;
+    std::string literal_;
+    std::size_t copy_offset_ = 0;
+    std::size_t copy_length_ = 0;
+};
+
+std::string compressed(const std::string& plain) {
+    std::string bytes;
+    append_varint(bytes, plain.size());
+    const std::size_t header = bytes.size();
+    uLongf length = compressBound(static_cast<uLong>(plain.size()));
+    bytes.resize(header + length);
+    compress2(reinterpret_cast<Bytef*>(bytes.data() + header), &length,
+              reinterpret_cast<const Bytef*>(plain.data()), static_cast<uLong>(plain.size()),
+              kCompressionLevel);
+    bytes.resize(header + length);
+    return bytes;
 }
 
-leaf::result<std::string> apply_delta(std::string_view base, std::string_view difference) {
-    const auto bad = [](const char* why) { return make_error(ErrorCode::bytes_malformed, why); };
-    std::uint64_t size = 0;
-    std::uint64_t base_check = 0;
-    std::uint64_t text_check = 0;
-    if (!take(difference, size) || size > kMost) return bad("a difference without its length");
-    std::string plain(size, '\0');
-    uLongf got = static_cast<uLongf>(size);
-    if (uncompress(reinterpret_cast<Bytef*>(plain.data()), &got,
-                   reinterpret_cast<const Bytef*>(difference.data()),
-                   static_cast<uLong>(difference.size())) != Z_OK ||
-        got != size)
-        return bad("a difference that can not be unpacked");
-    std::string_view steps = plain;
-    if (!take(steps, size) || !take(steps, base_check) || !take(steps, text_check) || size > kMost)
-        return bad("a difference without its head");
-    if (base_check != check(base)) return bad("a difference to another text");
+leaf::error_id malformed(const char* why) { return make_error(ErrorCode::bytes_malformed, why); }
+
+leaf::result<std::string> decompressed(std::string_view bytes) {
+    const auto length = take_varint(bytes);
+    if (!length || *length > kMaxBytes) return malformed("a delta without its length");
+    std::string plain(*length, '\0');
+    uLongf written = static_cast<uLongf>(plain.size());
+    const int status =
+        uncompress(reinterpret_cast<Bytef*>(plain.data()), &written,
+                   reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uLong>(bytes.size()));
+    if (status != Z_OK || written != plain.size()) return malformed("a delta that can not be decompressed");
+    return plain;
+}
+
+leaf::result<std::string> apply_steps(std::string_view base, std::string_view steps,
+                                      std::size_t text_length) {
     std::string text;
-    text.reserve(size);
+    text.reserve(text_length);
     while (!steps.empty()) {
-        std::uint64_t own = 0;
-        std::uint64_t from = 0;
-        std::uint64_t length = 0;
-        if (!take(steps, own) || own > steps.size()) return bad("a difference cut short");
-        text.append(steps.substr(0, own));
-        steps.remove_prefix(own);
-        if (!take(steps, from) || !take(steps, length) || from > base.size() || length > base.size() - from ||
-            text.size() + length > size)
-            return bad("a difference that points outside");
-        text.append(base.substr(from, length));
+        const auto literal_length = take_varint(steps);
+        if (!literal_length || *literal_length > steps.size()) return malformed("a delta that is cut short");
+        text.append(steps.substr(0, *literal_length));
+        steps.remove_prefix(*literal_length);
+        const auto copy_offset = take_varint(steps);
+        const auto copy_length = take_varint(steps);
+        if (!copy_offset || !copy_length || *copy_offset > base.size() ||
+            *copy_length > base.size() - *copy_offset || text.size() + *copy_length > text_length)
+            return malformed("a delta that copies from outside its base");
+        text.append(base.substr(*copy_offset, *copy_length));
+    }
+    return text;
+}
+
+}  // namespace
+
+std::string make_delta(std::string_view base, std::string_view text) {
+    const auto base_offsets = piece_offsets(base);
+    StepWriter steps(base);
+    for (std::size_t offset = 0; offset < text.size();) {
+        const std::string_view piece = piece_at(text, offset);
+        offset += piece.size();
+        if (steps.extend_copy(piece)) continue;
+        if (const auto known = base_offsets.find(piece); known != base_offsets.end())
+            steps.start_copy(known->second, piece.size());
+        else
+            steps.add_literal(piece);
     }
-    if (text.size() != size || check(text) != text_check) return bad("a difference that does not fit");
+    std::string plain;
+    append_varint(plain, text.size());
+    append_varint(plain, checksum(base));
+    append_varint(plain, checksum(text));
+    plain += steps.finish();
+    return compressed(plain);
+}
+
+leaf::result<std::string> apply_delta(std::string_view base, std::string_view delta) {
+    BOOST_LEAF_AUTO(plain, decompressed(delta));
+    std::string_view steps = plain;
+    const auto text_length = take_varint(steps);
+    const auto base_checksum = take_varint(steps);
+    const auto text_checksum = take_varint(steps);
+    if (!text_length || !base_checksum || !text_checksum || *text_length > kMaxBytes)
+        return malformed("a delta without its header");
+    if (*base_checksum != checksum(base)) return malformed("a delta to another text");
+    BOOST_LEAF_AUTO(text, apply_steps(base, steps, *text_length));
+    if (text.size() != *text_length || checksum(text) != *text_checksum)
+        return malformed("a delta that gives another text");
     return text;
 }
 
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -72,7 +72,7 @@
 Planner::Wish Planner::wish(Micros now, const SlotTable& slot_table, const Function& f, std::size_t have,
                             std::size_t starting) const {
     const Service& s = *f.service;
-    const double slots = s.most;
+    const double slots = s.max_concurrency;
     const double load = std::max(f.load_fast, f.load_slow);
     Wish wish;
     wish.why = "idle";
@@ -92,7 +92,7 @@
             wish.zone = zone;
         }
     }
-    if (s.warm()) {
+    if (s.needs_warm_runner()) {
         const double wanted = load + 2 * std::sqrt(load);
         wish.count = std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(wanted / (slots * 0.8))));
         wish.why = wish.count > 1 ? "load" : "warm";
@@ -112,7 +112,7 @@
             wish.count = near;
             wish.why = "near";
         }
-    } else if (f.rate * kHold * static_cast<double>(s.boot) / 1e6 > 1 || f.load_slow > 0.5) {
+    } else if (f.rate * kHold * static_cast<double>(s.boot_duration) / 1e6 > 1 || f.load_slow > 0.5) {
         wish.count = std::max<std::size_t>(
             1, static_cast<std::size_t>(std::ceil((f.load_slow + std::sqrt(f.load_slow)) / slots - 0.3)));
         wish.why = "load";
@@ -133,7 +133,7 @@
         const WaitQueue::Waiting& last = *f.waiting.newest();
         const bool late = static_cast<double>(now) + wait + static_cast<double>(last.work) >
                           static_cast<double>(last.target_at);
-        if (starting * s.most < f.waiting.size() && wait > kStartPays * static_cast<double>(s.boot) &&
+        if (starting * s.max_concurrency < f.waiting.size() && wait > kStartPays * static_cast<double>(s.boot_duration) &&
             (have == 0 || late)) {
             if (have + 1 > wish.count) {
                 wish.why = "waiting";
@@ -166,7 +166,7 @@
 void Planner::plan(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail) {
     if (!committed(now)) return;
     // Nobody asks, nothing runs, none is to be warm.
-    if (f.service && f.runners.empty() && f.waiting.empty() && f.rate < 0.01 && !f.service->warm() &&
+    if (f.service && f.runners.empty() && f.waiting.empty() && f.rate < 0.01 && !f.service->needs_warm_runner() &&
         !starts_of_.contains(f.name))
         return;
     if (!f.service) {
@@ -204,7 +204,7 @@
     }
     // Stopped once it has been too many for as long as a start is worth.
     const Micros since = surplus_since_.try_emplace(f.name, now).first->second;
-    const Micros keep = want.count == 0 ? f.service->boot : 2 * f.service->boot + 500'000;
+    const Micros keep = want.count == 0 ? f.service->boot_duration : 2 * f.service->boot_duration + 500'000;
     if (now < since + keep) return;
     const RunnerSlots* chosen = nullptr;
     std::map<std::string, int> there;
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -31,13 +31,13 @@
 // Times come from what the deployment promises to bear.
 Consensus::Options consensus_options(const Settings& settings) {
     Consensus::Options options;
-    options.self = settings.control_plane;
-    options.seeds = settings.seeds;
+    options.self = settings.control_plane_address;
+    options.seeds = settings.seed_addresses;
     options.random_seed = std::random_device()();
     // A machine counts as lost for catch_up after its start: by then its predecessor must be out.
     constexpr Micros kLeastReplaceAfter = 600'000;
     constexpr Micros kMostReplaceAfter = 3'000'000;
-    options.replace_after = std::clamp(settings.catch_up / 4, kLeastReplaceAfter, kMostReplaceAfter);
+    options.replace_after = std::clamp(settings.catch_up_time / 4, kLeastReplaceAfter, kMostReplaceAfter);
     options.remove_after = 2 * options.replace_after;
     return options;
 }
@@ -48,7 +48,7 @@
         : loop_(loop),
           settings_(std::move(settings)),
           watch_(loop, [this](const Settings& s) { restated(s); }),
-          control_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
+          control_(loop, address_or_end(settings_.control_plane_address, "listen_addresses.control_plane"),
                    {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
                     [this](HttpService::Exchange e) { puts_.erase(e); }},
                    512),
@@ -62,7 +62,7 @@
           term_(loop, SIGTERM, [this] { leave(); }),
           int_(loop, SIGINT, [this] { leave(); }) {
         Limits limits;
-        limits.body_bytes = 16U << 20;
+        limits.max_body_bytes = 16U << 20;
         control_.limit(limits);
         open();
         due();
@@ -93,7 +93,7 @@
                 std::filesystem::create_directories(settings_.data_directory, ignored);
                 BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
                 Consensus::Options options = consensus_options(settings_);
-                options.first_start = settings_.initial_start && !state.voting_state.is_member;
+                options.first_start = settings_.is_initial_start && !state.voting_state.is_member;
                 Output out;
                 Event("disk_opened")
                     .with("member", state.voting_state.is_member)
@@ -229,11 +229,11 @@
             dial(to, peer);
         }
         if (peer.line && peer.line->unsent() < kMostUnsentBytes)
-            peer.line->send(message, settings_.control_plane);
+            peer.line->send(message, settings_.control_plane_address);
     }
 
     void dial(const std::string& to, Peer& peer) {
-        const auto address = net::Address::read(settings_.internal_of(to));
+        const auto address = net::Address::read(settings_.internal_address_of(to));
         if (!address) return;
         peer.dialed = net::Loop::now();
         MessageConnection::Events events;
@@ -279,7 +279,7 @@
             if (coordinator_ && fresh) return;  // it was told of all guests as it opened
             if (coordinator_) return take(inbound_peer.session, message_received.message);
             const std::string leader = consensus_ ? consensus_->leader() : std::string();
-            inbound_peer.line->send(Redirect{leader == settings_.control_plane ? std::string() : leader});
+            inbound_peer.line->send(Redirect{leader == settings_.control_plane_address ? std::string() : leader});
             return;
         }
         if (coordinator_ && inbound_peer.front) take(inbound_peer.session, message_received.message);
@@ -304,7 +304,7 @@
         const Micros now = net::Loop::now();
         if (leaving_ || !consensus_ || !consensus_->leads(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
-            if (leader.empty() || leader == settings_.control_plane)
+            if (leader.empty() || leader == settings_.control_plane_address)
                 return control_.answer(exchange, ErrorCode::no_quorum, {}, 200);
             HttpMessage answer;
             answer.status = error_response(ErrorCode::not_leader).status;
@@ -323,7 +323,7 @@
         }
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(m.body));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(m.body));
                 read_ = configuration;
                 read_body_ = m.body;
                 const Number ticket = ++last_ticket_;
@@ -372,7 +372,7 @@
                 const Micros heard = consensus_->heard_from(m);
                 core.emplace_back(
                     json::Object{{"member", told(m)},
-                                 {"itself", json::Value(m == settings_.control_plane)},
+                                 {"itself", json::Value(m == settings_.control_plane_address)},
                                  {"heard_ms_ago", heard > 0 ? told_ms(now - heard) : json::Value()}});
             }
         if (!core.empty()) all["core"] = json::Value(std::move(core));
@@ -438,8 +438,8 @@
     }
 
     void restated(const Settings& s) {
-        settings_.seeds = s.seeds;
-        if (consensus_) consensus_->set_seeds(s.seeds);
+        settings_.seed_addresses = s.seed_addresses;
+        if (consensus_) consensus_->set_seeds(s.seed_addresses);
     }
 
     void leave() {
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -23,8 +23,8 @@
 
 SlotTable::Options slot_table_options(const Settings& s) {
     SlotTable::Options t;
-    t.budget_slack = s.budget_slack;
-    t.budget_window = s.budget_window;
+    t.budget_slack = s.retry_budget_slack;
+    t.budget_window = s.retry_budget_window;
     t.rejection_slack = s.rejection_slack;
     t.late_turn = s.late_turn;
     return t;
@@ -33,8 +33,8 @@
 Planner::Options planner_options(const Settings& s, Number term) {
     Planner::Options t;
     t.nonce_prefix = nonce_prefix(s.node_name, term);
-    t.duty_per_s = s.duty_per_s;
-    t.region_of = s.region_of;
+    t.duty_per_s = s.platform_actions_per_s;
+    t.region_of = s.region_of_zone;
     // Fronts tell what they know to be starting as they come; what nobody knows costs one start too many.
     t.settle = 300'000;
     return t;
@@ -49,7 +49,7 @@
       say_(std::move(say)),
       slot_table_(slot_table_options(settings)),
       planner_(planner_options(settings, term), net::Loop::now()),
-      listing_({settings.list_rate_per_s, 400'000}, net::Loop::now()),
+      listing_({settings.platform_lists_per_s, 400'000}, net::Loop::now()),
       platform_(
           loop, {600'000, 8'000'000, 4, 16U << 20, {}},
           {[this](HttpCaller::Call id, CallEnd how, HttpMessage&& answer, bool) { ended(id, how, answer); },
@@ -72,7 +72,7 @@
     else
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(entry.body));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(entry.body));
                 slot_table_.configure(std::move(configuration));
                 return {};
             },
@@ -169,7 +169,7 @@
     const HttpCaller::Call id = ++last_call_;
     call.until = net::Loop::now() + limit;
     calls_[id] = std::move(call);
-    platform_.call(id, settings_.platform, request);
+    platform_.call(id, settings_.platform_address, request);
 }
 
 void Coordinator::ended(HttpCaller::Call id, CallEnd how, const HttpMessage& answer) {
@@ -294,7 +294,7 @@
     json::List waiting;
     json::List fronts;
     if (asked("starts"))
-        for (const PlatformAction& d : recent_actions_.kept())
+        for (const PlatformAction& d : recent_actions_.entries())
             starts.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
                                              {"deed", told(std::string(d.start ? "start" : "stop"))},
                                              {"service", told(d.service)},
@@ -332,7 +332,7 @@
         const auto name = [&](Session s) {
             return told(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
         };
-        for (const PriorityInversion& o : slot_table_.priority_inversions().kept())
+        for (const PriorityInversion& o : slot_table_.priority_inversions().entries())
             all.emplace_back(json::Object{{"ago_ms", told_ms(now - o.at)},
                                           {"function", told(o.service)},
                                           {"went", name(o.front)},
@@ -382,10 +382,10 @@
     // What was decided since the last look, as far as the record still holds it.
     const auto& priority_inversions = slot_table_.priority_inversions();
     const std::size_t fresh =
-        std::min(priority_inversions.all() - priority_inversions_logged_, priority_inversions.kept().size());
-    for (std::size_t i = priority_inversions.kept().size() - fresh; i < priority_inversions.kept().size();
+        std::min(priority_inversions.total_added() - priority_inversions_logged_, priority_inversions.entries().size());
+    for (std::size_t i = priority_inversions.entries().size() - fresh; i < priority_inversions.entries().size();
          ++i) {
-        const PriorityInversion& o = priority_inversions.kept()[i];
+        const PriorityInversion& o = priority_inversions.entries()[i];
         const auto front = [&](Session s) {
             return slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string();
         };
@@ -400,7 +400,7 @@
             .with("before_aim_left_ms", o.before_target_left / 1000)
             .with("why", o.why);
     }
-    priority_inversions_logged_ = priority_inversions.all();
+    priority_inversions_logged_ = priority_inversions.total_added();
     if (announce_at_ > 0 && now >= announce_at_) {
         announce_at_ = 0;
         announce_registered();
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -87,7 +87,7 @@
 }
 
 std::size_t blocks_for(const Settings& settings) {
-    return static_cast<std::size_t>(settings.memory_mb) * 1024 / 8 /
+    return static_cast<std::size_t>(settings.memory_limit_mb) * 1024 / 8 /
            4;  // a quarter of the memory, in blocks of 8 KB
 }
 
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -44,7 +44,7 @@
     Proxy(net::Loop& loop, Settings settings)
         : loop_(loop),
           settings_(std::move(settings)),
-          watch_(loop, [this](const Settings& s) { settings_.seeds = s.seeds; }),
+          watch_(loop, [this](const Settings& s) { settings_.seed_addresses = s.seed_addresses; }),
           handler_(handler_options(settings_)),
           runners_(
               loop, {500'000, 8'000'000, 6, 16U << 20, kAttemptIdField},
@@ -52,12 +52,12 @@
                    ended(id, how, std::move(answer), fresh);
                },
                [this](const std::string& a) { reached(a); }, [this](const std::string& a) { refused(a); }}),
-          clients_(loop, address_or_end(settings_.frontend, "listen_addresses.frontend"),
+          clients_(loop, address_or_end(settings_.frontend_address, "listen_addresses.frontend"),
                    {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
                     [this](HttpService::Exchange e) { left(e); }},
-                   static_cast<std::size_t>(std::max<std::int64_t>(64, settings_.descriptors * 6 / 10))),
+                   static_cast<std::size_t>(std::max<std::int64_t>(64, settings_.max_file_descriptors * 6 / 10))),
           readiness_(
-              loop, address_or_end(settings_.readiness, "listen_addresses.readiness"),
+              loop, address_or_end(settings_.readiness_address, "listen_addresses.readiness"),
               {[this](HttpService::Exchange e, HttpMessage&&) { ready(e); }, [](HttpService::Exchange) {}},
               64),
           explain_(loop, [this](const std::string& what) { return explain(what); }),
@@ -211,13 +211,13 @@
         std::string to = std::exchange(redirected_to_, {});
         if (to.empty()) {
             std::vector<std::string> all = members_;
-            for (const std::string& seed : settings_.seeds)
+            for (const std::string& seed : settings_.seed_addresses)
                 if (std::find(all.begin(), all.end(), seed) == all.end()) all.push_back(seed);
             if (all.empty()) return;
             to = all[next_core_++ % all.size()];
         }
         dialed_at_ = now;
-        const auto address = net::Address::read(settings_.internal_of(to));
+        const auto address = net::Address::read(settings_.internal_address_of(to));
         if (!address) return;
         MessageConnection::Events events;
         events.up = [this] { line_->send(handler_.registration()); };
@@ -267,7 +267,7 @@
                     return make_error(ErrorCode::bytes_malformed,
                                       "a difference to a version that is not held");
                 BOOST_LEAF_AUTO(body, apply_delta(m.delta.base == 0 ? std::string() : body_, m.delta.bytes));
-                BOOST_LEAF_AUTO(configuration, Configuration::read(body));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(body));
                 body_ = std::move(body);
                 clients_.limit(configuration->limits());
                 handler_.configure(std::move(configuration));
@@ -294,7 +294,7 @@
         json::List requests;
         json::List splits;
         if (what.empty() || what == "requests")
-            for (const RoutingDecision& d : handler_.decisions().kept())
+            for (const RoutingDecision& d : handler_.decisions().entries())
                 requests.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
                                                    {"request", told(static_cast<double>(d.request))},
                                                    {"service", told(d.service)},
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -34,16 +34,16 @@
     Request& r = requests_[id];
     r.configuration = configuration_;
     if (!configuration_) return give_up(now, id, r, ErrorCode::not_sent, 500, out);
-    r.route = configuration_->route(host, path);
+    r.route = configuration_->find_route(host, path);
     if (!r.route) return give_up(now, id, r, ErrorCode::no_route, 0, out);
     r.came = now;
     r.target_at = now + r.route->latency_target;
     r.deadline_at = now + std::min<Micros>(deadline_ms * 1000LL, r.route->timeout);
     double sum = 0;
-    for (const auto& share : r.route->shares) sum += share.weight;
+    for (const auto& share : r.route->services) sum += share.weight;
     double at = unit() * sum;
-    r.service = r.route->shares.front().service;
-    for (const auto& share : r.route->shares) {
+    r.service = r.route->services.front().service;
+    for (const auto& share : r.route->services) {
         if (share.weight <= 0) continue;
         r.service = share.service;
         if ((at -= share.weight) < 0) break;
@@ -352,7 +352,7 @@
     r.may_have_run = r.may_have_run || ran;
     if (!r.client) return close(id);
     const bool may_again =
-        (!ran || r.route->idempotent) && r.sends < r.route->attempts && now + 20'000 < r.deadline_at;
+        (!ran || r.route->is_idempotent) && r.sends < r.route->max_attempts && now + 20'000 < r.deadline_at;
     if (may_again) {
         r.again = r.sends > 0;
         return seek(now, id, r, out);
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -161,7 +161,7 @@
     // would not do: its number means something else in the next configuration.
     using WorkKind = std::tuple<std::uint8_t, Micros, bool>;  // priority, aim, idempotent
     static WorkKind kind_of(const Route& route) {
-        return {route.priority, route.latency_target, route.idempotent};
+        return {route.priority, route.latency_target, route.is_idempotent};
     }
     struct Runner {
         RunnerInfo what;
--- a/src/cluster/slots/modes.cpp
+++ b/src/cluster/slots/modes.cpp
@@ -57,7 +57,7 @@
 // By chance alone, how often would a runner be full if nobody asked?
 void SlotTable::settle_mode(Micros now, Function& f, std::vector<ProxyMessage>& out) {
     while (!f.rejected.empty() && f.rejected.front() < now - 5'000'000) f.rejected.pop_front();
-    if (!f.service || !options_.may_be_unrestricted || f.service->most < kFewSlots)
+    if (!f.service || !options_.may_be_unrestricted || f.service->max_concurrency < kFewSlots)
         return set_mode(f, false, out);
     std::map<std::string, double> ready;
     for (const std::uint32_t number : f.runners)
@@ -80,7 +80,7 @@
         const double own = rate > 0 && place != f.places.end() ? place->second.rate / rate : 0;
         const double part = rate > 0 ? own + (1 - near / rate) * count / all : count / all;
         // Half as much again: chance has bad seconds too.
-        turned += part * rate * 5 * blocked(1.5 * load * part / count, f.service->most);
+        turned += part * rate * 5 * blocked(1.5 * load * part / count, f.service->max_concurrency);
     }
     const double allowed = options_.rejection_slack;
     // The first one turned away is enough: of the allowed ones some more are on their way before all fronts
--- a/src/cluster/slots/runners.cpp
+++ b/src/cluster/slots/runners.cpp
@@ -19,7 +19,7 @@
     r.began = r.idle_since = now;
     Function& f = function(what.service);
     r.function = &f;
-    if (f.service) r.what.slots = f.service->most;
+    if (f.service) r.what.slots = f.service->max_concurrency;
     f.runners.push_back(number);
     by_name_[what.runner_id] = number;
     starting_.insert(number);
--- a/src/cluster/slots/sampling.cpp
+++ b/src/cluster/slots/sampling.cpp
@@ -28,7 +28,7 @@
         double first = 0;
         if (r.state == RunnerState::starting)
             first = std::max(50'000.0,
-                             static_cast<double>(r.began + (f.service ? f.service->boot : 1'000'000) - now));
+                             static_cast<double>(r.began + (f.service ? f.service->boot_duration : 1'000'000) - now));
         else if (now < r.aside_until)
             first = static_cast<double>(r.aside_until - now);
         for (const RunnerSlots::Given& g : r.given)
@@ -105,7 +105,7 @@
         if (!f.waiting.empty()) serve(now, f, out);
         // A function that is to be warm is planned for whether or not anyone asks.
         if (f.runners.empty() && f.waiting.empty() && now > f.last_used + kForget &&
-            !(f.service && f.service->warm())) {
+            !(f.service && f.service->needs_warm_runner())) {
             f.active = false;
             i = active_.erase(i);
         } else {
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -14,7 +14,7 @@
     if (!f) {
         f = std::make_unique<Function>();
         f->name = name;
-        if (configuration_) f->service = configuration_->service(name);
+        if (configuration_) f->service = configuration_->find_service(name);
     }
     return *f;
 }
@@ -28,11 +28,11 @@
     configuration_ = std::move(configuration);
     for (const Service& s : configuration_->services()) function(s.name);
     for (auto& [name, f] : functions_) {
-        f->service = configuration_->service(name);
+        f->service = configuration_->find_service(name);
         touch(*f);  // the next tick lets go of those that are not used
     }
     for (auto& [number, r] : runners_)
-        if (r.function->service) r.what.slots = r.function->service->most;
+        if (r.function->service) r.what.slots = r.function->service->max_concurrency;
 }
 
 std::int64_t SlotTable::used_mb(const std::string& worker) const {
--- a/src/cluster/transport/http_service.cpp
+++ b/src/cluster/transport/http_service.cpp
@@ -74,10 +74,10 @@
                 case http::Found::head:
                     request_ = copy_of(reader_.head());
                     reading_ = true;
-                    if (reader_.length() > service_.limits_.body_bytes) return refuse(413);
+                    if (reader_.length() > service_.limits_.max_body_bytes) return refuse(413);
                     continue;
                 case http::Found::body:
-                    if (request_.body.size() + reader_.piece().size() > service_.limits_.body_bytes)
+                    if (request_.body.size() + reader_.piece().size() > service_.limits_.max_body_bytes)
                         return refuse(413);
                     request_.body.append(reader_.piece());
                     continue;
--- a/src/cluster/wire/codec.cpp
+++ b/src/cluster/wire/codec.cpp
@@ -60,7 +60,8 @@
 std::string encode_record(const Record& record) {
     using Builder = typename Mapping<Record>::Builder;
     capnp::MallocMessageBuilder builder(kFirstSegmentWords);
-    mapping::encode_fields(record, Builder(builder.initRoot<typename Builder::Builds>()));
+    const Builder root = builder.initRoot<typename Builder::Builds>();
+    mapping::encode_fields(record, root);
     return packed(builder);
 }
 
--- a/src/cluster/wire/field_mapping.hpp
+++ b/src/cluster/wire/field_mapping.hpp
@@ -36,9 +36,9 @@
 struct Enumeration;
 
 template <class Value>
-constexpr bool kIsList = false;
+struct IsList : std::false_type {};
 template <class Element>
-constexpr bool kIsList<std::vector<Element>> = true;
+struct IsList<std::vector<Element>> : std::true_type {};
 
 inline std::string to_string(capnp::Text::Reader text) { return {text.begin(), text.size()}; }
 inline std::string to_string(capnp::Data::Reader bytes) {
@@ -105,7 +105,7 @@
     static void encode(const Value& value, Builder& to) {
         const auto& field = value.*Member;
         using FieldType = std::decay_t<decltype(field)>;
-        if constexpr (kIsList<FieldType>)
+        if constexpr (IsList<FieldType>::value)
             encode_list(field, (to.*SetOrInit)(static_cast<unsigned>(field.size())));
         else if constexpr (std::is_enum_v<FieldType>)
             (to.*SetOrInit)(static_cast<std::uint8_t>(field));
@@ -123,7 +123,7 @@
     [[nodiscard]] static bool decode(Value& value, const Reader& from) {
         auto& field = value.*Member;
         using FieldType = std::decay_t<decltype(field)>;
-        if constexpr (kIsList<FieldType>)
+        if constexpr (IsList<FieldType>::value)
             return decode_list(field, (from.*Get)());
         else if constexpr (std::is_enum_v<FieldType>)
             return decode_enum(field, (from.*Get)());
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -545,7 +545,7 @@
         R"(","timeout_ms":4000,"target_latency_ms":1500,"priority":1,"service":"f","max_attempts":)" +
         std::to_string(attempts) +
         R"(}],"services":[{"name":"f","connection_limit":20,"memory_mb":128,"boot_duration_ms":600,"max_concurrency":1}]})";
-    return leaf::try_handle_all([&] { return Configuration::read(text); },
+    return leaf::try_handle_all([&] { return Configuration::parse(text); },
                                 []() -> std::shared_ptr<const Configuration> {
                                     BOOST_FAIL("the configuration can not be read");
                                     return {};
@@ -802,9 +802,9 @@
     Leader(net::Loop& loop, Platform& platform, const std::string& node, Number term)
         : loop(loop), platform(platform) {
         settings.node_name = node;
-        settings.platform = platform.door.address();
-        settings.list_rate_per_s = 50;
-        settings.duty_per_s = 50;
+        settings.platform_address = platform.door.address();
+        settings.platform_lists_per_s = 50;
+        settings.platform_actions_per_s = 50;
         coordinator.emplace(loop, settings, term, [](Session, const Message&) {});
         LogEntry entry;
         entry.version = 1;
--- a/tests/system/formats.hpp
+++ b/tests/system/formats.hpp
@@ -9,8 +9,8 @@
 
 namespace gannethold::cluster::tests {
 
-void write_encoded_examples(const std::filesystem::path& fixtures);
-void write_store_examples(const std::filesystem::path& fixtures);
+void write_encoded_examples(const std::filesystem::path& folder);
+void write_store_examples(const std::filesystem::path& folder);
 
 inline std::filesystem::path fixtures() { return FIXTURES; }
 
--- a/tests/system/scenarios.cpp
+++ b/tests/system/scenarios.cpp
@@ -347,7 +347,7 @@
                 if (settings)
                     BOOST_LEAF_CHECK(Settings::parse(text));
                 else
-                    BOOST_LEAF_CHECK(Configuration::read(text));
+                    BOOST_LEAF_CHECK(Configuration::parse(text));
                 return {};
             },
             [&](ErrorCode k, const ErrorDetail& d) {
@@ -527,7 +527,7 @@
     WaitingFront() : handler({"front-0", "z0", 1, 800'000, 7}) {
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(kOneSlowRoute));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(kOneSlowRoute));
                 handler.configure(configuration);
                 return {};
             },
--- a/tests/system/slots_tests.cpp
+++ b/tests/system/slots_tests.cpp
@@ -16,7 +16,7 @@
 std::shared_ptr<const Configuration> one_function() {
     return leaf::try_handle_all(
         []() -> leaf::result<std::shared_ptr<const Configuration>> {
-            return Configuration::read(
+            return Configuration::parse(
                 R"({"version":1,"services":[{"name":"f","boot_duration_ms":1000,"max_concurrency":1}],)"
                 R"("routes":[{"name":"r","host":"h","path_prefix":"/","route_kind":"idempotent","service":"f"}]})");
         },
--- a/tests/system/formats_encoded.cpp
+++ b/tests/system/wire/encoded_formats_test.cpp
@@ -1,5 +1,6 @@
-// Every message between the system's processes and every encoded record, with each field set, against the
-// bytes in fixtures/encoded.txt (a line each: name, bytes in hexadecimal).
+// Every message between the cluster's processes and every stored record, with each field set, against the
+// bytes in fixtures/encoded.txt (a line each: name, bytes in hexadecimal). The names of examples are those in
+// the fixtures.
 #include <fstream>
 #include <map>
 #include <optional>
@@ -17,9 +18,9 @@
 namespace {
 
 constexpr char kFile[] = "encoded.txt";
-// A number that needs all eight bytes: a field that was narrowed shows.
-constexpr Number kLarge = 0xf1e2d3c4b5a69788ULL;
-constexpr Number kSmall = 7;
+// Needs all eight bytes, so that a field that was narrowed shows.
+constexpr std::uint64_t kLarge = 0xf1e2d3c4b5a69788ULL;
+constexpr std::uint64_t kSmall = 7;
 
 const std::string kSender = "10.1.0.41:8263";
 const std::string kOther = "10.2.0.35:8263";
@@ -40,7 +41,7 @@
             {"i-2", "resize", "10.2.64.7:8081", "almadies", "w-5", 70'000, 65'536, true}};
 }
 
-std::vector<MessageExample> core_examples() {
+std::vector<MessageExample> controller_examples() {
     return {
         {"heartbeat", Heartbeat{}, {}},
         {"vote_request", VoteRequest{kLarge, {kLarge - 1, 12}, true, true}, {}},
@@ -60,7 +61,7 @@
     };
 }
 
-std::vector<MessageExample> front_examples() {
+std::vector<MessageExample> proxy_examples() {
     return {
         {"register", RegisterRequest{"front-1", "plateau", kLarge, 12, runners(), loads()}, {}},
         {"redirect", Redirect{kOther}, {}},
@@ -79,18 +80,18 @@
     };
 }
 
-// What is read of a runner that is gone: nothing of it is sent, and then its slots are 0, not their default.
-RunnerInfo nothing_sent() {
-    RunnerInfo holding;
-    holding.slots = 0;
-    return holding;
+// How a runner is decoded that was not sent: its slots are 0, not their default.
+RunnerInfo runner_not_sent() {
+    RunnerInfo runner;
+    runner.slots = 0;
+    return runner;
 }
 
 // One more of each value that an enumeration has.
 std::vector<MessageExample> enumeration_examples() {
     return {
         {"runner_told_starting", RunnerUpdate{1, RunnerState::starting, runners().front(), false}, {}},
-        {"runner_told_gone", RunnerUpdate{1, RunnerState::gone, nothing_sent(), false}, {}},
+        {"runner_told_gone", RunnerUpdate{1, RunnerState::gone, runner_not_sent(), false}, {}},
         {"acquire_granted_nothing", AcquireGranted{1, 2, WaitReason::none}, {}},
         {"acquire_granted_start", AcquireGranted{1, 2, WaitReason::start}, {}},
         {"acquire_granted_slot", AcquireGranted{1, 2, WaitReason::slot}, {}},
@@ -104,8 +105,8 @@
 }
 
 std::vector<MessageExample> message_examples() {
-    std::vector<MessageExample> all = core_examples();
-    for (const auto& more : {front_examples(), enumeration_examples()})
+    std::vector<MessageExample> all = controller_examples();
+    for (const auto& more : {proxy_examples(), enumeration_examples()})
         all.insert(all.end(), more.begin(), more.end());
     return all;
 }
@@ -148,10 +149,11 @@
     return bytes;
 }
 
-// What the present text makes of all examples, by name.
+// All examples as they are encoded now, by name.
 std::map<std::string, std::string> encoded_now() {
     std::map<std::string, std::string> all;
-    for (const MessageExample& one : message_examples()) all[one.name] = encode(one.message, one.from);
+    for (const MessageExample& example : message_examples())
+        all[example.name] = encode(example.message, example.from);
     all["record_promise"] = encode_voting_state(promise_example());
     all["record_entry"] = encode_entry(entry_example());
     all["record_payload"] = encode_payload(payload_example());
@@ -174,7 +176,7 @@
     return all.at(name);
 }
 
-// The message in bytes as they come from a connection.
+// The message in the bytes of a connection.
 ReceivedMessage received(const std::string& framed) {
     FrameReader frames;
     frames.add(framed);
@@ -191,11 +193,12 @@
     for (const auto& [name, bytes] : encoded_now()) file << name << ' ' << hexadecimal(bytes) << '\n';
 }
 
-BOOST_AUTO_TEST_CASE(no_message_kind_lacks_an_example) {
-    std::map<std::size_t, std::string> name_of_kind;
-    for (const MessageExample& one : message_examples()) name_of_kind[one.message.index()] = one.name;
-    for (std::size_t kind = 0; kind < std::variant_size_v<Message>; ++kind)
-        BOOST_TEST(name_of_kind.contains(kind), "no example of the kind at place " << kind << " of Message");
+BOOST_AUTO_TEST_CASE(each_type_of_message_has_an_example) {
+    std::map<std::size_t, std::string> name_of_type;
+    for (const MessageExample& example : message_examples())
+        name_of_type[example.message.index()] = example.name;
+    for (std::size_t type = 0; type < std::variant_size_v<Message>; ++type)
+        BOOST_TEST(name_of_type.contains(type), "no example of the type at place " << type << " of Message");
 }
 
 BOOST_AUTO_TEST_CASE(examples_and_fixtures_have_the_same_names) {
@@ -207,15 +210,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(every_field_of_an_example_differs_from_its_default) {
-    for (const auto& examples : {core_examples(), front_examples()})
-        for (const MessageExample& one : examples) {
-            if (!one.from.empty()) continue;  // a second example of its kind, for the sender's name
-            BOOST_TEST_CONTEXT(one.name)
+    for (const auto& examples : {controller_examples(), proxy_examples()})
+        for (const MessageExample& example : examples) {
+            if (!example.from.empty()) continue;  // a second example of its kind, for the sender's name
+            BOOST_TEST_CONTEXT(example.name)
             std::visit(
                 [](const auto& message) {
                     check_every_field_set(message, std::decay_t<decltype(message)>{});
                 },
-                one.message);
+                example.message);
         }
     check_every_field_set(promise_example(), VotingState{});
     check_every_field_set(entry_example(), LogEntry{});
@@ -223,17 +226,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(messages_are_encoded_as_before) {
-    for (const MessageExample& one : message_examples())
-        BOOST_TEST(hexadecimal(encode(one.message, one.from)) == hexadecimal(fixture(one.name)), one.name);
+    for (const MessageExample& example : message_examples())
+        BOOST_TEST(hexadecimal(encode(example.message, example.from)) == hexadecimal(fixture(example.name)),
+                   example.name);
 }
 
 BOOST_AUTO_TEST_CASE(messages_are_decoded_to_the_same_values_and_bytes) {
-    for (const MessageExample& one : message_examples()) {
-        const std::string bytes = fixture(one.name);
+    for (const MessageExample& example : message_examples()) {
+        const std::string bytes = fixture(example.name);
         const ReceivedMessage back = received(bytes);
-        BOOST_TEST(back.from == one.from, one.name);
-        BOOST_TEST(same(back.message, one.message), one.name);
-        BOOST_TEST(hexadecimal(encode(back.message, back.from)) == hexadecimal(bytes), one.name);
+        BOOST_TEST(back.from == example.from, example.name);
+        BOOST_TEST(same(back.message, example.message), example.name);
+        BOOST_TEST(hexadecimal(encode(back.message, back.from)) == hexadecimal(bytes), example.name);
     }
 }
 
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -34,7 +34,7 @@
         core.coordinator->version = core.consensus->committed()->version;
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(c, Configuration::read(core.consensus->committed()->body));
+                BOOST_LEAF_AUTO(c, Configuration::parse(core.consensus->committed()->body));
                 core.coordinator->slot_table.configure(c);
                 for (const std::size_t f : core.coordinator->fronts) {
                     const Number version = core.coordinator->version;
@@ -104,11 +104,11 @@
     // aim, or as a late one in its turn.
     const auto& priority_inversions = k.slot_table.priority_inversions();
     const std::size_t fresh =
-        std::min(priority_inversions.all() - k.priority_inversions, priority_inversions.kept().size());
-    k.priority_inversions = priority_inversions.all();
-    for (std::size_t n = priority_inversions.kept().size() - fresh; n < priority_inversions.kept().size();
+        std::min(priority_inversions.total_added() - k.priority_inversions, priority_inversions.entries().size());
+    k.priority_inversions = priority_inversions.total_added();
+    for (std::size_t n = priority_inversions.entries().size() - fresh; n < priority_inversions.entries().size();
          ++n) {
-        const PriorityInversion& o = priority_inversions.kept()[n];
+        const PriorityInversion& o = priority_inversions.entries()[n];
         const bool urgent =
             o.target_left + o.priority * kRank <= o.before_target_left + o.before_priority * kRank;
         const bool past = std::string(o.why) != "less_time_left";
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -87,7 +87,7 @@
                     leaf::try_handle_all(
                         [&]() -> leaf::result<void> {
                             BOOST_LEAF_AUTO(configuration,
-                                            Configuration::read(next.consensus->committed()->body));
+                                            Configuration::parse(next.consensus->committed()->body));
                             front.handler->configure(configuration);
                             front.best_version = std::max(front.best_version, front.handler->version());
                             return {};
