--- a/src/cluster/programs/proxy_explain.cpp
+++ b/src/cluster/programs/proxy_explain.cpp
@@ -52,12 +52,13 @@
 json::Value explain_proxy(const ProxyServer& server, const std::string& what, Micros now) {
     const RequestHandler& handler = server.handler();
     const auto is_wanted = [&](const char* part) { return what.empty() || what == part; };
-    json::Object all{{"node", told(server.settings().node_name)},
-                     {"role", told(std::string("proxy"))},
-                     {"version", told(static_cast<double>(handler.version()))},
-                     {"coordinator", json::Value(handler.has_coordinator())},
-                     {"open", told(static_cast<double>(handler.pending_requests()))},
-                     {"malformed_lines", told(static_cast<double>(MessageConnection::malformed()))}};
+    json::Object all{
+        {"node", told(server.settings().node_name)},
+        {"role", told(std::string("proxy"))},
+        {"version", told(static_cast<double>(handler.version()))},
+        {"coordinator", json::Value(handler.has_coordinator())},
+        {"open", told(static_cast<double>(handler.pending_requests()))},
+        {"malformed_lines", told(static_cast<double>(MessageConnection::malformed_connections()))}};
     if (is_wanted("losses")) all["losses"] = explain_losses(handler.statistics());
     if (is_wanted("requests")) all["requests"] = explain_requests(handler.statistics(), now);
     if (is_wanted("splits")) all["splits"] = explain_splits(handler);
--- a/src/cluster/proxy_server/readiness_server.cpp
+++ b/src/cluster/proxy_server/readiness_server.cpp
@@ -14,24 +14,23 @@
 ReadinessServer::ReadinessServer(net::Loop& loop, const net::Address& address,
                                  std::function<Readiness()> readiness)
     : readiness_(std::move(readiness)),
-      service_(loop, address,
-               {[this](HttpService::Exchange exchange, HttpMessage&&) { on_probe(exchange); },
-                [](HttpService::Exchange) {}},
-               kMaxConnections) {}
+      server_(loop, address,
+              {.on_request = [this](ExchangeId exchange, HttpMessage&&) { on_probe(exchange); }},
+              kMaxConnections) {}
 
-void ReadinessServer::on_probe(HttpService::Exchange exchange) {
+void ReadinessServer::on_probe(ExchangeId exchange) {
     switch (readiness_()) {
         case Readiness::shutting_down:
-            return service_.answer(exchange, ErrorCode::shutting_down, {}, kRetryShutdownMs);
+            return server_.respond(exchange, ErrorCode::shutting_down, {}, kRetryShutdownMs);
         case Readiness::no_configuration:
-            return service_.answer(exchange, ErrorCode::no_quorum, "no configuration yet",
+            return server_.respond(exchange, ErrorCode::no_quorum, "no configuration yet",
                                    kRetryConfigurationMs);
         case Readiness::ready:
             break;
     }
     HttpMessage response;
     response.status = 200;
-    service_.answer(exchange, response);
+    server_.respond(exchange, response);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/upstream_runners.cpp
+++ b/src/cluster/proxy_server/upstream_runners.cpp
@@ -18,16 +18,21 @@
 
 UpstreamRunners::UpstreamRunners(net::Loop& loop, Events events)
     : events_(std::move(events)),
-      caller_(loop, {kConnectTimeout, kIdleTimeout, kMaxIdlePerRunner, kMaxResponseBytes, kAttemptIdHeader},
-              {[this](HttpCaller::Call id, CallEnd end, HttpMessage&& response, bool is_first_response) {
-                   on_call_completed(id, end, std::move(response), is_first_response);
-               },
-               [this](const std::string& address) {
-                   if (probes_.on_connected(address)) events_.probe_completed(address, true);
-               },
-               [this](const std::string& address) {
-                   if (probes_.on_connect_failed(net::Loop::now(), address)) events_.probe_rescheduled();
-               }}) {}
+      client_(loop,
+              {.connect_timeout = kConnectTimeout,
+               .idle_timeout = kIdleTimeout,
+               .max_idle_connections = kMaxIdlePerRunner,
+               .max_response_bytes = kMaxResponseBytes,
+               .id_field = kAttemptIdHeader},
+              {.on_call_completed = [this](CompletedCall&& call) { on_call_completed(std::move(call)); },
+               .on_preconnected =
+                   [this](const std::string& address) {
+                       if (probes_.on_connected(address)) events_.probe_completed(address, true);
+                   },
+               .on_preconnect_failed =
+                   [this](const std::string& address) {
+                       if (probes_.on_connect_failed(net::Loop::now(), address)) events_.probe_rescheduled();
+                   }}) {}
 
 // A response to an earlier attempt at the same address would bear the same id: each attempt there has its own
 // connection.
@@ -36,14 +41,14 @@
     const bool is_attempted =
         std::find(addresses.begin(), addresses.end(), forward.address) != addresses.end();
     if (!is_attempted) addresses.push_back(forward.address);
-    caller_.call(forward.request, forward.address, make_upstream_request(request.message, forward),
+    client_.call(CallId{forward.request}, forward.address, make_upstream_request(request.message, forward),
                  is_attempted);
 }
 
-void UpstreamRunners::on_call_completed(HttpCaller::Call id, CallEnd end, HttpMessage&& response,
-                                        bool is_first_response) {
-    const AttemptResult result = classify_attempt(end, response, is_first_response);
-    completed_ = CompletedResponse{id, std::move(response)};
+void UpstreamRunners::on_call_completed(CompletedCall&& call) {
+    const auto id = static_cast<RequestId>(call.id);
+    const AttemptResult result = classify_attempt(call.result, call.response, call.first_on_connection);
+    completed_ = CompletedResponse{id, std::move(call.response)};
     events_.attempt_completed(id, result);
     completed_.reset();
 }
@@ -57,7 +62,7 @@
 
 void UpstreamRunners::tick(Micros now) {
     const ProbeSchedule::Due due = probes_.take_due(now);
-    for (const std::string& address : due.probed) caller_.preconnect(address);
+    for (const std::string& address : due.probed) client_.preconnect(address);
     for (const std::string& address : due.expired) events_.probe_completed(address, false);
 }
 
