--- a/rehearsal/system/try_system.cpp
+++ b/rehearsal/system/try_system.cpp
@@ -162,7 +162,7 @@
         m.status = status;
         m.fields.emplace_back("Content-Type", "application/json");
         m.body = std::move(body);
-        at.answer(e, m);
+        at.respond(e, m);
     }
 
     void platform(cluster::ExchangeId e, const HttpMessage& m) {
--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -32,8 +32,8 @@
       recovery_(now) {}
 
 ConsensusOutput Consensus::start() {
-    if (!state_.promise.member && options_.first_start) found_core();
-    if (state_.promise.member) {
+    if (!state_.voting_state.is_member && options_.first_start) found_core();
+    if (state_.voting_state.is_member) {
         role_ = Role::follower;
         remember_head();
     }
@@ -45,7 +45,7 @@
 // All founders have the same seeds, so all found the same core. Any other machine asks to join.
 void Consensus::found_core() {
     if (!contains(options_.seeds, options_.self)) return;
-    state_.promise.member = true;
+    state_.voting_state.is_member = true;
     state_.entry.position = {0, 1};
     state_.entry.members = options_.seeds;
     output_.must_persist = true;
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -115,13 +115,13 @@
     const LogEntry* committed_entry() const;
     // Of the current term, as far as known; else empty.
     const std::string& leader() const { return leader_; }
-    Term current_term() const { return state_.promise.term; }
+    Term current_term() const { return state_.voting_state.term; }
     // Of the newest entry, committed or not.
     const std::vector<std::string>& voters() const { return state_.entry.members; }
     // Known at the leader only.
     const std::set<std::string>& learners() const { return learners_; }
     // Whether it is no member: its disk was lost, or it was removed.
-    bool is_recovering() const { return !state_.promise.member; }
+    bool is_recovering() const { return !state_.voting_state.is_member; }
     // When the last message from that machine came; 0: never.
     Micros last_contact(const std::string& member) const;
 
--- a/src/cluster/consensus/election.cpp
+++ b/src/cluster/consensus/election.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void Consensus::restart_election_timer() {
-    const bool led_before = state_.promise.last_leader == options_.self && role_ != Role::leader;
+    const bool led_before = state_.voting_state.last_leader == options_.self && role_ != Role::leader;
     if (led_before && now_ < started_at_ + kEagerSpan)
         election_timer_.restart_eagerly(now_);
     else
@@ -25,13 +25,13 @@
 // Whether this member may owe its vote to the lease of a leader that is not the candidate.
 bool Consensus::may_owe_lease_to_other_than(const std::string& candidate) const {
     if (role_ == Role::leader) return has_lease(now_);
-    return has_leader_contact() && state_.promise.last_leader != candidate;
+    return has_leader_contact() && state_.voting_state.last_leader != candidate;
 }
 
 // The next term in which this member may stand: none in which it gives no vote, or for which a voter has
 // refused its vote.
 Term Consensus::next_term() const {
-    return std::max({current_term() + 1, state_.promise.no_vote_through + 1, min_next_term_});
+    return std::max({current_term() + 1, state_.voting_state.no_vote_through + 1, min_next_term_});
 }
 
 // role: pre_candidate or candidate. Only a candidate enters the new term.
@@ -44,8 +44,8 @@
     votes_ = {options_.self};
     role_ = role;
     if (role == Role::candidate) {
-        state_.promise.term = term;
-        state_.promise.voted_for = options_.self;
+        state_.voting_state.term = term;
+        state_.voting_state.voted_for = options_.self;
         output_.must_persist = true;
     }
     const bool pre_vote = role == Role::pre_candidate;
@@ -57,7 +57,7 @@
 
 void Consensus::handle_request_vote(const std::string& from, const VoteRequest& request) {
     if (role_ == Role::non_member) return;  // its lost disk may have promised anything
-    const bool owes_lease = may_owe_lease_to_other_than(from) && !request.leader_hands_over;
+    const bool owes_lease = may_owe_lease_to_other_than(from) && !request.leadership_transfer;
     if (request.pre_vote) {
         send(from, decide_pre_vote(request, owes_lease));
         return;
@@ -68,35 +68,35 @@
 }
 
 VoteResponse Consensus::decide_pre_vote(const VoteRequest& request, bool owes_lease) {
-    Promise& promise = state_.promise;
-    const bool is_up_to_date = request.held >= state_.entry.position;
-    const bool may_vote = request.term > promise.no_vote_through;
-    const bool granted = request.term > promise.term && is_up_to_date && !owes_lease && may_vote;
-    if (granted && request.term > promise.pre_voted_through) {
+    VotingState& voting_state = state_.voting_state;
+    const bool is_up_to_date = request.last_entry >= state_.entry.position;
+    const bool may_vote = request.term > voting_state.no_vote_through;
+    const bool granted = request.term > voting_state.term && is_up_to_date && !owes_lease && may_vote;
+    if (granted && request.term > voting_state.pre_voted_through) {
         // On disk: a member that loses its disk learns from a quorum in which terms it may have voted, since
         // no candidate had a vote in a term that a quorum had not pre-granted.
-        promise.pre_voted_through = request.term;
+        voting_state.pre_voted_through = request.term;
         output_.must_persist = true;
     }
     // A candidate whose term is behind learns the first one in which it may get this vote.
-    return {request.term, granted, true, std::max(promise.no_vote_through, promise.term)};
+    return {request.term, granted, true, std::max(voting_state.no_vote_through, voting_state.term)};
 }
 
 // Raft, sections 5.2 and 5.4.1: one vote a term, for a candidate that is as up to date as this member.
 VoteResponse Consensus::decide_vote(const std::string& from, const VoteRequest& request) {
-    Promise& promise = state_.promise;
-    const bool is_up_to_date = request.held >= state_.entry.position;
-    const bool may_vote = request.term > promise.no_vote_through;
-    if (request.term > promise.term) step_down(request.term);
-    const bool is_vote_free = promise.voted_for.empty() || promise.voted_for == from;
-    const bool is_current = request.term == promise.term && role_ == Role::follower;
+    VotingState& voting_state = state_.voting_state;
+    const bool is_up_to_date = request.last_entry >= state_.entry.position;
+    const bool may_vote = request.term > voting_state.no_vote_through;
+    if (request.term > voting_state.term) step_down(request.term);
+    const bool is_vote_free = voting_state.voted_for.empty() || voting_state.voted_for == from;
+    const bool is_current = request.term == voting_state.term && role_ == Role::follower;
     const bool granted = is_current && is_up_to_date && may_vote && is_vote_free;
     if (granted) {
-        if (promise.voted_for.empty()) output_.must_persist = true;
-        promise.voted_for = from;
+        if (voting_state.voted_for.empty()) output_.must_persist = true;
+        voting_state.voted_for = from;
         restart_election_timer();
     }
-    return {promise.term, granted, false, promise.no_vote_through};
+    return {voting_state.term, granted, false, voting_state.no_vote_through};
 }
 
 void Consensus::handle_vote_response(const std::string& from, const VoteResponse& response) {
@@ -139,9 +139,9 @@
 // Enters a term in which no vote is given yet, if it is newer than the current one; whether it is. To be
 // persisted by the caller.
 bool Consensus::adopt_term(Term term) {
-    if (term <= state_.promise.term) return false;
-    state_.promise.term = term;
-    state_.promise.voted_for.clear();
+    if (term <= state_.voting_state.term) return false;
+    state_.voting_state.term = term;
+    state_.voting_state.voted_for.clear();
     return true;
 }
 
@@ -170,7 +170,7 @@
     for (auto& [member, peer] : peers_) peer.reset_progress();
     // From here on each has the full time to answer.
     for (const std::string& voter : all_voters(state_.entry)) peers_[voter].last_response = now_;
-    state_.promise.last_leader = options_.self;  // persisted with the entry below
+    state_.voting_state.last_leader = options_.self;  // persisted with the entry below
     // What an earlier term may have committed is committed with the first entry of this one (Raft, sections
     // 5.4.2 and 8).
     append(state_.entry);
--- a/src/cluster/consensus/entry_transfer.cpp
+++ b/src/cluster/consensus/entry_transfer.cpp
@@ -38,18 +38,18 @@
     chunk.position = position_;
     chunk.base = base_;
     chunk.offset = offset_;
-    chunk.total = payload_->size();
+    chunk.total_bytes = payload_->size();
     chunk.bytes = payload_->substr(offset_, chunk_bytes_);
     return chunk;
 }
 
 std::optional<std::string> EntryReceiver::add(const EntryChunk& chunk) {
-    if (chunk.total > kMaxPayloadBytes) return {};
-    if (position_ != chunk.position || base_ != chunk.base || total_ != chunk.total) {
+    if (chunk.total_bytes > kMaxPayloadBytes) return {};
+    if (position_ != chunk.position || base_ != chunk.base || total_ != chunk.total_bytes) {
         reset();
         position_ = chunk.position;
         base_ = chunk.base;
-        total_ = chunk.total;
+        total_ = chunk.total_bytes;
     }
     if (chunk.offset != payload_.size()) return {};
     payload_ += chunk.bytes;
--- a/src/cluster/consensus/follower.cpp
+++ b/src/cluster/consensus/follower.cpp
@@ -23,9 +23,9 @@
     if (!is_member && adopt_term(term)) output_.must_persist = true;
     leader_ = from;
     last_leader_contact_ = now_;
-    if (state_.promise.last_leader != from) {
+    if (state_.voting_state.last_leader != from) {
         // Persisted before the response that grants the lease: it is owed after a restart, too.
-        state_.promise.last_leader = from;
+        state_.voting_state.last_leader = from;
         output_.must_persist = true;
     }
     restart_election_timer();
--- a/src/cluster/consensus/persistent_state.hpp
+++ b/src/cluster/consensus/persistent_state.hpp
@@ -7,7 +7,7 @@
 
 // On disk before any message that follows from it is sent.
 struct PersistentState {
-    Promise promise;
+    VotingState voting_state;
     // The newest entry of the log. Each entry holds the complete replicated state, so earlier ones are not
     // kept.
     LogEntry entry;
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -20,7 +20,7 @@
     if (role_ == Role::non_member) return;
     const bool is_leader_known = role_ == Role::leader || has_leader_contact();
     const LogEntry& head = state_.entry;
-    send(from, RecoveryResponse{request.nonce, current_term(), state_.promise.pre_voted_through,
+    send(from, RecoveryResponse{request.nonce, current_term(), state_.voting_state.pre_voted_through,
                                 is_leader_known ? leader_ : "", head.position, head.members,
                                 head.outgoing_members});
 }
@@ -46,11 +46,11 @@
 // It was removed, or was never a member: it promises nothing until it is a member again.
 void Consensus::become_learner(const RecoveryResponse& newest) {
     if (role_ != Role::non_member) {
-        const bool is_newer = newest.held > state_.entry.position;
+        const bool is_newer = newest.last_entry > state_.entry.position;
         const bool is_left_out = is_newer || !is_voter(state_.entry, options_.self);
         if (!is_left_out || role_ == Role::leader) return;
         role_ = Role::non_member;
-        state_.promise.member = false;
+        state_.voting_state.is_member = false;
         output_.must_persist = true;
     }
     recovery_.await_invitation();
@@ -64,10 +64,11 @@
 void Consensus::become_member_if_voter() {
     if (!is_voter(state_.entry, options_.self)) return;
     if (!recovery_.is_satisfied_by(state_.entry.position)) return;
-    Promise& promise = state_.promise;
-    promise.member = true;
-    promise.no_vote_through = std::max({promise.no_vote_through, recovery_.no_vote_through(), promise.term});
-    promise.voted_for = options_.self;  // no other member gets its vote in this term
+    VotingState& voting_state = state_.voting_state;
+    voting_state.is_member = true;
+    voting_state.no_vote_through =
+        std::max({voting_state.no_vote_through, recovery_.no_vote_through(), voting_state.term});
+    voting_state.voted_for = options_.self;  // no other member gets its vote in this term
     role_ = Role::follower;
     recovery_.finish();
     output_.must_persist = true;
--- a/src/cluster/consensus/recovery_state.cpp
+++ b/src/cluster/consensus/recovery_state.cpp
@@ -36,7 +36,7 @@
 }
 
 const RecoveryResponse& RecoveryState::newest_response() const {
-    const auto older = [](const auto& a, const auto& b) { return a.second.held < b.second.held; };
+    const auto older = [](const auto& a, const auto& b) { return a.second.last_entry < b.second.last_entry; };
     return std::max_element(responses_.begin(), responses_.end(), older)->second;
 }
 
@@ -58,7 +58,7 @@
     no_vote_through_ = std::max(no_vote_through_, current_term);
     for (const auto& [from, response] : responses_)
         no_vote_through_ = std::max(no_vote_through_, response.pre_voted_through);
-    awaited_state_ = newest_response().held;
+    awaited_state_ = newest_response().last_entry;
 }
 
 Term RecoveryState::newest_term() const {
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -135,7 +135,7 @@
     // earlier incarnation of this leader.
     if (response.round <= lease_.newest_round())
         peer.answered_round = std::max(peer.answered_round, response.round);
-    peer.match_position = response.held;
+    peer.match_position = response.last_entry;
     if (peer.match_position == state_.entry.position) {
         peer.sender.stop();
         advance_commit();
@@ -156,11 +156,11 @@
         sender.stop();
         start_transfer(peer);
         if (sender.active()) send_chunk(to, peer);
-    } else if (is_receiving && response.received > sender.offset()) {
-        sender.on_confirmed(response.received, now_);
+    } else if (is_receiving && response.received_bytes > sender.offset()) {
+        sender.on_confirmed(response.received_bytes, now_);
         send_chunk(to, peer);
     } else if (response.round > sender.sent_in_round()) {
-        sender.restart_at(is_receiving ? response.received : 0);  // the chunk was lost
+        sender.restart_at(is_receiving ? response.received_bytes : 0);  // the chunk was lost
         send_chunk(to, peer);
     }
 }
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -31,13 +31,13 @@
 // Times come from what the deployment promises to bear.
 Consensus::Options consensus_options(const Settings& settings) {
     Consensus::Options options;
-    options.self = settings.control_plane;
-    options.seeds = settings.seeds;
+    options.self = settings.control_plane_address;
+    options.seeds = settings.seed_addresses;
     options.random_seed = std::random_device()();
     // A machine counts as lost for catch_up after its start: by then its predecessor must be out.
     constexpr Micros kLeastReplaceAfter = 600'000;
     constexpr Micros kMostReplaceAfter = 3'000'000;
-    options.replace_after = std::clamp(settings.catch_up / 4, kLeastReplaceAfter, kMostReplaceAfter);
+    options.replace_after = std::clamp(settings.catch_up_time / 4, kLeastReplaceAfter, kMostReplaceAfter);
     options.remove_after = 2 * options.replace_after;
     return options;
 }
@@ -48,7 +48,7 @@
         : loop_(loop),
           settings_(std::move(settings)),
           watch_(loop, [this](const Settings& s) { restated(s); }),
-          control_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
+          control_(loop, address_or_end(settings_.control_plane_address, "listen_addresses.control_plane"),
                    {.on_request = [this](ExchangeId exchange,
                                          HttpMessage&& request) { asked(exchange, std::move(request)); },
                     .on_client_disconnected = [this](ExchangeId exchange) { puts_.erase(exchange); }},
@@ -63,7 +63,7 @@
           term_(loop, SIGTERM, [this] { leave(); }),
           int_(loop, SIGINT, [this] { leave(); }) {
         Limits limits;
-        limits.body_bytes = 16U << 20;
+        limits.max_body_bytes = 16U << 20;
         control_.set_limits(limits);
         open();
         due();
@@ -79,7 +79,7 @@
         std::string member;
         Session session = 0;
         bool front = false;
-        Register registration;
+        RegisterRequest registration;
     };
 
     // ---- disk and consensus ----
@@ -94,18 +94,18 @@
                 std::filesystem::create_directories(settings_.data_directory, ignored);
                 BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
                 Consensus::Options options = consensus_options(settings_);
-                options.first_start = settings_.initial_start && !state.promise.member;
+                options.first_start = settings_.is_initial_start && !state.voting_state.is_member;
                 Event("disk_opened")
-                    .with("member", state.promise.member)
-                    .with("term", state.promise.term)
+                    .with("member", state.voting_state.is_member)
+                    .with("term", state.voting_state.term)
                     .with("version", state.entry.version);
                 consensus_.emplace(std::move(options), std::move(state), now);
                 carry_out(consensus_->start());
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 Event("disk_failed", Level::error)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
             },
             [] {});
@@ -119,9 +119,9 @@
                     BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
                     return true;
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     Event("write_failed", Level::error)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                     return false;
                 },
@@ -151,7 +151,7 @@
                 return control_.respond(exchange, ErrorCode::version_conflict,
                                         "another body was confirmed under it");
             case ProposalOutcome::unknown:
-                return control_.respond(exchange, ErrorCode::no_majority, {}, kRetryMs);
+                return control_.respond(exchange, ErrorCode::no_quorum, {}, kRetryMs);
         }
     }
 
@@ -201,7 +201,7 @@
                 close_coordinator();  // its books would be wrong: fronts greet the next one
             return;
         }
-        if (const auto* registration = std::get_if<Register>(&message))
+        if (const auto* registration = std::get_if<RegisterRequest>(&message))
             coordinator_->came(session, *registration);
         else
             coordinator_->said(session, message);
@@ -230,11 +230,11 @@
             dial(to, peer);
         }
         if (peer.line && peer.line->unsent_bytes() < kMostUnsentBytes)
-            peer.line->send(message, settings_.control_plane);
+            peer.line->send(message, settings_.control_plane_address);
     }
 
     void dial(const std::string& to, Peer& peer) {
-        const auto address = net::Address::read(settings_.internal_of(to));
+        const auto address = net::Address::read(settings_.internal_address_of(to));
         if (!address) return;
         peer.dialed = net::Loop::now();
         MessageConnection::Events events;
@@ -270,7 +270,7 @@
             set_timer();
             return;
         }
-        if (const auto* registration = std::get_if<Register>(&message_received.message)) {
+        if (const auto* registration = std::get_if<RegisterRequest>(&message_received.message)) {
             inbound_peer.front = true;
             inbound_peer.registration = *registration;
             const bool fresh = !coordinator_;
@@ -278,7 +278,8 @@
             if (coordinator_ && fresh) return;  // it was told of all guests as it opened
             if (coordinator_) return take(inbound_peer.session, message_received.message);
             const std::string leader = consensus_ ? consensus_->leader() : std::string();
-            inbound_peer.line->send(Redirect{leader == settings_.control_plane ? std::string() : leader});
+            inbound_peer.line->send(
+                Redirect{leader == settings_.control_plane_address ? std::string() : leader});
             return;
         }
         if (coordinator_ && inbound_peer.front) take(inbound_peer.session, message_received.message);
@@ -303,17 +304,17 @@
         const Micros now = net::Loop::now();
         if (leaving_ || !consensus_ || !consensus_->has_lease(now)) {
             const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
-            if (leader.empty() || leader == settings_.control_plane)
-                return control_.respond(exchange, ErrorCode::no_majority, {}, 200);
+            if (leader.empty() || leader == settings_.control_plane_address)
+                return control_.respond(exchange, ErrorCode::no_quorum, {}, 200);
             HttpMessage answer;
-            answer.status = error_response(ErrorCode::not_leading).status;
+            answer.status = error_response(ErrorCode::not_leader).status;
             answer.fields.emplace_back("Location", "http://" + leader + m.target);
             return control_.respond(exchange, answer);
         }
         if (m.method == "GET") {
             const LogEntry* const entry = consensus_->committed_entry();
             if (!entry || entry->version == 0)
-                return control_.respond(exchange, ErrorCode::no_majority, "no configuration yet", 200);
+                return control_.respond(exchange, ErrorCode::no_quorum, "no configuration yet", 200);
             HttpMessage answer;
             answer.status = 200;
             answer.fields.emplace_back("Content-Type", "application/json");
@@ -322,7 +323,7 @@
         }
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(m.body));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(m.body));
                 read_ = configuration;
                 read_body_ = m.body;
                 const Number ticket = ++last_ticket_;
@@ -331,13 +332,13 @@
                 set_timer();
                 return {};
             },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
+            [&](ErrorCode code, const ErrorDetail& detail) {
                 Event("configuration_refused", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
-                control_.respond(exchange, kind, detail.text);
+                control_.respond(exchange, code, detail.text);
             },
-            [&] { control_.respond(exchange, ErrorCode::configuration_cut); });
+            [&] { control_.respond(exchange, ErrorCode::configuration_malformed); });
     }
 
     void acknowledge(ExchangeId exchange) {
@@ -369,7 +370,7 @@
                 const Micros heard = consensus_->last_contact(m);
                 core.emplace_back(
                     json::Object{{"member", told(m)},
-                                 {"itself", json::Value(m == settings_.control_plane)},
+                                 {"itself", json::Value(m == settings_.control_plane_address)},
                                  {"heard_ms_ago", heard > 0 ? told_ms(now - heard) : json::Value()}});
             }
         if (!core.empty()) all["core"] = json::Value(std::move(core));
@@ -433,8 +434,8 @@
     }
 
     void restated(const Settings& s) {
-        settings_.seeds = s.seeds;
-        if (consensus_) consensus_->set_seeds(s.seeds);
+        settings_.seed_addresses = s.seed_addresses;
+        if (consensus_) consensus_->set_seeds(s.seed_addresses);
     }
 
     void leave() {
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -23,8 +23,8 @@
 
 SlotTable::Options slot_table_options(const Settings& s) {
     SlotTable::Options t;
-    t.budget_slack = s.budget_slack;
-    t.budget_window = s.budget_window;
+    t.budget_slack = s.retry_budget_slack;
+    t.budget_window = s.retry_budget_window;
     t.rejection_slack = s.rejection_slack;
     t.late_turn = s.late_turn;
     return t;
@@ -33,8 +33,8 @@
 Planner::Options planner_options(const Settings& s, Number term) {
     Planner::Options t;
     t.nonce_prefix = nonce_prefix(s.node_name, term);
-    t.duty_per_s = s.duty_per_s;
-    t.region_of = s.region_of;
+    t.duty_per_s = s.platform_actions_per_s;
+    t.region_of = s.region_of_zone;
     // Fronts tell what they know to be starting as they come; what nobody knows costs one start too many.
     t.settle = 300'000;
     return t;
@@ -49,7 +49,7 @@
       say_(std::move(say)),
       slot_table_(slot_table_options(settings)),
       planner_(planner_options(settings, term), net::Loop::now()),
-      list_poller_({.max_pages_per_s = settings.list_rate_per_s}, net::Loop::now()),
+      list_poller_({.max_pages_per_s = settings.platform_lists_per_s}, net::Loop::now()),
       platform_api_({settings.node_name, term}),
       platform_(loop,
                 {.connect_timeout = 600'000,
@@ -77,7 +77,7 @@
     else
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(entry.body));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(entry.body));
                 slot_table_.configure(std::move(configuration));
                 return {};
             },
@@ -103,7 +103,7 @@
     if (delta.empty())
         delta = make_delta(from > 0 ? std::string_view{base->second} : std::string_view{}, bodies_[version_]);
     front.sent = version_;
-    say_(session, ConfigurationSent{version_, {from, delta}});
+    say_(session, ConfigurationUpdate{version_, {from, delta}});
 }
 
 void Coordinator::announce_registered() {
@@ -111,15 +111,17 @@
     for (const auto& [session, front] : proxies_) order.emplace_back(front.name, session);
     std::sort(order.begin(), order.end());
     for (std::uint32_t rank = 0; rank < order.size(); ++rank)
-        say_(order[rank].second, Registered{term_, rank, static_cast<std::uint32_t>(order.size()), members_});
+        say_(order[rank].second,
+             RegisterResponse{term_, rank, static_cast<std::uint32_t>(order.size()), members_});
 }
 
-void Coordinator::came(Session session, const Register& registration) {
+void Coordinator::came(Session session, const RegisterRequest& registration) {
     ProxySession& front = proxies_[session];
     front.name = registration.name;
-    front.version = registration.version;
-    say_(session, Registered{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
-                             members_});
+    front.version = registration.configuration_version;
+    say_(session,
+         RegisterResponse{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
+                          members_});
     push(session, front);
     std::vector<ProxyMessage> mail;
     slot_table_.on_proxy_registered(net::Loop::now(), session, registration, mail);
@@ -157,7 +159,7 @@
     if (const auto* loads = std::get_if<LoadReport>(&message)) slot_table_.loads(now, session, *loads);
     if (const auto* outs = std::get_if<OutstandingReport>(&message)) slot_table_.outs(now, session, *outs);
     if (std::holds_alternative<Heartbeat>(message)) say_(session, Heartbeat{});
-    if (const auto* held = std::get_if<ConfigurationHeld>(&message)) {
+    if (const auto* held = std::get_if<ConfigurationAck>(&message)) {
         at->second.version = held->version;
         at->second.sent = 0;
         push(session, at->second);
@@ -172,7 +174,7 @@
     const CallId id{++last_call_};
     call.until = net::Loop::now() + limit;
     calls_[id] = std::move(call);
-    platform_.call(id, settings_.platform, request);
+    platform_.call(id, settings_.platform_address, request);
 }
 
 void Coordinator::on_call_completed(CallId id, CallResult result, const HttpMessage& answer) {
@@ -187,7 +189,7 @@
         case Call::What::list:
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(ErrorCode::platform_silent, "list");
+                    if (!answered) return make_error(ErrorCode::platform_timeout, "list");
                     BOOST_LEAF_AUTO(page, platform_api_.read_runners(answer));
                     const RunnerListPoller::Update update = list_poller_.on_page(now, page);
                     for (const ListedRunner& listed : page.runners)
@@ -197,10 +199,10 @@
                     if (update.is_complete) planner_.list_read(now);
                     return {};
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     list_poller_.on_failure(now);
                     Event("list_failed", Level::warning)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                 },
                 [&] { list_poller_.on_failure(now); });
@@ -209,16 +211,16 @@
             workers_out_ = false;
             leaf::try_handle_all(
                 [&]() -> leaf::result<void> {
-                    if (!answered) return failure(ErrorCode::platform_silent, "workers");
+                    if (!answered) return make_error(ErrorCode::platform_timeout, "workers");
                     BOOST_LEAF_AUTO(all, platform_api_.read_workers(answer));
                     planner_.workers(now, std::move(all));
                     planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
                 },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
+                [&](ErrorCode code, const ErrorDetail& detail) {
                     next_workers_ = now + 300'000;
                     Event("workers_failed", Level::warning)
-                        .with("kind", error_response(kind).name)
+                        .with("error", error_response(code).name)
                         .with("detail", detail.text);
                 },
                 [&] { next_workers_ = now + 300'000; });
@@ -227,7 +229,7 @@
             const StartRunnerResponse start =
                 answered ? platform_api_.read_start(answer) : StartRunnerResponse{};
             RunnerInfo begun;
-            begun.runner = start.runner_id;
+            begun.runner_id = start.runner_id;
             begun.address = start.address;
             if (start.result == StartResult::begun) {
                 begun.service = call.begin.service;
@@ -240,8 +242,8 @@
                 .with("worker", call.begin.worker)
                 .with("why", call.begin.why)
                 .with("answer", answered ? std::to_string(answer.status) : "none")
-                .with("runner", begun.runner);
-            recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner,
+                .with("runner", begun.runner_id);
+            recent_actions_.add({now, call.begin.service, call.begin.worker, begun.runner_id,
                                  answered ? std::to_string(answer.status) : "none", call.begin.why, true});
             planner_.on_start_result(now, call.begin.nonce, start.result);
             break;
@@ -297,7 +299,7 @@
     json::List waiting;
     json::List fronts;
     if (asked("starts"))
-        for (const PlatformAction& d : recent_actions_.kept())
+        for (const PlatformAction& d : recent_actions_.entries())
             starts.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
                                              {"deed", told(std::string(d.start ? "start" : "stop"))},
                                              {"service", told(d.service)},
@@ -335,7 +337,7 @@
         const auto name = [&](Session s) {
             return told(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
         };
-        for (const PriorityInversion& o : slot_table_.priority_inversions().kept())
+        for (const PriorityInversion& o : slot_table_.priority_inversions().entries())
             all.emplace_back(json::Object{{"ago_ms", told_ms(now - o.at)},
                                           {"function", told(o.service)},
                                           {"went", name(o.front)},
@@ -383,11 +385,11 @@
     }
     // What was decided since the last look, as far as the record still holds it.
     const auto& priority_inversions = slot_table_.priority_inversions();
-    const std::size_t fresh =
-        std::min(priority_inversions.all() - priority_inversions_logged_, priority_inversions.kept().size());
-    for (std::size_t i = priority_inversions.kept().size() - fresh; i < priority_inversions.kept().size();
-         ++i) {
-        const PriorityInversion& o = priority_inversions.kept()[i];
+    const std::size_t fresh = std::min(priority_inversions.total_added() - priority_inversions_logged_,
+                                       priority_inversions.entries().size());
+    for (std::size_t i = priority_inversions.entries().size() - fresh;
+         i < priority_inversions.entries().size(); ++i) {
+        const PriorityInversion& o = priority_inversions.entries()[i];
         const auto front = [&](Session s) {
             return slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string();
         };
@@ -402,7 +404,7 @@
             .with("before_aim_left_ms", o.before_target_left / 1000)
             .with("why", o.why);
     }
-    priority_inversions_logged_ = priority_inversions.all();
+    priority_inversions_logged_ = priority_inversions.total_added();
     if (announce_at_ > 0 && now >= announce_at_) {
         announce_at_ = 0;
         announce_registered();
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -46,8 +46,8 @@
     if (!open_log(absl::GetFlag(FLAGS_log_level))) end("--log_level is none of debug, info, warning, error");
     std::signal(SIGPIPE, SIG_IGN);
     return leaf::try_handle_all([] { return Settings::read(path()); },
-                                [](ErrorCode kind, const ErrorDetail& detail) -> Settings {
-                                    end(std::string(error_response(kind).name) + ": " + detail.text);
+                                [](ErrorCode code, const ErrorDetail& detail) -> Settings {
+                                    end(std::string(error_response(code).name) + ": " + detail.text);
                                 },
                                 []() -> Settings { end("settings can not be read"); });
 }
@@ -66,10 +66,10 @@
             changed_(settings);
             return {};
         },
-        [&](ErrorCode kind, const ErrorDetail& detail) {
+        [&](ErrorCode code, const ErrorDetail& detail) {
             if (told)
                 Event("settings_kept", Level::warning)
-                    .with("kind", error_response(kind).name)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
         },
         [] {});
@@ -87,7 +87,7 @@
 }
 
 std::size_t blocks_for(const Settings& settings) {
-    return static_cast<std::size_t>(settings.memory_mb) * 1024 / 8 /
+    return static_cast<std::size_t>(settings.memory_limit_mb) * 1024 / 8 /
            4;  // a quarter of the memory, in blocks of 8 KB
 }
 
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -19,10 +19,11 @@
   public:
     ProxyProgram(net::Loop& loop, const Settings& settings)
         : server_(loop, settings,
-                  {address_or_end(settings.frontend, "listen_addresses.frontend"),
-                   address_or_end(settings.readiness, "listen_addresses.readiness")},
+                  {address_or_end(settings.frontend_address, "listen_addresses.frontend"),
+                   address_or_end(settings.readiness_address, "listen_addresses.readiness")},
                   [&loop] { loop.stop(); }),
-          settings_watch_(loop, [this](const Settings& changed) { server_.set_seeds(changed.seeds); }),
+          settings_watch_(loop,
+                          [this](const Settings& changed) { server_.set_seeds(changed.seed_addresses); }),
           explain_(
               loop,
               [this](const std::string& what) { return explain_proxy(server_, what, net::Loop::now()); }),
--- a/src/cluster/programs/proxy_explain.cpp
+++ b/src/cluster/programs/proxy_explain.cpp
@@ -9,7 +9,7 @@
 
 json::Value explain_requests(const RequestStatistics& statistics, Micros now) {
     json::List requests;
-    for (const RoutingDecision& decision : statistics.decisions().kept())
+    for (const RoutingDecision& decision : statistics.decisions().entries())
         requests.emplace_back(json::Object{{"ago_ms", told_ms(now - decision.at)},
                                            {"request", told(static_cast<double>(decision.request))},
                                            {"service", told(decision.service)},
--- a/src/cluster/proxy/endpoint_table.cpp
+++ b/src/cluster/proxy/endpoint_table.cpp
@@ -40,9 +40,9 @@
         if (endpoint.state == RunnerState::gone && endpoint.in_flight == 0) continue;
         RunnerInfo info = endpoint.info;
         // The end of what was sent without a slot is not reported, so it is not counted either.
-        info.out = functions_.is_unrestricted(info.service) ? 0 : endpoint.in_flight;
-        info.up = endpoint.state == RunnerState::ready;
-        endpoint.registered_in_flight = info.out;
+        info.outstanding = functions_.is_unrestricted(info.service) ? 0 : endpoint.in_flight;
+        info.reachable = endpoint.state == RunnerState::ready;
+        endpoint.registered_in_flight = info.outstanding;
         runners.push_back(std::move(info));
     }
     return runners;
@@ -50,7 +50,7 @@
 
 void EndpointTable::on_update(const RunnerUpdate& update, Actions& actions) {
     if (update.state == RunnerState::gone) return on_gone(update, actions);
-    const std::string& runner = update.runner.runner;
+    const std::string& runner = update.runner.runner_id;
     Endpoint& endpoint = endpoints_[runner];
     const bool first_of_session = endpoint.number == 0;
     if (endpoint.number != update.number) runner_by_number_.erase(endpoint.number);
@@ -70,9 +70,9 @@
 // A runner that is gone may still have attempts of ours in flight, whose ends the coordinator counts under
 // the number that it gives here.
 void EndpointTable::on_gone(const RunnerUpdate& update, Actions& actions) {
-    if (Endpoint* const endpoint = find(update.runner.runner); endpoint && endpoint->number == 0) {
+    if (Endpoint* const endpoint = find(update.runner.runner_id); endpoint && endpoint->number == 0) {
         endpoint->number = update.number;
-        runner_by_number_[update.number] = update.runner.runner;
+        runner_by_number_[update.number] = update.runner.runner_id;
         correct_registration(*endpoint, actions);
     }
     if (const auto runner = runner_by_number_.find(update.number); runner != runner_by_number_.end())
--- a/src/cluster/proxy/function_table.cpp
+++ b/src/cluster/proxy/function_table.cpp
@@ -5,7 +5,7 @@
 
 namespace gannethold::cluster {
 
-Load LoadCounter::take(const std::string& service) {
+FunctionLoad LoadCounter::take(const std::string& service) {
     last_ = {service, std::exchange(requests_, 0),
              static_cast<std::uint32_t>(std::exchange(busy_, 0) / 1000)};
     return last_;
@@ -16,11 +16,11 @@
     return function != functions_.end() && function->second.unrestricted;
 }
 
-std::vector<Load> FunctionTable::unrestricted_loads() const {
-    std::vector<Load> loads;
+std::vector<FunctionLoad> FunctionTable::unrestricted_loads() const {
+    std::vector<FunctionLoad> loads;
     for (const auto& [service, function] : functions_)
         if (function.unrestricted)
-            loads.push_back({service, function.load.last().count, function.load.last().busy_ms});
+            loads.push_back({service, function.load.last().requests, function.load.last().busy_ms});
     return loads;
 }
 
@@ -30,8 +30,8 @@
     LoadReport report{static_cast<std::uint32_t>(span / 1000), {}};
     reported_at_ = now;
     for (auto& [service, function] : functions_) {
-        const Load load = function.load.take(service);
-        if (function.unrestricted && load.count > 0) report.loads.push_back(load);
+        const FunctionLoad load = function.load.take(service);
+        if (function.unrestricted && load.requests > 0) report.loads.push_back(load);
     }
     if (report.loads.empty()) return std::nullopt;
     return report;
--- a/src/cluster/proxy/function_table.hpp
+++ b/src/cluster/proxy/function_table.hpp
@@ -21,14 +21,14 @@
         busy_ += busy;
     }
     /// What was counted since the last call.
-    Load take(const std::string& service);
+    FunctionLoad take(const std::string& service);
     /// What take() returned last, for the registration with the next coordinator.
-    const Load& last() const { return last_; }
+    const FunctionLoad& last() const { return last_; }
 
   private:
     std::uint32_t requests_ = 0;
     Micros busy_ = 0;
-    Load last_;
+    FunctionLoad last_;
 };
 
 struct FunctionState {
@@ -54,7 +54,7 @@
     FunctionState& state_of(const std::string& service) { return functions_[service]; }
     bool is_unrestricted(const std::string& service) const;
     /// The unrestricted functions, each with its last reported load.
-    std::vector<Load> unrestricted_loads() const;
+    std::vector<FunctionLoad> unrestricted_loads() const;
     /// The loads of the unrestricted functions, once per second; nothing where there is none to report.
     std::optional<LoadReport> make_load_report(Micros now);
     std::vector<RunnerShare> shares() const;
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -68,8 +68,8 @@
     Request& request = requests_[id];
     request.id = id;
     request.configuration = configuration_;
-    if (!configuration_) return reply(now, request, ErrorCode::not_offered, kRetryConfigurationMs, actions);
-    request.route = configuration_->route(host, path);
+    if (!configuration_) return reply(now, request, ErrorCode::not_sent, kRetryConfigurationMs, actions);
+    request.route = configuration_->find_route(host, path);
     if (!request.route) return reply(now, request, ErrorCode::no_route, 0, actions);
     request.arrived_at = now;
     request.target_at = now + request.route->latency_target;
@@ -110,7 +110,7 @@
     }
     if (request.client_connected) {
         actions.local_replies.push_back({request.id, error, retry_after_ms});
-        const bool failed = error == ErrorCode::may_have_run || error == ErrorCode::time_over;
+        const bool failed = error == ErrorCode::may_have_run || error == ErrorCode::deadline_exceeded;
         if (request.route)
             record_loss(now, request, failed ? ValueLoss::Outcome::failed : ValueLoss::Outcome::rejected);
     }
@@ -136,7 +136,7 @@
     request.runner.clear();
     request.unrestricted = false;
     if (!can_finish_before_shutdown(now, request))
-        return reply(now, request, ErrorCode::leaving, kRetryOtherProxyMs, actions);
+        return reply(now, request, ErrorCode::shutting_down, kRetryOtherProxyMs, actions);
     if (!has_coordinator_) {
         request.phase = Phase::queued;
         return serve_queued(now, std::string(request.service), actions);
@@ -149,7 +149,7 @@
                                               });
     if (function.unrestricted && drawn && !request.retry.is_retry()) {
         request.unrestricted = true;
-        record_decision(now, request, drawn->info.runner, "drawn_unasked");
+        record_decision(now, request, drawn->info.runner_id, "drawn_unasked");
         return send(now, request, *drawn, actions);
     }
     acquire_slot(now, request, drawn, actions);
@@ -162,7 +162,7 @@
     actions.messages.emplace_back(AcquireRequest{request.acquire_id, request.drawn_number, request.service,
                                                  ms_until(now, request.target_at),
                                                  ms_until(now, request.deadline_at), request.route->priority,
-                                                 request.route->shape, request.retry.is_retry()});
+                                                 request.route->request_class, request.retry.is_retry()});
 }
 
 // A request that has just arrived does not take the slot for which a more urgent one waits here.
@@ -209,14 +209,14 @@
         return false;
     }
     request.unrestricted = function.unrestricted;
-    record_decision(now, request, drawn->info.runner, "drawn_without_keeper");
+    record_decision(now, request, drawn->info.runner_id, "drawn_without_keeper");
     send(now, request, *drawn, actions);
     return true;
 }
 
 void RequestHandler::send(Micros now, Request& request, Endpoint& endpoint, Actions& actions) {
     request.phase = Phase::sent;
-    request.runner = endpoint.info.runner;
+    request.runner = endpoint.info.runner_id;
     request.sent_at = now;
     request.retry.on_attempt_sent();
     ++endpoint.in_flight;
@@ -311,10 +311,10 @@
     while (const std::optional<RequestId> id = deadlines_.expired(now)) {
         Request& request = requests_.at(*id);
         if (request.phase == Phase::sent) {
-            cancel_attempt(now, request, ErrorCode::time_over, actions);
+            cancel_attempt(now, request, ErrorCode::deadline_exceeded, actions);
         } else {
             withdraw_acquire(request, actions);
-            reply(now, request, ErrorCode::not_offered, 0, actions);
+            reply(now, request, ErrorCode::not_sent, 0, actions);
         }
     }
     reject_unfinishable(now, actions);
@@ -342,7 +342,7 @@
     for (const RequestId id : rejected) {
         const Request& request = requests_.at(id);
         withdraw_acquire(request, actions);
-        reply(now, request, ErrorCode::leaving, kRetryOtherProxyMs, actions);
+        reply(now, request, ErrorCode::shutting_down, kRetryOtherProxyMs, actions);
     }
 }
 
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -73,7 +73,7 @@
 
     /// What a coordinator is sent as a session begins. What changes until on_coordinator_registered() is
     /// reported after it.
-    Register make_registration();
+    RegisterRequest make_registration();
     void on_coordinator_registered(Micros now, Actions& actions);
     void on_coordinator_disconnected(Micros now, Actions& actions);
     bool has_coordinator() const { return has_coordinator_; }
--- a/src/cluster/proxy/request_handler_coordinator.cpp
+++ b/src/cluster/proxy/request_handler_coordinator.cpp
@@ -13,7 +13,7 @@
 
 void set_delay_cause(ValueLoss::Cause& cause, WaitReason waited) {
     switch (waited) {
-        case WaitReason::nothing:
+        case WaitReason::none:
             return;
         case WaitReason::start:
             cause = ValueLoss::Cause::cold_start;
@@ -29,12 +29,12 @@
 
 }  // namespace
 
-Register RequestHandler::make_registration() {
-    Register registration;
+RegisterRequest RequestHandler::make_registration() {
+    RegisterRequest registration;
     registration.name = options_.name;
     registration.zone = options_.zone;
     registration.incarnation = options_.incarnation;
-    registration.version = version();
+    registration.configuration_version = version();
     registration.runners = endpoints_.make_registration();
     registration.unrestricted = functions_.unrestricted_loads();
     return registration;
@@ -74,8 +74,8 @@
 }
 
 void RequestHandler::on_message(Micros now, const Message& message, Actions& actions) {
-    if (const auto* registered = std::get_if<Registered>(&message))
-        slot_share_ = {registered->rank, std::max(1U, registered->fronts)};
+    if (const auto* registered = std::get_if<RegisterResponse>(&message))
+        slot_share_ = {registered->rank, std::max(1U, registered->proxies)};
     else if (const auto* update = std::get_if<RunnerUpdate>(&message))
         endpoints_.on_update(*update, actions);
     else if (const auto* granted = std::get_if<AcquireGranted>(&message))
@@ -98,9 +98,9 @@
     const bool is_usable = endpoint && endpoint->state != RunnerState::gone;
     if (!is_usable || !can_finish_before_shutdown(now, request) || now + kMinTimeToSend > request.deadline_at)
         return reject_grant(now, granted, request, is_usable, actions);
-    set_delay_cause(request.delay_cause, granted.waited);
+    set_delay_cause(request.delay_cause, granted.wait_reason);
     const bool as_drawn = request.drawn_number == granted.runner;
-    record_decision(now, request, endpoint->info.runner,
+    record_decision(now, request, endpoint->info.runner_id,
                     request.retry.is_retry()    ? "granted_again"
                     : as_drawn                  ? "granted_as_drawn"
                     : request.drawn_number == 0 ? "granted_none_known"
@@ -114,20 +114,20 @@
     actions.messages.emplace_back(Release{granted.id, granted.runner, ReleaseReason::unused, 0});
     request.acquire_id = 0;
     if (!can_finish_before_shutdown(now, request))
-        return reply(now, request, ErrorCode::leaving, kRetryOtherProxyMs, actions);
+        return reply(now, request, ErrorCode::shutting_down, kRetryOtherProxyMs, actions);
     if (!is_usable && now + kMinTimeToAcquireAgain < request.deadline_at)
         return start_attempt(now, request, actions);
-    reply(now, request, ErrorCode::not_offered, 0, actions);
+    reply(now, request, ErrorCode::not_sent, 0, actions);
 }
 
 void RequestHandler::on_denied(Micros now, const AcquireDenied& denied, Actions& actions) {
     const std::optional<RequestId> id = acquires_.find(denied.id);
     if (!id) return;
     Request& request = requests_.at(*id);
-    if (request.retry.is_retry() && denied.waited == WaitReason::nothing)
+    if (request.retry.is_retry() && denied.wait_reason == WaitReason::none)
         request.delay_cause = ValueLoss::Cause::budget;
-    set_delay_cause(request.delay_cause, denied.waited);
-    reply(now, request, ErrorCode::no_slot, denied.retry_ms, actions);
+    set_delay_cause(request.delay_cause, denied.wait_reason);
+    reply(now, request, ErrorCode::no_slot, denied.retry_after_ms, actions);
 }
 
 // What was sent without a slot is counted by the coordinator from the change of mode on, and released to it.
@@ -144,8 +144,9 @@
         const Endpoint* const endpoint = endpoints_.find(request.runner);
         if (endpoint && endpoint->number > 0) ++in_flight[endpoint->number];
     }
-    if (!in_flight.empty())
-        actions.messages.emplace_back(OutstandingReport{{in_flight.begin(), in_flight.end()}});
+    OutstandingReport outstanding;
+    for (const auto& [runner, requests] : in_flight) outstanding.counts.push_back({runner, requests});
+    if (!outstanding.counts.empty()) actions.messages.emplace_back(std::move(outstanding));
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/retry_state.cpp
+++ b/src/cluster/proxy/retry_state.cpp
@@ -15,8 +15,8 @@
 }
 
 bool RetryState::may_retry(const Route& route, AttemptResult result, Micros now, Micros deadline) const {
-    if (may_have_run_after(result) && !route.idempotent) return false;
-    return attempts_ < route.attempts && now + kMinTimeForRetry < deadline;
+    if (may_have_run_after(result) && !route.is_idempotent) return false;
+    return attempts_ < route.max_attempts && now + kMinTimeForRetry < deadline;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/routing.cpp
+++ b/src/cluster/proxy/routing.cpp
@@ -4,10 +4,10 @@
 
 const std::string& choose_service(const Route& route, double draw) {
     double sum = 0;
-    for (const Route::Share& share : route.shares) sum += share.weight;
+    for (const WeightedService& share : route.services) sum += share.weight;
     double remaining = draw * sum;
-    const std::string* chosen = &route.shares.front().service;
-    for (const Route::Share& share : route.shares) {
+    const std::string* chosen = &route.services.front().service;
+    for (const WeightedService& share : route.services) {
         if (share.weight <= 0) continue;
         chosen = &share.service;
         remaining -= share.weight;
--- a/src/cluster/proxy/slot_share.hpp
+++ b/src/cluster/proxy/slot_share.hpp
@@ -17,7 +17,7 @@
     std::uint32_t proxies = 1;  ///< how many there are; at least 1
 
     std::uint32_t of(const RunnerInfo& runner) const {
-        const auto shift = static_cast<std::uint32_t>(std::hash<std::string>()(runner.runner) % proxies);
+        const auto shift = static_cast<std::uint32_t>(std::hash<std::string>()(runner.runner_id) % proxies);
         return (runner.slots + proxies - 1 - (rank + shift) % proxies) / proxies;
     }
 };
--- a/src/cluster/proxy/work_time.hpp
+++ b/src/cluster/proxy/work_time.hpp
@@ -44,15 +44,15 @@
     double deviation_ = 0;
 };
 
-/// Routes that agree in these are taken to ask for work that takes alike long. A route's shape would not do:
-/// its number means something else in the next configuration.
+/// Routes that agree in these are taken to ask for work that takes alike long. A route's request class would
+/// not do: its number means something else in the next configuration.
 struct WorkClass {
     std::uint8_t priority = 0;
     Micros latency_target = 0;
     bool idempotent = false;
 
     static WorkClass of(const Route& route) {
-        return {route.priority, route.latency_target, route.idempotent};
+        return {route.priority, route.latency_target, route.is_idempotent};
     }
     // clang-tidy 14 takes the defaulted comparison for a null pointer.
     friend auto operator<=>(const WorkClass&,
--- a/src/cluster/proxy_server/configuration_receiver.cpp
+++ b/src/cluster/proxy_server/configuration_receiver.cpp
@@ -7,12 +7,12 @@
 namespace gannethold::cluster {
 
 leaf::result<std::shared_ptr<const Configuration>> ConfigurationReceiver::receive(
-    const ConfigurationSent& sent, Number version) {
+    const ConfigurationUpdate& sent, Number version) {
     const bool is_complete = sent.delta.base == 0;
     if (!is_complete && sent.delta.base != version)
-        return failure(ErrorCode::bytes_malformed, "a difference to a version that is not held");
+        return make_error(ErrorCode::bytes_malformed, "a difference to a version that is not held");
     BOOST_LEAF_AUTO(body, apply_delta(is_complete ? std::string() : body_, sent.delta.bytes));
-    BOOST_LEAF_AUTO(configuration, Configuration::read(body));
+    BOOST_LEAF_AUTO(configuration, Configuration::parse(body));
     body_ = std::move(body);
     return configuration;
 }
--- a/src/cluster/proxy_server/configuration_receiver.hpp
+++ b/src/cluster/proxy_server/configuration_receiver.hpp
@@ -14,7 +14,8 @@
     /// The configuration that was sent. version: of the one in force, which is the one returned last.
     /// Errors: bytes_malformed (a difference to another version, or that does not fit), and those of
     /// Configuration::read(). After an error the next difference to the version in force still fits.
-    leaf::result<std::shared_ptr<const Configuration>> receive(const ConfigurationSent& sent, Number version);
+    leaf::result<std::shared_ptr<const Configuration>> receive(const ConfigurationUpdate& sent,
+                                                               Number version);
 
   private:
     std::string body_;  // of the configuration in force
--- a/src/cluster/proxy_server/coordinator_client.cpp
+++ b/src/cluster/proxy_server/coordinator_client.cpp
@@ -23,7 +23,7 @@
     : loop_(loop),
       settings_(settings),
       events_(std::move(events)),
-      addresses_(settings.seeds, static_cast<std::size_t>(getpid())),
+      addresses_(settings.seed_addresses, static_cast<std::size_t>(getpid())),
       connect_began_at_(kLongAgo),
       last_turn_at_(net::Loop::now()) {}
 
@@ -37,7 +37,7 @@
     const std::optional<std::string> member = addresses_.take_next();
     if (!member) return;
     connect_began_at_ = now;
-    const auto address = net::Address::read(settings_.internal_of(*member));
+    const auto address = net::Address::read(settings_.internal_address_of(*member));
     if (!address) return;
     MessageConnection::Events events;
     events.on_connected = [this] { connection_->send(events_.make_registration()); };
@@ -65,7 +65,7 @@
     }
     if (const auto* redirect = std::get_if<Redirect>(&message)) return on_redirect(now, *redirect);
     bool begins_session = false;
-    if (const auto* registered = std::get_if<Registered>(&message)) {
+    if (const auto* registered = std::get_if<RegisterResponse>(&message)) {
         addresses_.set_members(registered->members);
         begins_session = !std::exchange(registered_, true);
     }
--- a/src/cluster/proxy_server/coordinator_client.hpp
+++ b/src/cluster/proxy_server/coordinator_client.hpp
@@ -17,7 +17,7 @@
   public:
     struct Events {
         /// What a new session begins with.
-        std::function<Register()> make_registration;
+        std::function<RegisterRequest()> make_registration;
         /// Every message but redirects. begins_session: the registration is accepted by it.
         std::function<void(const Message&, bool begins_session)> message_received;
         /// The connection is lost or closed, registered or not.
--- a/src/cluster/proxy_server/proxy_server.cpp
+++ b/src/cluster/proxy_server/proxy_server.cpp
@@ -28,7 +28,7 @@
 
 // The rest is left for runners and the core.
 std::size_t max_client_connections(const Settings& settings) {
-    return static_cast<std::size_t>(std::max<std::int64_t>(64, settings.descriptors * 6 / 10));
+    return static_cast<std::size_t>(std::max<std::int64_t>(64, settings.max_file_descriptors * 6 / 10));
 }
 
 }  // namespace
@@ -96,7 +96,7 @@
 }
 
 void ProxyServer::on_coordinator_message(const Message& message, bool begins_session) {
-    if (const auto* sent = std::get_if<ConfigurationSent>(&message)) return on_configuration(*sent);
+    if (const auto* sent = std::get_if<ConfigurationUpdate>(&message)) return on_configuration(*sent);
     const Micros now = net::Loop::now();
     Actions actions;
     handler_.on_message(now, message, actions);
@@ -104,7 +104,7 @@
     carry_out(actions);
 }
 
-void ProxyServer::on_configuration(const ConfigurationSent& sent) {
+void ProxyServer::on_configuration(const ConfigurationUpdate& sent) {
     if (sent.version <= handler_.version()) return;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
@@ -121,7 +121,7 @@
         },
         [] {});
     // Also after an error: the coordinator sends the complete configuration to who lacks the version.
-    coordinator_.send(ConfigurationHeld{handler_.version()});
+    coordinator_.send(ConfigurationAck{handler_.version()});
 }
 
 void ProxyServer::carry_out(const Actions& actions) {
--- a/src/cluster/proxy_server/proxy_server.hpp
+++ b/src/cluster/proxy_server/proxy_server.hpp
@@ -42,7 +42,7 @@
     CoordinatorClient::Events coordinator_events();
 
     void on_coordinator_message(const Message& message, bool begins_session);
-    void on_configuration(const ConfigurationSent& sent);
+    void on_configuration(const ConfigurationUpdate& sent);
     void on_timer();
     void sweep(Micros now);
     void advance_shutdown(Micros now);
--- a/src/cluster/proxy_server/readiness_server.cpp
+++ b/src/cluster/proxy_server/readiness_server.cpp
@@ -21,9 +21,9 @@
 void ReadinessServer::on_probe(ExchangeId exchange) {
     switch (readiness_()) {
         case Readiness::shutting_down:
-            return server_.respond(exchange, ErrorCode::leaving, {}, kRetryShutdownMs);
+            return server_.respond(exchange, ErrorCode::shutting_down, {}, kRetryShutdownMs);
         case Readiness::no_configuration:
-            return server_.respond(exchange, ErrorCode::no_majority, "no configuration yet",
+            return server_.respond(exchange, ErrorCode::no_quorum, "no configuration yet",
                                    kRetryConfigurationMs);
         case Readiness::ready:
             break;
--- a/src/cluster/runners/platform_api.cpp
+++ b/src/cluster/runners/platform_api.cpp
@@ -62,14 +62,14 @@
 
 ListedRunner read_runner(const object& entry) {
     ListedRunner listed;
-    listed.info.runner = string_member(entry, "runner_id");
+    listed.info.runner_id = string_member(entry, "runner_id");
     listed.info.service = string_member(entry, "service");
     listed.info.address = string_member(entry, "address");
     listed.info.zone = string_member(entry, "zone");
     listed.info.worker = string_member(entry, "worker_id");
     listed.info.slots =
         static_cast<std::uint32_t>(std::max<std::int64_t>(1, number_member(entry, "concurrency_slots", 1)));
-    listed.info.up = true;
+    listed.info.reachable = true;
     listed.draining = string_member(entry, "state") != "ready";
     return listed;
 }
@@ -97,19 +97,19 @@
 
 leaf::result<RunnerListPage> PlatformApi::read_runners(const HttpMessage& response) const {
     if (response.status != kOk)
-        return failure(ErrorCode::platform_refused, "list: " + std::to_string(response.status));
+        return make_error(ErrorCode::platform_rejected, "list: " + std::to_string(response.status));
     simdjson::dom::parser parser;
     object document;
     array entries;
     if (parser.parse(response.body).get(document) || document["instances"].get(entries))
-        return failure(ErrorCode::bytes_malformed, "list of runners");
+        return make_error(ErrorCode::bytes_malformed, "list of runners");
     RunnerListPage page;
     page.next_page_token = string_member(document, "next_page_token");
     for (const element entry : entries) {
         object members;
         if (entry.get(members)) continue;
         ListedRunner listed = read_runner(members);
-        if (!listed.info.runner.empty() && !listed.info.address.empty())
+        if (!listed.info.runner_id.empty() && !listed.info.address.empty())
             page.runners.push_back(std::move(listed));
     }
     return page;
@@ -119,12 +119,12 @@
 
 leaf::result<std::vector<Worker>> PlatformApi::read_workers(const HttpMessage& response) const {
     if (response.status != kOk)
-        return failure(ErrorCode::platform_refused, "workers: " + std::to_string(response.status));
+        return make_error(ErrorCode::platform_rejected, "workers: " + std::to_string(response.status));
     simdjson::dom::parser parser;
     object document;
     array entries;
     if (parser.parse(response.body).get(document) || document["workers"].get(entries))
-        return failure(ErrorCode::bytes_malformed, "list of workers");
+        return make_error(ErrorCode::bytes_malformed, "list of workers");
     std::vector<Worker> workers;
     for (const element entry : entries) {
         object members;
--- a/src/cluster/runners/runner_list_poller.cpp
+++ b/src/cluster/runners/runner_list_poller.cpp
@@ -28,7 +28,7 @@
 
 RunnerListPoller::Update RunnerListPoller::on_page(Micros now, const RunnerListPage& page) {
     is_pending_ = false;
-    for (const ListedRunner& listed : page.runners) current_ids_.insert(listed.info.runner);
+    for (const ListedRunner& listed : page.runners) current_ids_.insert(listed.info.runner_id);
     page_token_ = page.next_page_token;
     Update update;
     update.is_complete = page_token_.empty();
--- a/src/cluster/slots/modes.cpp
+++ b/src/cluster/slots/modes.cpp
@@ -23,21 +23,22 @@
 
 void SlotTable::loads(Micros now, Session session, const LoadReport& m) {
     const auto front = proxies_.find(session);
-    if (front == proxies_.end() || m.span_ms == 0) return;
-    for (const Load& l : m.loads) {
+    if (front == proxies_.end() || m.interval_ms == 0) return;
+    for (const FunctionLoad& l : m.loads) {
         const auto known = functions_.find(l.service);
         if (known == functions_.end()) continue;
         Function& f = *known->second;
         if (!f.interested.contains(session)) note_function(session, f);
-        f.parts[session] = {static_cast<double>(l.busy_ms) / m.span_ms, l.count * 1e3 / m.span_ms, now};
-        if (l.count > 0) f.last_used = now;
+        f.parts[session] = {static_cast<double>(l.busy_ms) / m.interval_ms, l.requests * 1e3 / m.interval_ms,
+                            now};
+        if (l.requests > 0) f.last_used = now;
         touch(f);
     }
 }
 
 void SlotTable::outs(Micros now, Session session, const OutstandingReport& m) {
     if (!proxies_.contains(session)) return;
-    for (const auto& [number, count] : m.by_runner) {
+    for (const auto& [number, count] : m.counts) {
         const auto at = runners_.find(number);
         if (at == runners_.end()) continue;
         if (!at->second.told.contains(session)) note_runner(session, number);
@@ -56,7 +57,7 @@
 // By chance alone, how often would a runner be full if nobody asked?
 void SlotTable::settle_mode(Micros now, Function& f, std::vector<ProxyMessage>& out) {
     while (!f.rejected.empty() && f.rejected.front() < now - 5'000'000) f.rejected.pop_front();
-    if (!f.service || !options_.may_be_unrestricted || f.service->most < kFewSlots)
+    if (!f.service || !options_.may_be_unrestricted || f.service->max_concurrency < kFewSlots)
         return set_mode(f, false, out);
     std::map<std::string, double> ready;
     for (const std::uint32_t number : f.runners)
@@ -79,7 +80,7 @@
         const double own = rate > 0 && place != f.places.end() ? place->second.rate / rate : 0;
         const double part = rate > 0 ? own + (1 - near / rate) * count / all : count / all;
         // Half as much again: chance has bad seconds too.
-        turned += part * rate * 5 * blocked(1.5 * load * part / count, f.service->most);
+        turned += part * rate * 5 * blocked(1.5 * load * part / count, f.service->max_concurrency);
     }
     const double allowed = options_.rejection_slack;
     // The first one turned away is enough: of the allowed ones some more are on their way before all fronts
--- a/src/cluster/slots/sampling.cpp
+++ b/src/cluster/slots/sampling.cpp
@@ -27,12 +27,14 @@
         if (r.draining) continue;
         double first = 0;
         if (r.state == RunnerState::starting)
-            first = std::max(50'000.0,
-                             static_cast<double>(r.began + (f.service ? f.service->boot : 1'000'000) - now));
+            first = std::max(
+                50'000.0,
+                static_cast<double>(r.began + (f.service ? f.service->boot_duration : 1'000'000) - now));
         else if (now < r.aside_until)
             first = static_cast<double>(r.aside_until - now);
         for (const RunnerSlots::Given& g : r.given)
-            free_in.push_back(std::max(usual(g.shape) - static_cast<double>(now - g.since), 20'000.0));
+            free_in.push_back(
+                std::max(usual(g.request_class) - static_cast<double>(now - g.since), 20'000.0));
         for (std::uint32_t i = r.out(); i < r.what.slots; ++i) free_in.push_back(first);
     }
     if (free_in.empty()) return 1e12;
@@ -104,7 +106,7 @@
         if (!f.waiting.empty()) serve(now, f, out);
         // A function that is to be warm is planned for whether or not anyone asks.
         if (f.runners.empty() && f.waiting.empty() && now > f.last_used + kForget &&
-            !(f.service && f.service->warm())) {
+            !(f.service && f.service->needs_warm_runner())) {
             f.active = false;
             i = active_.erase(i);
         } else {
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -14,7 +14,7 @@
     if (!f) {
         f = std::make_unique<Function>();
         f->name = name;
-        if (configuration_) f->service = configuration_->service(name);
+        if (configuration_) f->service = configuration_->find_service(name);
     }
     return *f;
 }
@@ -28,11 +28,11 @@
     configuration_ = std::move(configuration);
     for (const Service& s : configuration_->services()) function(s.name);
     for (auto& [name, f] : functions_) {
-        f->service = configuration_->service(name);
+        f->service = configuration_->find_service(name);
         touch(*f);  // the next tick lets go of those that are not used
     }
     for (auto& [number, r] : runners_)
-        if (r.function->service) r.what.slots = r.function->service->most;
+        if (r.function->service) r.what.slots = r.function->service->max_concurrency;
 }
 
 std::int64_t SlotTable::used_mb(const std::string& worker) const {
@@ -52,8 +52,8 @@
     return at == proxies_.end() ? nullptr : &at->second.name;
 }
 
-double SlotTable::usual(std::uint16_t shape) const {
-    const auto at = durations_.find(shape);
+double SlotTable::usual(std::uint16_t request_class) const {
+    const auto at = durations_.find(request_class);
     return at == durations_.end() ? kGuess : at->second.get(kGuess);
 }
 
--- a/src/cluster/store/confirmed_record.cpp
+++ b/src/cluster/store/confirmed_record.cpp
@@ -44,12 +44,12 @@
 leaf::result<ConfirmedVersion> decode_confirmed(std::string_view key, std::string_view value) {
     const std::size_t separator = kConfirmedPrefix.size() + kDecimalDigits;
     if (!key.starts_with(kConfirmedPrefix) || key.size() <= separator || key[separator] != '/')
-        return failure(ErrorCode::bytes_malformed, "the key of a confirmed version");
+        return make_error(ErrorCode::bytes_malformed, "the key of a confirmed version");
     const auto index = parse(key.substr(kConfirmedPrefix.size(), kDecimalDigits), kDecimalDigits, kDecimal);
     const auto version = parse(key.substr(separator + 1), kDecimalDigits, kDecimal);
     const auto digest = parse(value, kHexDigits, kHexadecimal);
     if (!index || !version || !digest)
-        return failure(ErrorCode::bytes_malformed, "the record of a confirmed version");
+        return make_error(ErrorCode::bytes_malformed, "the record of a confirmed version");
     return ConfirmedVersion{*version, *digest, *index};
 }
 
--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr char kDatabaseName[] = "/state";
-constexpr char kPromiseKey[] = "promise";
+constexpr char kVotingStateKey[] = "promise";
 constexpr char kEntryKey[] = "entry";
 // LevelDB's buffer and table size. Small, so that what was overwritten is soon dropped: the files stay under
 // a few bodies of a configuration.
@@ -72,19 +72,19 @@
         leveldb::DestroyDB(path, database_options());
         opened = open_database(path);
     }
-    if (!opened.status.ok()) return failure(ErrorCode::disk_failed, opened.status.ToString());
+    if (!opened.status.ok()) return make_error(ErrorCode::disk_failed, opened.status.ToString());
     database_ = std::move(opened.database);
     return leaf::try_handle_all([&] { return read(); }, [] { return PersistentState{}; });
 }
 
 leaf::result<PersistentState> Store::read() {
-    std::string promise;
+    std::string voting_state;
     std::string entry;
-    const bool is_found = database_->Get(read_options(), kPromiseKey, &promise).ok() &&
+    const bool is_found = database_->Get(read_options(), kVotingStateKey, &voting_state).ok() &&
                           database_->Get(read_options(), kEntryKey, &entry).ok();
     if (!is_found) return PersistentState{};
     PersistentState state;
-    BOOST_LEAF_ASSIGN(state.promise, decode_promise(promise));
+    BOOST_LEAF_ASSIGN(state.voting_state, decode_voting_state(voting_state));
     BOOST_LEAF_ASSIGN(state.entry, decode_entry(entry));
     BOOST_LEAF_ASSIGN(state.entry.confirmed, read_confirmed());
     remember_persisted(state.entry);
@@ -99,7 +99,7 @@
         BOOST_LEAF_AUTO(record, decode_confirmed(pair->key().ToString(), pair->value().ToString()));
         records.push_back(record);
     }
-    if (!pair->status().ok()) return failure(ErrorCode::disk_failed, pair->status().ToString());
+    if (!pair->status().ok()) return make_error(ErrorCode::disk_failed, pair->status().ToString());
     return records;
 }
 
@@ -121,9 +121,9 @@
 }
 
 leaf::result<void> Store::write(const PersistentState& state) {
-    if (!database_) return failure(ErrorCode::disk_failed, "not open");
+    if (!database_) return make_error(ErrorCode::disk_failed, "not open");
     leveldb::WriteBatch batch;
-    batch.Put(kPromiseKey, encode_promise(state.promise));
+    batch.Put(kVotingStateKey, encode_voting_state(state.voting_state));
     const bool has_new_entry = persisted_position_ != state.entry.position;
     if (has_new_entry) put_entry(batch, state.entry);
     leveldb::WriteOptions options;
@@ -131,7 +131,7 @@
     const leveldb::Status status = database_->Write(options, &batch);
     if (!status.ok()) {
         database_.reset();
-        return failure(ErrorCode::disk_failed, status.ToString());
+        return make_error(ErrorCode::disk_failed, status.ToString());
     }
     if (has_new_entry) remember_persisted(state.entry);
     return {};
--- a/src/cluster/transport/http_server.cpp
+++ b/src/cluster/transport/http_server.cpp
@@ -117,10 +117,10 @@
                 case http::Found::head:
                     request_ = make_http_message(reader_.head());
                     is_reading_body_ = true;
-                    if (reader_.length() > server_.limits_.body_bytes) return reject(kContentTooLarge);
+                    if (reader_.length() > server_.limits_.max_body_bytes) return reject(kContentTooLarge);
                     continue;
                 case http::Found::body:
-                    if (request_.body.size() + reader_.piece().size() > server_.limits_.body_bytes)
+                    if (request_.body.size() + reader_.piece().size() > server_.limits_.max_body_bytes)
                         return reject(kContentTooLarge);
                     request_.body.append(reader_.piece());
                     continue;
--- a/src/cluster/transport/message_connection.hpp
+++ b/src/cluster/transport/message_connection.hpp
@@ -8,6 +8,7 @@
 
 #include "net/connection.hpp"
 #include "cluster/wire/codec.hpp"
+#include "cluster/wire/frames.hpp"
 
 namespace gannethold::cluster {
 
@@ -58,7 +59,7 @@
     void disconnect();
 
     Events events_;
-    Frames frames_;
+    FrameReader frames_;
     bool is_open_ = false;
     bool is_closed_ = false;
     Micros last_received_at_ = 0;
--- a/tests/system/consensus/election_test.cpp
+++ b/tests/system/consensus/election_test.cpp
@@ -20,8 +20,8 @@
 // In terms 4 and 5 its lost disk may have voted.
 struct MemberWithLostDisk {
     MemberWithLostDisk() {
-        state.promise.voted_for = "a";
-        state.promise.no_vote_through = 5;
+        state.voting_state.voted_for = "a";
+        state.voting_state.no_vote_through = 5;
     }
     Consensus::Options options = member_options("a");
     PersistentState state = member_state();
@@ -46,8 +46,8 @@
 
 BOOST_AUTO_TEST_CASE(a_member_that_lost_its_disk_votes_in_no_term_in_which_it_may_have_voted) {
     MemberWithLostDisk member;
-    member.state.promise.term = 4;
-    member.state.promise.voted_for.clear();
+    member.state.voting_state.term = 4;
+    member.state.voting_state.voted_for.clear();
     Consensus consensus(member.options, member.state, kStart);
     ignore(consensus.start());
     const ConsensusOutput output = consensus.on_message(12'000'000, "c", vote_request(5, {4, 9}));
@@ -63,8 +63,8 @@
     state.entry.position = {kTerm, 9};
     Consensus candidate(member_options("a"), state, kStart);
     ignore(candidate.start());
-    state.promise.term = kTerm + 1;
-    state.promise.voted_for = "a";
+    state.voting_state.term = kTerm + 1;
+    state.voting_state.voted_for = "a";
     state.entry.position = {kTerm, 8};
     Consensus voter(member_options("b"), state, kStart);
     ignore(voter.start());
@@ -93,7 +93,7 @@
     StartedVoter voter;
     const VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
     BOOST_TEST(voter.member.on_message(kElectionDue, "a", request).must_persist);
-    BOOST_TEST(voter.member.persistent_state().promise.voted_for == "a");
+    BOOST_TEST(voter.member.persistent_state().voting_state.voted_for == "a");
     BOOST_TEST(!voter.grants("c", request));
     BOOST_TEST(voter.grants("a", request));
     BOOST_TEST(voter.grants("c", vote_request(kTerm + 2, {kTerm, 8})));
@@ -112,7 +112,7 @@
     VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
     BOOST_TEST(voter.member.on_message(kElectionDue + 449'999, "a", request).messages.empty());
     BOOST_TEST(voter.member.current_term() == kTerm);
-    request.leader_hands_over = true;
+    request.leadership_transfer = true;
     BOOST_TEST(voter.grants("a", request, kElectionDue + 449'999));
 }
 
@@ -129,7 +129,7 @@
     const ConsensusOutput output = voter.member.on_message(kElectionDue, "a", request);
     BOOST_TEST(output.must_persist);
     BOOST_TEST(voter.member.current_term() == kTerm);
-    BOOST_TEST(voter.member.persistent_state().promise.pre_voted_through == kTerm + 1);
+    BOOST_TEST(voter.member.persistent_state().voting_state.pre_voted_through == kTerm + 1);
 }
 
 }  // namespace
--- a/tests/system/consensus/entry_transfer_test.cpp
+++ b/tests/system/consensus/entry_transfer_test.cpp
@@ -65,7 +65,7 @@
     receiver.add(chunk);
     BOOST_TEST(receiver.received() == kInitialChunkBytes);
     BOOST_TEST((receiver.position() == kHead));
-    chunk.total = kMaxPayloadBytes + 1;
+    chunk.total_bytes = kMaxPayloadBytes + 1;
     chunk.position = {3, 9};
     receiver.add(chunk);
     BOOST_TEST((receiver.position() == kHead));
--- a/tests/system/consensus/follower_test.cpp
+++ b/tests/system/consensus/follower_test.cpp
@@ -38,12 +38,12 @@
     Consensus follower = started_follower();
     const ConsensusOutput first = follower.on_message(kNow, "a", heartbeat(kTerm, 5));
     BOOST_TEST(first.must_persist);
-    BOOST_TEST(follower.persistent_state().promise.last_leader == "a");
+    BOOST_TEST(follower.persistent_state().voting_state.last_leader == "a");
     BOOST_TEST(follower.leader() == "a");
     const auto responses = messages_of<AppendResponse>(first);
     BOOST_REQUIRE(responses.size() == 1U);
     BOOST_TEST(responses.front().round == 5U);
-    BOOST_TEST((responses.front().held == member_state().entry.position));
+    BOOST_TEST((responses.front().last_entry == member_state().entry.position));
     BOOST_TEST(!follower.on_message(kNow, "a", heartbeat(kTerm, 6)).must_persist);
 }
 
@@ -70,7 +70,7 @@
         BOOST_TEST((installed.confirmed == entry.confirmed));
         const auto responses = messages_of<AppendResponse>(output);
         BOOST_REQUIRE(responses.size() == 1U);
-        BOOST_TEST((responses.front().held == entry.position));
+        BOOST_TEST((responses.front().last_entry == entry.position));
     }
 }
 
@@ -92,7 +92,7 @@
     chunk.bytes = std::string(chunk.bytes.size(), '\xff');
     const auto responses = messages_of<AppendResponse>(follower.on_message(kNow, "a", chunk));
     BOOST_REQUIRE(responses.size() == 1U);
-    BOOST_TEST((responses.front().held == member_state().entry.position));
+    BOOST_TEST((responses.front().last_entry == member_state().entry.position));
 }
 
 BOOST_AUTO_TEST_CASE(the_head_counts_as_committed_once_a_heartbeat_names_it) {
--- a/tests/system/consensus/member_fixture.hpp
+++ b/tests/system/consensus/member_fixture.hpp
@@ -24,8 +24,8 @@
 // A member that has not voted in its term, with version 1 as its newest configuration.
 inline PersistentState member_state() {
     PersistentState state;
-    state.promise.member = true;
-    state.promise.term = kTerm;
+    state.voting_state.is_member = true;
+    state.voting_state.term = kTerm;
     state.entry.position = {kTerm, 8};
     state.entry.version = 1;
     state.entry.members = {"a", "b", "c"};
@@ -57,7 +57,7 @@
 inline VoteRequest vote_request(Term term, LogPosition held) {
     VoteRequest request;
     request.term = term;
-    request.held = held;
+    request.last_entry = held;
     return request;
 }
 
@@ -66,7 +66,7 @@
     AppendResponse response;
     response.term = term;
     response.round = round;
-    response.held = held;
+    response.last_entry = held;
     return response;
 }
 
--- a/tests/system/consensus/recovery_state_test.cpp
+++ b/tests/system/consensus/recovery_state_test.cpp
@@ -13,7 +13,7 @@
     response.nonce = kNonce;
     response.term = term;
     response.pre_voted_through = pre_voted_through;
-    response.held = held;
+    response.last_entry = held;
     response.members = {"a", "b", "c"};
     return response;
 }
@@ -41,7 +41,7 @@
     BOOST_TEST(!recovery.has_quorum_without("a"));
     recovery.add_response("c", response(2, 5, {2, 9}));
     BOOST_TEST(recovery.has_quorum_without("a"));
-    BOOST_TEST((recovery.newest_response().held == LogPosition{3, 4}));
+    BOOST_TEST((recovery.newest_response().last_entry == LogPosition{3, 4}));
     BOOST_TEST(recovery.newest_term() == 3U);
     BOOST_TEST(recovery.reported_voters().size() == 3U);
 }
--- a/tests/system/proxy/endpoint_table_test.cpp
+++ b/tests/system/proxy/endpoint_table_test.cpp
@@ -41,10 +41,10 @@
     Table table;
     table.announce(update("far", 1, RunnerState::ready, "z1"));
     table.announce(update("near", 2, RunnerState::ready, "z0"));
-    BOOST_TEST(table.select("z0", 0)->info.runner == "near");
+    BOOST_TEST(table.select("z0", 0)->info.runner_id == "near");
     table.endpoints.eject("near", 1'000);
-    BOOST_TEST(table.select("z0", 999)->info.runner == "far");
-    BOOST_TEST(table.select("z0", 1'000)->info.runner == "near");
+    BOOST_TEST(table.select("z0", 999)->info.runner_id == "far");
+    BOOST_TEST(table.select("z0", 1'000)->info.runner_id == "near");
 }
 
 BOOST_AUTO_TEST_CASE(a_removed_runner_is_kept_until_its_attempts_have_ended) {
--- a/tests/system/proxy/function_table_test.cpp
+++ b/tests/system/proxy/function_table_test.cpp
@@ -24,7 +24,7 @@
     BOOST_REQUIRE(report.has_value());
     BOOST_REQUIRE(report->loads.size() == 1U);
     BOOST_TEST(report->loads[0].service == "f");
-    BOOST_TEST(report->loads[0].count == 2U);
+    BOOST_TEST(report->loads[0].requests == 2U);
     BOOST_TEST(report->loads[0].busy_ms == 50U);
     BOOST_TEST(!functions.make_load_report(kNow + 2'000'000).has_value());
 }
@@ -37,7 +37,7 @@
     functions.state_of("f").load.add(70'000);
     const auto loads = functions.unrestricted_loads();
     BOOST_REQUIRE(loads.size() == 1U);
-    BOOST_TEST(loads[0].count == 1U);
+    BOOST_TEST(loads[0].requests == 1U);
     BOOST_TEST(loads[0].busy_ms == 20U);
 }
 
--- a/tests/system/proxy/request_handler_test.cpp
+++ b/tests/system/proxy/request_handler_test.cpp
@@ -25,7 +25,7 @@
         R"(","timeout_ms":4000,"target_latency_ms":1500,"priority":1,"service":"f","max_attempts":)" +
         std::to_string(attempts) +
         R"(}],"services":[{"name":"f","connection_limit":20,"memory_mb":128,"boot_duration_ms":600,"max_concurrency":1}]})";
-    return leaf::try_handle_all([&] { return Configuration::read(text); },
+    return leaf::try_handle_all([&] { return Configuration::parse(text); },
                                 []() -> std::shared_ptr<const Configuration> {
                                     BOOST_FAIL("the configuration can not be read");
                                     return {};
@@ -76,11 +76,11 @@
     }
     // The registration is under way while meanwhile() runs; then it is answered.
     void register_proxy(const std::function<void()>& meanwhile = [] {}) {
-        const Register registration = handler.make_registration();
+        const RegisterRequest registration = handler.make_registration();
         meanwhile();
         std::vector<ProxyMessage> messages;
         table->on_proxy_registered(now, kSession, registration, messages);
-        handler.on_message(now, Registered{1, 0, 1, {}}, actions);
+        handler.on_message(now, RegisterResponse{1, 0, 1, {}}, actions);
         handler.on_coordinator_registered(now, actions);
         deliver_to_proxy(messages);
     }
@@ -245,7 +245,7 @@
     WaitingProxy() : handler({"front-0", "z0", 1, 7}) {
         leaf::try_handle_all(
             [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(kOneSlowRoute));
+                BOOST_LEAF_AUTO(configuration, Configuration::parse(kOneSlowRoute));
                 handler.configure(configuration);
                 return {};
             },
@@ -284,17 +284,17 @@
     BOOST_TEST(proxy.tick(WaitingProxy::kStart + 3'500'000).local_replies.empty());
     const Actions late = proxy.tick(WaitingProxy::kStart + 3'700'000);
     BOOST_REQUIRE(late.local_replies.size() == 1U);
-    BOOST_TEST((late.local_replies.front().error == ErrorCode::leaving));
+    BOOST_TEST((late.local_replies.front().error == ErrorCode::shutting_down));
     BOOST_TEST(late.local_replies.front().retry_after_ms > 0U);
     // The coordinator is notified that the slot is not needed any more.
     BOOST_REQUIRE(late.messages.size() == 1U);
     const auto* const release = std::get_if<Release>(&late.messages.front());
     BOOST_REQUIRE(release != nullptr);
-    BOOST_TEST((release->id == request->id && release->how == ReleaseReason::unused));
+    BOOST_TEST((release->id == request->id && release->reason == ReleaseReason::unused));
     // What arrives now is rejected at once.
     const Actions rejected = proxy.request(WaitingProxy::kStart + 3'800'000, 2);
     BOOST_REQUIRE(rejected.local_replies.size() == 1U);
-    BOOST_TEST((rejected.local_replies.front().error == ErrorCode::leaving));
+    BOOST_TEST((rejected.local_replies.front().error == ErrorCode::shutting_down));
     BOOST_TEST(rejected.messages.empty());
     BOOST_TEST(proxy.handler.pending_requests() == 0U);
 }
@@ -315,10 +315,10 @@
     proxy.handler.on_message(WaitingProxy::kStart + 3'700'000, AcquireGranted{id, 3}, granted);
     BOOST_TEST(granted.forwards.empty());
     BOOST_REQUIRE(granted.local_replies.size() == 1U);
-    BOOST_TEST((granted.local_replies.front().error == ErrorCode::leaving));
+    BOOST_TEST((granted.local_replies.front().error == ErrorCode::shutting_down));
     BOOST_REQUIRE(granted.messages.size() == 1U);
     const auto& release = std::get<Release>(granted.messages.front());
-    BOOST_TEST((release.id == id && release.runner == 3U && release.how == ReleaseReason::unused));
+    BOOST_TEST((release.id == id && release.runner == 3U && release.reason == ReleaseReason::unused));
 }
 
 }  // namespace
--- a/tests/system/proxy/request_statistics_test.cpp
+++ b/tests/system/proxy/request_statistics_test.cpp
@@ -26,8 +26,8 @@
         decision.request = id;
         statistics.record(decision);
     }
-    BOOST_TEST(statistics.decisions().kept().size() == RequestStatistics::kMaxKept);
-    BOOST_TEST(statistics.decisions().kept().front().request == 2U);
+    BOOST_TEST(statistics.decisions().entries().size() == RequestStatistics::kMaxKept);
+    BOOST_TEST(statistics.decisions().entries().front().request == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(operators_see_the_words_that_their_pages_name) {
--- a/tests/system/proxy/retry_state_test.cpp
+++ b/tests/system/proxy/retry_state_test.cpp
@@ -11,8 +11,8 @@
 
 Route route(bool idempotent, std::uint32_t attempts) {
     Route made;
-    made.idempotent = idempotent;
-    made.attempts = attempts;
+    made.is_idempotent = idempotent;
+    made.max_attempts = attempts;
     return made;
 }
 
--- a/tests/system/proxy/routing_test.cpp
+++ b/tests/system/proxy/routing_test.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_CASE(a_service_is_drawn_by_its_weight_and_never_without_one) {
     Route route;
-    route.shares = {{"none", 0}, {"small", 1}, {"large", 3}};
+    route.services = {{"none", 0}, {"small", 1}, {"large", 3}};
     BOOST_TEST(choose_service(route, 0) == "small");
     BOOST_TEST(choose_service(route, 0.249) == "small");
     BOOST_TEST(choose_service(route, 0.251) == "large");
--- a/tests/system/proxy/slot_share_test.cpp
+++ b/tests/system/proxy/slot_share_test.cpp
@@ -12,7 +12,7 @@
     for (std::uint32_t proxies = 1; proxies <= 5; ++proxies)
         for (std::uint32_t slots = 1; slots <= 9; ++slots) {
             RunnerInfo runner;
-            runner.runner = "i-" + std::to_string(slots);
+            runner.runner_id = "i-" + std::to_string(slots);
             runner.slots = slots;
             std::uint32_t sum = 0;
             for (std::uint32_t rank = 0; rank < proxies; ++rank) {
--- a/tests/system/proxy_server/configuration_receiver_test.cpp
+++ b/tests/system/proxy_server/configuration_receiver_test.cpp
@@ -17,7 +17,7 @@
 }
 
 // The version that was received; 0: an error.
-Number received(ConfigurationReceiver& receiver, const ConfigurationSent& sent, Number version) {
+Number received(ConfigurationReceiver& receiver, const ConfigurationUpdate& sent, Number version) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<Number> {
             BOOST_LEAF_AUTO(configuration, receiver.receive(sent, version));
--- a/tests/system/proxy_server/coordinator_client_test.cpp
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -56,12 +56,12 @@
 struct Fixture {
     Fixture() : port(free_port()), seed(loop, kSeedIp, port) {
         settings.internal_port = port;
-        settings.seeds = {std::string(kSeedIp) + ":1"};
+        settings.seed_addresses = {std::string(kSeedIp) + ":1"};
         client = std::make_unique<CoordinatorClient>(loop, settings, events());
     }
     CoordinatorClient::Events events() {
         CoordinatorClient::Events events;
-        events.make_registration = [] { return Register{"proxy", "z0", 1, 0, {}, {}}; };
+        events.make_registration = [] { return RegisterRequest{"proxy", "z0", 1, 0, {}, {}}; };
         events.message_received = [this](const Message& message, bool begins_session) {
             received.push_back(message);
             if (begins_session) ++sessions;
@@ -77,8 +77,8 @@
         });
     }
     void register_at_seed() {
-        BOOST_REQUIRE(until([&] { return seed.count<Register>() == 1; }));
-        seed.send(Registered{1, 0, 1, {}});
+        BOOST_REQUIRE(until([&] { return seed.count<RegisterRequest>() == 1; }));
+        seed.send(RegisterResponse{1, 0, 1, {}});
         BOOST_REQUIRE(until([&] { return sessions == 1; }));
     }
 
@@ -96,11 +96,11 @@
 BOOST_AUTO_TEST_CASE(a_session_begins_once_and_lives_by_heartbeats) {
     Fixture fixture;
     fixture.register_at_seed();
-    fixture.seed.send(Registered{1, 0, 2, {}});
+    fixture.seed.send(RegisterResponse{1, 0, 2, {}});
     BOOST_REQUIRE(fixture.until([&] { return fixture.received.size() == 2; }));
     BOOST_TEST(fixture.sessions == 1);
     BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Heartbeat>() >= 1; }));
-    BOOST_TEST(fixture.seed.count<Register>() == 1U);
+    BOOST_TEST(fixture.seed.count<RegisterRequest>() == 1U);
     BOOST_TEST(fixture.disconnects == 0);
 }
 
@@ -108,9 +108,9 @@
     Fixture fixture;
     fixture.register_at_seed();
     BOOST_REQUIRE(fixture.until([&] { return fixture.disconnects == 1; }));
-    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Register>() == 2; }));
+    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<RegisterRequest>() == 2; }));
     BOOST_TEST(fixture.seed.connections() == 2U);
-    fixture.seed.send(Registered{2, 0, 1, {}});
+    fixture.seed.send(RegisterResponse{2, 0, 1, {}});
     BOOST_REQUIRE(fixture.until([&] { return fixture.sessions == 2; }));
     BOOST_TEST(fixture.stalls == 0);
 }
@@ -118,9 +118,9 @@
 BOOST_AUTO_TEST_CASE(a_redirect_leads_to_the_leader) {
     Fixture fixture;
     ScriptedMember leader(fixture.loop, kLeaderIp, fixture.port);
-    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<Register>() == 1; }));
+    BOOST_REQUIRE(fixture.until([&] { return fixture.seed.count<RegisterRequest>() == 1; }));
     fixture.seed.send(Redirect{std::string(kLeaderIp) + ":1"});
-    BOOST_REQUIRE(fixture.until([&] { return leader.count<Register>() == 1; }));
+    BOOST_REQUIRE(fixture.until([&] { return leader.count<RegisterRequest>() == 1; }));
     BOOST_TEST(fixture.disconnects == 1);
     BOOST_TEST(fixture.received.empty());
     BOOST_TEST(fixture.seed.connections() == 1U);
--- a/tests/system/proxy_server/program_test.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -109,15 +109,15 @@
     void on_message(const Message& message) {
         MessageConnection& core = *core_connections_.back();
         if (std::holds_alternative<Heartbeat>(message)) core.send(Heartbeat{});
-        if (std::holds_alternative<Register>(message)) {
-            core.send(Registered{1, 0, 1, {}});
-            core.send(ConfigurationSent{1, {0, make_delta({}, kConfiguration)}});
+        if (std::holds_alternative<RegisterRequest>(message)) {
+            core.send(RegisterResponse{1, 0, 1, {}});
+            core.send(ConfigurationUpdate{1, {0, make_delta({}, kConfiguration)}});
             core.send(RunnerUpdate{kRunnerNumber,
                                    RunnerState::ready,
                                    {kRunnerName, "f", runner.address(), "z0", "w", 8, 0, true},
                                    false});
         }
-        if (const auto* held = std::get_if<ConfigurationHeld>(&message))
+        if (const auto* held = std::get_if<ConfigurationAck>(&message))
             configuration_held_ = held->version == 1;
         if (const auto* acquire = std::get_if<AcquireRequest>(&message)) {
             ++acquires;
--- a/tests/system/runners/platform_api_test.cpp
+++ b/tests/system/runners/platform_api_test.cpp
@@ -44,8 +44,8 @@
 
 BOOST_AUTO_TEST_CASE(a_list_with_another_status_than_200_is_refused) {
     for (const int status : {0, 204, 404, 429, 503}) {
-        BOOST_TEST((error_of_runners(status) == ErrorCode::platform_refused));
-        BOOST_TEST((error_of_workers(status) == ErrorCode::platform_refused));
+        BOOST_TEST((error_of_runners(status) == ErrorCode::platform_rejected));
+        BOOST_TEST((error_of_workers(status) == ErrorCode::platform_rejected));
     }
 }
 
@@ -63,7 +63,7 @@
     BOOST_TEST(!error_of([&]() -> leaf::result<void> {
                     BOOST_LEAF_AUTO(page, api().read_runners(response(200, runners)));
                     BOOST_REQUIRE(page.runners.size() == 1U);
-                    BOOST_TEST(page.runners[0].info.runner == "i-2");
+                    BOOST_TEST(page.runners[0].info.runner_id == "i-2");
                     BOOST_TEST(page.next_page_token.empty());
                     return {};
                 }).has_value());
--- a/tests/system/runners/runner_list_poller_test.cpp
+++ b/tests/system/runners/runner_list_poller_test.cpp
@@ -20,7 +20,7 @@
     RunnerListPage page;
     for (const std::string& id : ids) {
         ListedRunner listed;
-        listed.info.runner = id;
+        listed.info.runner_id = id;
         page.runners.push_back(listed);
     }
     page.next_page_token = next_page_token;
--- a/tests/system/scenario/text_checks.cpp
+++ b/tests/system/scenario/text_checks.cpp
@@ -42,11 +42,11 @@
 void check_configuration(const ScenarioLine& line) {
     const std::string& kind = line.word(1);
     const std::string text = line.text_after(kind);
-    const ReadResult result = result_of([&] { return Configuration::read(text); });
+    const ReadResult result = result_of([&] { return Configuration::parse(text); });
     check_result(result, kind);
     if (result.name == "ok") return;
-    const ErrorCode error =
-        result.name == "configuration_cut" ? ErrorCode::configuration_cut : ErrorCode::configuration_invalid;
+    const ErrorCode error = result.name == "configuration_cut" ? ErrorCode::configuration_malformed
+                                                               : ErrorCode::configuration_invalid;
     const int status = error_response(error).status;
     BOOST_TEST((status >= 400 && status < 500));
 }
--- a/tests/system/simulation/configuration_template_test.cpp
+++ b/tests/system/simulation/configuration_template_test.cpp
@@ -16,7 +16,7 @@
     configuration.services[1].route_to = "a";
     const Number version = leaf::try_handle_all(
         [&]() -> leaf::result<Number> {
-            BOOST_LEAF_AUTO(read, Configuration::read(configuration.body(7, "mark")));
+            BOOST_LEAF_AUTO(read, Configuration::parse(configuration.body(7, "mark")));
             return read->version();
         },
         [] { return Number{0}; });
--- a/tests/system/simulation/coordinators.cpp
+++ b/tests/system/simulation/coordinators.cpp
@@ -60,7 +60,7 @@
     coordinator.version = entry.version;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(configuration, Configuration::read(entry.body));
+            BOOST_LEAF_AUTO(configuration, Configuration::parse(entry.body));
             coordinator.slot_table.configure(configuration);
             for (const std::size_t proxy : coordinator.proxies)
                 environment_.after_hop(
@@ -153,9 +153,9 @@
         std::set<std::pair<Session, std::uint32_t>> granted;
         for (const RunnerSlots::Given& grant : runner.given)
             if (grant.ask > 0 && !granted.insert({grant.front, grant.ask}).second)
-                environment_.violations.report("one request has two slots of " + runner.what.runner);
+                environment_.violations.report("one request has two slots of " + runner.what.runner_id);
         if (granted.size() > runner.what.slots)
-            environment_.violations.report("more granted than " + runner.what.runner + " has slots");
+            environment_.violations.report("more granted than " + runner.what.runner_id + " has slots");
     }
 }
 
@@ -163,9 +163,10 @@
 // meet its latency target any more, or as a late one in its turn.
 void Coordinators::check_priority_inversions(Coordinator& coordinator) {
     const auto& inversions = coordinator.slot_table.priority_inversions();
-    const auto& kept = inversions.kept();
-    const std::size_t unchecked = std::min(inversions.all() - coordinator.checked_inversions, kept.size());
-    coordinator.checked_inversions = inversions.all();
+    const auto& kept = inversions.entries();
+    const std::size_t unchecked =
+        std::min(inversions.total_added() - coordinator.checked_inversions, kept.size());
+    coordinator.checked_inversions = inversions.total_added();
     for (std::size_t n = kept.size() - unchecked; n < kept.size(); ++n) {
         const PriorityInversion& inversion = kept[n];
         const std::string why = inversion.why;
--- a/tests/system/simulation/core_machines.cpp
+++ b/tests/system/simulation/core_machines.cpp
@@ -87,13 +87,13 @@
     Consensus::Options options;
     options.self = opening.address;
     options.seeds = seeds_;
-    options.first_start = opening.first_start && !opening.disk.promise.member;
+    options.first_start = opening.first_start && !opening.disk.voting_state.is_member;
     options.random_seed = environment_.random.next();
     if (environment_.has_fault(PlantedFault::lease_without_drift))
         options.lease_duration = 3 * options.election_timeout;
     if (environment_.has_fault(PlantedFault::vote_after_wipe) && !opening.first_start &&
-        !opening.disk.promise.member) {
-        opening.disk.promise.member = true;
+        !opening.disk.voting_state.is_member) {
+        opening.disk.voting_state.is_member = true;
         opening.disk.entry.position = {0, 1};
         opening.disk.entry.members = seeds_;
     }
--- a/tests/system/simulation/core_machines_state.cpp
+++ b/tests/system/simulation/core_machines_state.cpp
@@ -74,11 +74,11 @@
             continue;
         }
         const PersistentState& state = each->consensus->persistent_state();
-        text << "[term " << state.promise.term << " voted for " << state.promise.voted_for
-             << " no vote through term " << state.promise.no_vote_through << " entry "
+        text << "[term " << state.voting_state.term << " voted for " << state.voting_state.voted_for
+             << " no vote through term " << state.voting_state.no_vote_through << " entry "
              << state.entry.position.term << "." << state.entry.position.index << " members "
-             << state.entry.members.size() << (state.promise.member ? "" : " non-member") << " leader "
-             << each->consensus->leader() << "] ";
+             << state.entry.members.size() << (state.voting_state.is_member ? "" : " non-member")
+             << " leader " << each->consensus->leader() << "] ";
     }
     return text.str();
 }
--- a/tests/system/simulation/output_recorder.cpp
+++ b/tests/system/simulation/output_recorder.cpp
@@ -12,7 +12,7 @@
 void OutputRecorder::add_consensus_output(std::uint64_t core, const PersistentState& state,
                                           const ConsensusOutput& out) {
     if (!enabled_) return;
-    if (out.must_persist) add(core, encode_promise(state.promise), encode_entry(state.entry));
+    if (out.must_persist) add(core, encode_voting_state(state.voting_state), encode_entry(state.entry));
     for (const ConsensusOutput::Envelope& envelope : out.messages) {
         add(envelope.to);
         add_message(core, 0, envelope.message);
--- a/tests/system/simulation/proxy_sessions.cpp
+++ b/tests/system/simulation/proxy_sessions.cpp
@@ -48,7 +48,7 @@
         std::distance(coordinator->proxies.begin(), coordinator->proxies.find(proxy)));
     const auto count = static_cast<std::uint32_t>(proxies_.size());
     std::vector<ProxyMessage> messages;
-    messages.push_back({registering.session, Registered{registering.term, rank, count, {}}});
+    messages.push_back({registering.session, RegisterResponse{registering.term, rank, count, {}}});
     coordinator->slot_table.on_proxy_registered(now, registering.session,
                                                 registering.handler->make_registration(), messages);
     configure_from(machine, registering);
@@ -64,7 +64,7 @@
     if (!may_answer) return;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(configuration, Configuration::read(entry->body));
+            BOOST_LEAF_AUTO(configuration, Configuration::parse(entry->body));
             proxy.handler->configure(configuration);
             proxy.newest_version = std::max(proxy.newest_version, proxy.handler->version());
             return {};
--- a/tests/system/store/store_test.cpp
+++ b/tests/system/store/store_test.cpp
@@ -17,9 +17,9 @@
 // The same state for the same index, with a body of random letters.
 PersistentState state_at(std::uint64_t index, std::size_t body_bytes) {
     PersistentState state;
-    state.promise.member = true;
-    state.promise.term = index;
-    state.promise.voted_for = "10.0.0.1:80";
+    state.voting_state.is_member = true;
+    state.voting_state.term = index;
+    state.voting_state.voted_for = "10.0.0.1:80";
     state.entry.position = {index, index};
     state.entry.version = index;
     state.entry.members = {"10.0.0.1:80"};
@@ -61,7 +61,7 @@
     const TemporaryFolder folder;
     {
         Store store;
-        BOOST_TEST(!opened(store, folder.path()).promise.member);
+        BOOST_TEST(!opened(store, folder.path()).voting_state.is_member);
         for (std::uint64_t index = 1; index <= kWrites; ++index) write(store, state_at(index, kBodyBytes));
     }
     std::uintmax_t bytes = 0;
@@ -69,7 +69,7 @@
     BOOST_TEST(bytes < 24U << 20, bytes);  // 30 MB were written; the disk holds 128
     Store again;
     const PersistentState back = opened(again, folder.path());
-    BOOST_TEST(back.promise.member);
+    BOOST_TEST(back.voting_state.is_member);
     BOOST_TEST(back.entry.version == kWrites);
     BOOST_TEST((back.entry.body == state_at(kWrites, kBodyBytes).entry.body));
     BOOST_TEST((back.entry.confirmed == state_at(kWrites, 0).entry.confirmed));
@@ -86,7 +86,7 @@
         Store store;
         const PersistentState back = opened(store, folder.path());
         const std::string expected = state_at(back.entry.version, kBodyBytes).entry.body;
-        BOOST_TEST((!back.promise.member || back.entry.body == expected));
+        BOOST_TEST((!back.voting_state.is_member || back.entry.body == expected));
     }
 }
 
@@ -96,7 +96,7 @@
     for (const auto& file : database_files(folder))
         if (file.filename().string().starts_with("MANIFEST")) filesystem::resize_file(file, 3);
     Store store;
-    BOOST_TEST(!opened(store, folder.path()).promise.member);
+    BOOST_TEST(!opened(store, folder.path()).voting_state.is_member);
     write(store, state_at(9, 10));
 }
 
@@ -104,13 +104,13 @@
     const TemporaryFolder folder;
     PersistentState state = state_at(1, 1000);
     PersistentState promised = state;
-    promised.promise.term = 2;
-    promised.promise.voted_for = "10.0.0.2:80";
+    promised.voting_state.term = 2;
+    promised.voting_state.voted_for = "10.0.0.2:80";
     write_all(folder, {state, promised});
     Store store;
     const PersistentState back = opened(store, folder.path());
-    BOOST_TEST(back.promise.term == 2U);
-    BOOST_TEST(back.promise.voted_for == "10.0.0.2:80");
+    BOOST_TEST(back.voting_state.term == 2U);
+    BOOST_TEST(back.voting_state.voted_for == "10.0.0.2:80");
     BOOST_TEST((back.entry.position == state.entry.position));
 }
 
