--- a/tests/system/simulation/configuration_template_test.cpp
+++ b/tests/system/simulation/configuration_template_test.cpp
@@ -28,7 +28,7 @@
     ConfigurationTemplate configuration;
     configuration.services.resize(1);
     configuration.services[0].name = "a";
-    BOOST_TEST(configuration.find("a") == &configuration.services[0]);
+    BOOST_TEST(configuration.find("a") == configuration.services.data());
     BOOST_TEST(configuration.find("b") == nullptr);
 }
 
