--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/admin.cpp
@@ -4,6 +4,8 @@
 
 #include <cmath>
 #include <cstdio>
+#include <string_view>
+#include <utility>
 
 #include "cluster/programs/process.hpp"
 
@@ -11,29 +13,38 @@
           "ip:port at which operators may ask what was decided and why (gannethold explain); empty: nowhere");
 
 namespace gannethold::cluster {
+namespace {
 
-ExplainResource::ExplainResource(net::Loop& loop, Tell tell) : tell_(std::move(tell)) {
-    const std::string at = absl::GetFlag(FLAGS_admin);
-    if (at.empty()) return;
+constexpr std::size_t kMaxConnections = 16;
+
+}  // namespace
+
+ExplainResource::ExplainResource(net::Loop& loop, Explain explain) : explain_(std::move(explain)) {
+    const std::string address = absl::GetFlag(FLAGS_admin);
+    if (address.empty()) return;
     service_ = std::make_unique<HttpService>(
-        loop, address_or_end(at, "--admin"),
-        HttpService::Events{[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, m); },
-                            [](HttpService::Exchange) {}},
-        16);
+        loop, address_or_end(address, "--admin"),
+        HttpService::Events{
+            [this](HttpService::Exchange exchange, HttpMessage&& request) { on_request(exchange, request); },
+            [](HttpService::Exchange) {}},
+        kMaxConnections);
 }
 
-void ExplainResource::asked(HttpService::Exchange exchange, const HttpMessage& request) {
+void ExplainResource::on_request(HttpService::Exchange exchange, const HttpMessage& request) {
+    constexpr std::string_view kParameter = "what=";
     if (request.method != "GET" || request.target.substr(0, request.target.find('?')) != "/explain")
         return service_->answer(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
-    const auto at = request.target.find("what=");
+    const auto at = request.target.find(kParameter);
+    const std::string part =
+        at == std::string::npos ? std::string() : request.target.substr(at + kParameter.size());
     HttpMessage answer;
     answer.status = 200;
     answer.fields.emplace_back("Content-Type", "application/json");
-    answer.body = json::write(tell_(at == std::string::npos ? std::string() : request.target.substr(at + 5)));
+    answer.body = json::write(explain_(part));
     service_->answer(exchange, answer);
 }
 
-json::Value told(double number) {
+json::Value json_value(double number) {
     char text[32];
     if (number == std::floor(number) && std::abs(number) < 1e15)
         std::snprintf(text, sizeof text, "%.0f", number);
@@ -41,7 +52,7 @@
         std::snprintf(text, sizeof text, "%.4g", number);
     return json::Value(json::Number{text});
 }
-json::Value told(std::string text) { return json::Value(std::move(text)); }
-json::Value told_ms(Micros span) { return told(std::round(static_cast<double>(span) / 1e3)); }
+json::Value json_value(std::string text) { return json::Value(std::move(text)); }
+json::Value json_ms(Micros span) { return json_value(std::round(static_cast<double>(span) / 1e3)); }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/admin.hpp
+++ b/src/cluster/programs/admin.hpp
@@ -1,5 +1,5 @@
-// The place where operators ask a running process what it did and why (`gannethold explain`). Off unless
-// --admin names an address. One handler object for the one resource: GET /explain?what=WORD answers JSON.
+// The admin endpoint, at which operators ask a running process what it did and why (`gannethold-explain`). It
+// is off unless the flag --admin names an address.
 #pragma once
 
 #include <functional>
@@ -11,25 +11,30 @@
 
 namespace gannethold::cluster {
 
+/// Serves GET /explain?what=PART with JSON.
 class ExplainResource {
   public:
-    using Tell = std::function<json::Value(const std::string& what)>;
-    // Does nothing where the flag is empty.
-    ExplainResource(net::Loop& loop, Tell tell);
+    /// What the process tells of one part of its state; an empty `part` means all of it.
+    using Explain = std::function<json::Value(const std::string& part)>;
+
+    /// Listens nowhere where --admin is empty.
+    ExplainResource(net::Loop& loop, Explain explain);
+    /// Closes idle connections. Call it about twice a second.
     void sweep(Micros now) {
         if (service_) service_->sweep(now);
     }
 
   private:
-    void asked(HttpService::Exchange exchange, const HttpMessage& request);
+    void on_request(HttpService::Exchange exchange, const HttpMessage& request);
 
-    Tell tell_;
+    Explain explain_;
     std::unique_ptr<HttpService> service_;
 };
 
-// Short hands for what processes tell.
-json::Value told(double number);
-json::Value told(std::string text);
-json::Value told_ms(Micros span);
+// JSON values of the explain resource. Whole numbers are written without a fraction, others with four digits.
+json::Value json_value(double number);
+json::Value json_value(std::string text);
+/// In milliseconds.
+json::Value json_ms(Micros span);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -59,8 +59,7 @@
               [this](evutil_socket_t s) { accepted(s); }, [] {}),
           explain_(loop, [this](const std::string& what) { return explain(what); }),
           timer_(loop, [this] { due(); }),
-          term_(loop, SIGTERM, [this] { leave(); }),
-          int_(loop, SIGINT, [this] { leave(); }) {
+          signals_(loop, [this] { leave(); }) {
         Limits limits;
         limits.body_bytes = 16U << 20;
         control_.limit(limits);
@@ -353,27 +352,28 @@
 
     json::Value explain(const std::string& what) const {
         const Micros now = net::Loop::now();
-        json::Object all{{"node", told(settings_.node_name)}, {"role", told(std::string("controller"))}};
+        json::Object all{{"node", json_value(settings_.node_name)},
+                         {"role", json_value(std::string("controller"))}};
         if (!consensus_) {
-            all["state"] = told(std::string("its disk can not be used"));
+            all["state"] = json_value(std::string("its disk can not be used"));
             return json::Value(std::move(all));
         }
-        all["term"] = told(static_cast<double>(consensus_->term()));
-        all["leader"] = told(consensus_->leader());
+        all["term"] = json_value(static_cast<double>(consensus_->term()));
+        all["leader"] = json_value(consensus_->leader());
         all["leads"] = json::Value(consensus_->leads(now));
         all["recovering"] = json::Value(consensus_->recovering());
-        all["fence"] = told(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
+        all["fence"] = json_value(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
         all["version"] =
-            told(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
-        all["malformed_lines"] = told(static_cast<double>(MessageConnection::malformed()));
+            json_value(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
+        all["malformed_lines"] = json_value(static_cast<double>(MessageConnection::malformed()));
         json::List core;
         if (what.empty() || what == "core")
             for (const std::string& m : consensus_->members()) {
                 const Micros heard = consensus_->heard_from(m);
                 core.emplace_back(
-                    json::Object{{"member", told(m)},
+                    json::Object{{"member", json_value(m)},
                                  {"itself", json::Value(m == settings_.control_plane)},
-                                 {"heard_ms_ago", heard > 0 ? told_ms(now - heard) : json::Value()}});
+                                 {"heard_ms_ago", heard > 0 ? json_ms(now - heard) : json::Value()}});
             }
         if (!core.empty()) all["core"] = json::Value(std::move(core));
         if (coordinator_) coordinator_->explain(what, all);
@@ -422,7 +422,7 @@
             }
         if (now >= next_look_) {
             next_look_ = now + 2'000'000;
-            watch_.look(false);
+            watch_.poll();
         }
     }
 
@@ -443,9 +443,8 @@
     }
 
     void leave() {
-        if (leaving_) return;
         leaving_ = true;
-        Event("leaving").with("open", puts_.size());
+        Event("shutdown_started").with("pending", puts_.size());
         if (consensus_) {
             Output out;
             consensus_->leave(net::Loop::now(), out);
@@ -491,7 +490,7 @@
     bool leaving_ = false;
     ExplainResource explain_;
     net::Timer timer_;
-    net::Signal term_, int_;
+    ShutdownSignals signals_;
 };
 
 }  // namespace
@@ -499,12 +498,8 @@
 
 int main(int argc, char** argv) {
     using namespace gannethold;
-    const cluster::Settings settings = cluster::begin_process(
+    cluster::run_process<cluster::Controller>(
         argc, argv,
         "gannethold-controller keeps the system's shared state and, while it leads, its slots and runners.\n"
         "It takes its addresses and bounds from the settings file.");
-    net::Loop loop(cluster::blocks_for(settings));
-    cluster::Controller controller(loop, settings);
-    loop.run([] {});
-    cluster::end_process();
 }
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -293,60 +293,60 @@
     json::List fronts;
     if (asked("starts"))
         for (const PlatformAction& d : recent_actions_.kept())
-            starts.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
-                                             {"deed", told(std::string(d.start ? "start" : "stop"))},
-                                             {"service", told(d.service)},
-                                             {"worker", told(d.worker)},
-                                             {"runner", told(d.runner)},
-                                             {"why", told(std::string(d.why))},
-                                             {"answer", told(d.answer)}});
+            starts.emplace_back(json::Object{{"ago_ms", json_ms(now - d.at)},
+                                             {"deed", json_value(std::string(d.start ? "start" : "stop"))},
+                                             {"service", json_value(d.service)},
+                                             {"worker", json_value(d.worker)},
+                                             {"runner", json_value(d.runner)},
+                                             {"why", json_value(std::string(d.why))},
+                                             {"answer", json_value(d.answer)}});
     for (const auto& [name, f] : slot_table_.functions()) {
         if (asked("functions") && (f->active || !f->runners.empty())) {
             double busy = 0;
             for (const std::uint32_t number : f->runners) busy += slot_table_.runner(number).out();
-            functions.emplace_back(
-                json::Object{{"function", told(name)},
-                             {"mode", told(std::string(f->unrestricted ? "unrestricted" : "coordinated"))},
-                             {"runners", told(static_cast<double>(f->runners.size()))},
-                             {"slots_out", told(busy)},
-                             {"waiting", told(static_cast<double>(f->waiting.size()))},
-                             {"overtaken", told(static_cast<double>(f->overtaken))},
-                             {"rate_per_s", told(f->rate)},
-                             {"load", told(f->load_slow)}});
+            functions.emplace_back(json::Object{
+                {"function", json_value(name)},
+                {"mode", json_value(std::string(f->unrestricted ? "unrestricted" : "coordinated"))},
+                {"runners", json_value(static_cast<double>(f->runners.size()))},
+                {"slots_out", json_value(busy)},
+                {"waiting", json_value(static_cast<double>(f->waiting.size()))},
+                {"overtaken", json_value(static_cast<double>(f->overtaken))},
+                {"rate_per_s", json_value(f->rate)},
+                {"load", json_value(f->load_slow)}});
         }
         if (asked("waiting"))
             for (const auto& [place, w] : f->waiting.all())
                 waiting.emplace_back(json::Object{
-                    {"function", told(name)},
-                    {"front",
-                     told(slot_table_.name_of(w.front) ? *slot_table_.name_of(w.front) : std::string())},
-                    {"priority", told(w.ask.priority)},
-                    {"waited_ms", told_ms(now - w.since)},
-                    {"aim_left_ms", told_ms(w.target_at - now)},
-                    {"deadline_left_ms", told_ms(w.deadline_at - now)}});
+                    {"function", json_value(name)},
+                    {"front", json_value(slot_table_.name_of(w.front) ? *slot_table_.name_of(w.front)
+                                                                      : std::string())},
+                    {"priority", json_value(w.ask.priority)},
+                    {"waited_ms", json_ms(now - w.since)},
+                    {"aim_left_ms", json_ms(w.target_at - now)},
+                    {"deadline_left_ms", json_ms(w.deadline_at - now)}});
     }
     if (asked("overtakings")) {
         json::List all;
         const auto name = [&](Session s) {
-            return told(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
+            return json_value(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
         };
         for (const PriorityInversion& o : slot_table_.priority_inversions().kept())
-            all.emplace_back(json::Object{{"ago_ms", told_ms(now - o.at)},
-                                          {"function", told(o.service)},
+            all.emplace_back(json::Object{{"ago_ms", json_ms(now - o.at)},
+                                          {"function", json_value(o.service)},
                                           {"went", name(o.front)},
-                                          {"priority", told(o.priority)},
-                                          {"aim_left_ms", told_ms(o.target_left)},
+                                          {"priority", json_value(o.priority)},
+                                          {"aim_left_ms", json_ms(o.target_left)},
                                           {"before", name(o.before_front)},
-                                          {"its_priority", told(o.before_priority)},
-                                          {"its_aim_left_ms", told_ms(o.before_target_left)},
-                                          {"why", told(std::string(o.why))}});
+                                          {"its_priority", json_value(o.before_priority)},
+                                          {"its_aim_left_ms", json_ms(o.before_target_left)},
+                                          {"why", json_value(std::string(o.why))}});
         into["overtakings"] = json::Value(std::move(all));
     }
     if (asked("fronts"))
         for (const auto& [session, front] : proxies_)
-            fronts.emplace_back(json::Object{{"front", told(front.name)},
-                                             {"version_held", told(static_cast<double>(front.version))},
-                                             {"version_sent", told(static_cast<double>(front.sent))}});
+            fronts.emplace_back(json::Object{{"front", json_value(front.name)},
+                                             {"version_held", json_value(static_cast<double>(front.version))},
+                                             {"version_sent", json_value(static_cast<double>(front.sent))}});
     if (asked("starts")) into["starts"] = json::Value(std::move(starts));
     if (asked("functions")) into["functions"] = json::Value(std::move(functions));
     if (asked("waiting")) into["waiting"] = json::Value(std::move(waiting));
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -19,21 +19,21 @@
 namespace gannethold::cluster {
 namespace {
 
-std::string path() {
-    if (std::string given = absl::GetFlag(FLAGS_settings); !given.empty()) return given;
-    const char* const named = std::getenv("GANNETHOLD_CONFIG");
-    return named ? named : "/etc/gannethold/settings.conf";
+std::string settings_path() {
+    if (std::string from_flag = absl::GetFlag(FLAGS_settings); !from_flag.empty()) return from_flag;
+    const char* const from_environment = std::getenv("GANNETHOLD_CONFIG");
+    return from_environment ? from_environment : "/etc/gannethold/settings.conf";
 }
 
-std::string text_of(const std::string& file) {
-    std::ifstream in(file);
+std::string read_file(const std::string& path) {
+    std::ifstream in(path);
     std::stringstream text;
     text << in.rdbuf();
     return text.str();
 }
 
-[[noreturn]] void end(const std::string& why) {
-    std::fprintf(stderr, "%s\n", why.c_str());
+[[noreturn]] void exit_with_error(const std::string& message) {
+    std::fprintf(stderr, "%s\n", message.c_str());
     std::exit(2);
 }
 
@@ -41,40 +41,56 @@
 
 Settings begin_process(int argc, char** argv, const char* usage) {
     absl::SetProgramUsageMessage(usage);
-    const auto rest = absl::ParseCommandLine(argc, argv);
-    if (rest.size() > 1) end(std::string("not understood: ") + rest[1]);
-    if (!open_log(absl::GetFlag(FLAGS_log_level))) end("--log_level is none of debug, info, warning, error");
+    const auto positional = absl::ParseCommandLine(argc, argv);
+    if (positional.size() > 1) exit_with_error(std::string("not understood: ") + positional[1]);
+    if (!open_log(absl::GetFlag(FLAGS_log_level)))
+        exit_with_error("--log_level is none of debug, info, warning, error");
     std::signal(SIGPIPE, SIG_IGN);
-    return leaf::try_handle_all([] { return Settings::read(path()); },
-                                [](ErrorCode kind, const ErrorDetail& detail) -> Settings {
-                                    end(std::string(error_response(kind).name) + ": " + detail.text);
-                                },
-                                []() -> Settings { end("settings can not be read"); });
+    return leaf::try_handle_all(
+        [] { return Settings::read(settings_path()); },
+        [](ErrorCode code, const ErrorDetail& detail) -> Settings {
+            exit_with_error(std::string(error_response(code).name) + ": " + detail.text);
+        },
+        []() -> Settings { exit_with_error("settings can not be read"); });
 }
 
-SettingsWatch::SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> changed)
-    : changed_(std::move(changed)), text_(text_of(path())), hup_(loop, SIGHUP, [this] { look(true); }) {}
+SettingsWatch::SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> on_changed)
+    : on_changed_(std::move(on_changed)),
+      text_(read_file(settings_path())),
+      hangup_(loop, SIGHUP, [this] { reload(Trigger::signal); }) {}
 
-void SettingsWatch::look(bool told) {
-    std::string text = text_of(path());
+void SettingsWatch::reload(Trigger trigger) {
+    std::string text = read_file(settings_path());
     if (text == text_) return;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
             BOOST_LEAF_AUTO(settings, Settings::parse(text));
             text_ = std::move(text);
-            Event("settings_read").with("told", told);
-            changed_(settings);
+            Event("settings_reloaded").with("by_signal", trigger == Trigger::signal);
+            on_changed_(settings);
             return {};
         },
-        [&](ErrorCode kind, const ErrorDetail& detail) {
-            if (told)
-                Event("settings_kept", Level::warning)
-                    .with("kind", error_response(kind).name)
+        [&](ErrorCode code, const ErrorDetail& detail) {
+            // A file that is being written is read at the next poll again: no reason for a warning.
+            if (trigger == Trigger::signal)
+                Event("settings_rejected", Level::warning)
+                    .with("error", error_response(code).name)
                     .with("detail", detail.text);
         },
         [] {});
 }
 
+ShutdownSignals::ShutdownSignals(net::Loop& loop, std::function<void()> on_shutdown)
+    : on_shutdown_(std::move(on_shutdown)),
+      terminate_(loop, SIGTERM, [this] { on_signal(); }),
+      interrupt_(loop, SIGINT, [this] { on_signal(); }) {}
+
+void ShutdownSignals::on_signal() {
+    if (received_) return;
+    received_ = true;
+    on_shutdown_();
+}
+
 void end_process() {
     std::fflush(nullptr);
     std::_Exit(0);
@@ -82,13 +98,14 @@
 
 net::Address address_or_end(const std::string& text, const char* key) {
     auto address = net::Address::read(text);
-    if (!address) end(std::string("settings_invalid: ") + key + " is no ip:port: " + text);
+    if (!address) exit_with_error(std::string("settings_invalid: ") + key + " is no ip:port: " + text);
     return *address;
 }
 
 std::size_t blocks_for(const Settings& settings) {
-    return static_cast<std::size_t>(settings.memory_mb) * 1024 / 8 /
-           4;  // a quarter of the memory, in blocks of 8 KB
+    constexpr std::size_t kBlockKb = 8;
+    constexpr std::size_t kShareOfMemory = 4;
+    return static_cast<std::size_t>(settings.memory_mb) * 1024 / kBlockKb / kShareOfMemory;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/process.hpp
+++ b/src/cluster/programs/process.hpp
@@ -1,4 +1,4 @@
-// What both programs share: flags, settings, signals, the loop.
+// What both programs share: command-line flags, settings, signals, and the process's beginning and end.
 #pragma once
 
 #include <functional>
@@ -10,29 +10,61 @@
 
 namespace gannethold::cluster {
 
-// Reads the flags and the settings file and opens the log; on a fault one line names what is wrong, and the
-// process ends with 2.
+/// Reads the flags and the settings file and opens the log. On a fault it writes one line to standard error
+/// that names what is wrong, and ends the process with status 2.
 Settings begin_process(int argc, char** argv, const char* usage);
 
-// Watches the settings file: SIGHUP, or a change without one, reads it again. A file that can not be read
-// changes nothing.
+/// Ends the process with status 0 after its loop has stopped: what must survive is on disk by then, and every
+/// answer is written.
+[[noreturn]] void end_process();
+
+/// Watches the settings file: SIGHUP, or a change without one, reads it again. A file that can not be read or
+/// is not valid changes nothing.
 class SettingsWatch {
   public:
-    SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> changed);
-    void look(bool told);
+    SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> on_changed);
+    /// Looks whether the file has changed. Call it every few seconds.
+    void poll() { reload(Trigger::poll); }
 
   private:
-    std::function<void(const Settings&)> changed_;
+    enum class Trigger { poll, signal };
+    void reload(Trigger trigger);
+
+    std::function<void(const Settings&)> on_changed_;
     std::string text_;
-    net::Signal hup_;
+    net::Signal hangup_;
 };
 
+/// Calls on_shutdown once, at the first SIGTERM or SIGINT.
+class ShutdownSignals {
+  public:
+    ShutdownSignals(net::Loop& loop, std::function<void()> on_shutdown);
+
+  private:
+    void on_signal();
+
+    std::function<void()> on_shutdown_;
+    bool received_ = false;
+    net::Signal terminate_;
+    net::Signal interrupt_;
+};
+
+/// The address that `text` ("ip:port") names. Ends the process with status 2 and names the setting `key`
+/// where it names none.
 net::Address address_or_end(const std::string& text, const char* key);
+
+/// How many blocks of memory all connections may use together: a quarter of limits.memory_mb.
 std::size_t blocks_for(const Settings& settings);
 
-// Ends the process after its loop has: what was to be kept is on disk and what was to be said is written.
-// Destructors of static objects don't run: one of a library's joins threads, and a process that leaves has no
-// time to wait for them.
-[[noreturn]] void end_process();
+/// A program from its first to its last line. Program is constructed with (net::Loop&, Settings), and stops
+/// the loop once it is to end.
+template <class Program>
+[[noreturn]] void run_process(int argc, char** argv, const char* usage) {
+    const Settings settings = begin_process(argc, argv, usage);
+    net::Loop loop(blocks_for(settings));
+    Program program(loop, settings);
+    loop.run([] {});
+    end_process();
+}
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -62,8 +62,7 @@
               64),
           explain_(loop, [this](const std::string& what) { return explain(what); }),
           timer_(loop, [this] { due(); }),
-          term_(loop, SIGTERM, [this] { leave(); }),
-          int_(loop, SIGINT, [this] { leave(); }) {
+          signals_(loop, [this] { leave(); }) {
         due();
     }
 
@@ -284,31 +283,32 @@
 
     json::Value explain(const std::string& what) const {
         const Micros now = net::Loop::now();
-        json::Object all{{"node", told(settings_.node_name)},
-                         {"role", told(std::string("proxy"))},
-                         {"version", told(static_cast<double>(handler_.version()))},
-                         {"coordinator", json::Value(handler_.coordinator())},
-                         {"open", told(static_cast<double>(handler_.open()))},
-                         {"malformed_lines", told(static_cast<double>(MessageConnection::malformed()))}};
+        json::Object all{
+            {"node", json_value(settings_.node_name)},
+            {"role", json_value(std::string("proxy"))},
+            {"version", json_value(static_cast<double>(handler_.version()))},
+            {"coordinator", json::Value(handler_.coordinator())},
+            {"open", json_value(static_cast<double>(handler_.open()))},
+            {"malformed_lines", json_value(static_cast<double>(MessageConnection::malformed()))}};
         json::List requests;
         json::List splits;
         if (what.empty() || what == "requests")
             for (const RoutingDecision& d : handler_.decisions().kept())
-                requests.emplace_back(json::Object{{"ago_ms", told_ms(now - d.at)},
-                                                   {"request", told(static_cast<double>(d.request))},
-                                                   {"service", told(d.service)},
-                                                   {"runner", told(d.runner)},
-                                                   {"waited_ms", told_ms(d.waited)},
-                                                   {"why", told(std::string(d.why))}});
+                requests.emplace_back(json::Object{{"ago_ms", json_ms(now - d.at)},
+                                                   {"request", json_value(static_cast<double>(d.request))},
+                                                   {"service", json_value(d.service)},
+                                                   {"runner", json_value(d.runner)},
+                                                   {"waited_ms", json_ms(d.waited)},
+                                                   {"why", json_value(std::string(d.why))}});
         if (what.empty() || what == "splits")
             for (const RequestHandler::Share& s : handler_.shares())
                 splits.emplace_back(json::Object{
-                    {"service", told(s.service)},
-                    {"runner", told(s.runner)},
-                    {"fraction", told(s.fraction)},
-                    {"latency_ms", told(s.latency * 1e3)},
-                    {"out", told(s.out)},
-                    {"mode", told(std::string(s.unrestricted ? "unrestricted" : "coordinated"))}});
+                    {"service", json_value(s.service)},
+                    {"runner", json_value(s.runner)},
+                    {"fraction", json_value(s.fraction)},
+                    {"latency_ms", json_value(s.latency * 1e3)},
+                    {"out", json_value(s.out)},
+                    {"mode", json_value(std::string(s.unrestricted ? "unrestricted" : "coordinated"))}});
         if (what.empty() || what == "losses") {
             json::List losses;
             for (std::size_t cause = 0; cause < ValueLoss::kCauses; ++cause)
@@ -316,9 +316,10 @@
                     if (const auto count = handler_.loss_counts()[cause][how]; count > 0)
                         losses.emplace_back(json::Object{
                             {"cause",
-                             told(std::string(ValueLoss::name(static_cast<ValueLoss::Cause>(cause))))},
-                            {"how", told(std::string(ValueLoss::name(static_cast<ValueLoss::How>(how))))},
-                            {"count", told(static_cast<double>(count))}});
+                             json_value(std::string(ValueLoss::name(static_cast<ValueLoss::Cause>(cause))))},
+                            {"how",
+                             json_value(std::string(ValueLoss::name(static_cast<ValueLoss::How>(how))))},
+                            {"count", json_value(static_cast<double>(count))}});
             all["losses"] = json::Value(std::move(losses));
         }
         if (what.empty() || what == "requests") all["requests"] = json::Value(std::move(requests));
@@ -371,7 +372,7 @@
             runners_.sweep(now);
             if (now >= next_look_) {
                 next_look_ = now + 2'000'000;
-                watch_.look(false);
+                watch_.poll();
             }
         }
         if (shutdown_.begun()) shut_down(now);
@@ -415,10 +416,9 @@
     }
 
     void leave() {
-        if (shutdown_.begun()) return;
         const Micros now = net::Loop::now();
         shutdown_.begin(now, settings_.grace_period);
-        Event("leaving").with("open", handler_.open());
+        Event("shutdown_started").with("pending", handler_.open());
         clients_.say_goodbye();
         Actions actions;
         handler_.begin_shutdown(now, shutdown_.answer_by(), actions);
@@ -445,7 +445,7 @@
     Shutdown shutdown_;
     ExplainResource explain_;
     net::Timer timer_;
-    net::Signal term_, int_;
+    ShutdownSignals signals_;
 };
 
 }  // namespace
@@ -453,12 +453,8 @@
 
 int main(int argc, char** argv) {
     using namespace gannethold;
-    const cluster::Settings settings =
-        cluster::begin_process(argc, argv,
-                               "gannethold-proxy takes requests from clients and brings them to runners.\n"
-                               "It takes its addresses and bounds from the settings file.");
-    net::Loop loop(cluster::blocks_for(settings));
-    cluster::Proxy counter(loop, settings);
-    loop.run([] {});
-    cluster::end_process();
+    cluster::run_process<cluster::Proxy>(
+        argc, argv,
+        "gannethold-proxy takes requests from clients and brings them to runners.\n"
+        "It takes its addresses and bounds from the settings file.");
 }
