--- /dev/null
+++ b/src/cluster/controller/controller_status.cpp
@@ -0,0 +1,51 @@
+#include "cluster/controller/controller_status.hpp"
+
+#include <utility>
+
+#include "cluster/status/json_values.hpp"
+#include "cluster/transport/message_connection.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+json::Value json_number(Number number) { return json_value(static_cast<double>(number)); }
+
+json::List member_rows(Micros now, const Settings& settings, const Consensus& consensus) {
+    json::List rows;
+    for (const std::string& member : consensus.members()) {
+        const Micros heard_at = consensus.heard_from(member);
+        rows.emplace_back(
+            json::Object{{"member", json_value(member)},
+                         {"itself", json::Value(member == settings.control_plane)},
+                         {"heard_ms_ago", heard_at > 0 ? json_ms(now - heard_at) : json::Value()}});
+    }
+    return rows;
+}
+
+}  // namespace
+
+json::Value controller_status(Micros now, const std::string& part, const Settings& settings,
+                              const Consensus* consensus, const Coordinator* coordinator) {
+    json::Object status{{"node", json_value(settings.node_name)},
+                        {"role", json_value(std::string("controller"))}};
+    if (!consensus) {
+        status["state"] = json_value(std::string("its disk can not be used"));
+        return json::Value(std::move(status));
+    }
+    const LogEntry* const committed = consensus->committed();
+    status["term"] = json_number(consensus->term());
+    status["leader"] = json_value(consensus->leader());
+    status["leads"] = json::Value(consensus->leads(now));
+    status["recovering"] = json::Value(consensus->recovering());
+    status["fence"] = json_number(coordinator ? coordinator->term() : 0);
+    status["version"] = json_number(committed ? committed->version : 0);
+    status["malformed_lines"] = json_number(MessageConnection::malformed());
+    if (part.empty() || part == "core") {
+        json::List rows = member_rows(now, settings, *consensus);
+        if (!rows.empty()) status["core"] = json::Value(std::move(rows));
+    }
+    if (coordinator) coordinator->explain(now, part, status);
+    return json::Value(std::move(status));
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/controller/operator_api.hpp
@@ -0,0 +1,62 @@
+// The operators' HTTP interface of a core machine: GET and PUT of /v1/configuration. The leader answers;
+// others redirect to it.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "net/address.hpp"
+#include "net/loop.hpp"
+#include "cluster/base/settings.hpp"
+#include "cluster/configuration/configuration.hpp"
+#include "cluster/controller/durable_consensus.hpp"
+#include "cluster/transport/http_service.hpp"
+
+namespace gannethold::cluster {
+
+class OperatorApi {
+  public:
+    /// Throws std::runtime_error where `listen_at` can not be bound. All references but that one must outlive
+    /// this object.
+    OperatorApi(net::Loop& loop, const net::Address& listen_at, const Settings& settings,
+                DurableConsensus& consensus);
+
+    /// Answers the PUT whose proposal has that result, if its client still waits.
+    void on_proposal_resolved(const Output::ProposalResult& result);
+
+    /// Answers all pending PUTs: what they proposed is not on disk, so not acknowledged.
+    void on_storage_failed();
+
+    /// The entry's configuration, where it is the one that was read from the newest PUT; else nullptr.
+    std::shared_ptr<const Configuration> parsed(const LogEntry& entry) const;
+
+    /// From here on nothing is answered as the leader, and each answer closes its connection.
+    void begin_shutdown();
+
+    /// Closes idle connections. Call it about twice a second.
+    void sweep(Micros now) { service_.sweep(now); }
+
+    std::size_t pending_proposals() const { return pending_.size(); }
+
+  private:
+    using Exchange = HttpService::Exchange;
+
+    void on_request(Exchange exchange, HttpMessage&& request);
+    void redirect_to_leader(Exchange exchange, const HttpMessage& request);
+    void get_configuration(Exchange exchange);
+    void put_configuration(Exchange exchange, std::string body);
+    void answer_json(Exchange exchange, std::string body);
+
+    const Settings& settings_;
+    DurableConsensus& consensus_;
+    HttpService service_;
+    std::map<Exchange, Number> pending_;  // tickets of proposals whose clients wait
+    Number last_ticket_ = 0;
+    std::shared_ptr<const Configuration> newest_put_;  // checked, and committed or not
+    std::string newest_put_body_;
+    bool shutting_down_ = false;
+};
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/coordinator/configuration_publisher.cpp
@@ -0,0 +1,34 @@
+#include "cluster/coordinator/configuration_publisher.hpp"
+
+#include <string_view>
+#include <utility>
+
+#include "cluster/configuration/delta.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr std::size_t kMaxBases = 8;  // versions that differences are made against; to others the whole goes
+
+}  // namespace
+
+void ConfigurationPublisher::publish(Number version, std::string body) {
+    newest_ = version;
+    bodies_[version] = std::move(body);
+    while (bodies_.size() > kMaxBases) bodies_.erase(bodies_.begin());
+    deltas_.clear();
+}
+
+std::optional<ConfigurationSent> ConfigurationPublisher::next_update(ProxyConfiguration& proxy) {
+    if (newest_ == 0 || proxy.held >= newest_ || proxy.in_flight != 0) return std::nullopt;
+    const auto base = bodies_.find(proxy.held);
+    const Number base_version = base == bodies_.end() ? 0 : proxy.held;
+    std::string& delta = deltas_[base_version];
+    if (delta.empty())
+        delta = make_delta(base_version > 0 ? std::string_view{base->second} : std::string_view{},
+                           bodies_[newest_]);
+    proxy.in_flight = newest_;
+    return ConfigurationSent{newest_, {base_version, delta}};
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -0,0 +1,308 @@
+#include "cluster/coordinator/coordinator.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "cluster/base/events.hpp"
+#include "cluster/coordinator/coordinator_status.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Micros kWorkerListInterval = 1'000'000;
+constexpr Micros kWorkerListRetryInterval = 300'000;
+constexpr Micros kRunnerListPause = 400'000;
+// Several proxies register or go at about the same time: their new ranks are announced once.
+constexpr Micros kRanksDelayAfterRegistration = 300'000;
+constexpr Micros kRanksDelayAfterDisconnect = 2'000'000;
+constexpr std::size_t kMaxRecentActions = 512;
+constexpr std::size_t kNameInNonce = 24;  // bytes, so that a nonce stays under the platform's 64
+
+// Unique also where one process starts a coordinator twice in one term: the platform answers a nonce that it
+// has seen with the runner of then. A later process of this machine leads in later terms only.
+std::string nonce_prefix(const std::string& node_name, Number term) {
+    static Number coordinators_started = 0;
+    return node_name.substr(0, kNameInNonce) + "-" + std::to_string(term) + "-" +
+           std::to_string(++coordinators_started) + "-";
+}
+
+SlotTable::Options slot_table_options(const Settings& settings) {
+    SlotTable::Options options;
+    options.budget_slack = settings.budget_slack;
+    options.budget_window = settings.budget_window;
+    options.rejection_slack = settings.rejection_slack;
+    options.late_turn = settings.late_turn;
+    return options;
+}
+
+Planner::Options planner_options(const Settings& settings, Number term) {
+    Planner::Options options;
+    options.nonce_prefix = nonce_prefix(settings.node_name, term);
+    options.duty_per_s = settings.duty_per_s;
+    options.region_of = settings.region_of;
+    // Proxies register what they know to be starting; what nobody knows costs one start too many.
+    options.settle = 300'000;
+    return options;
+}
+
+}  // namespace
+
+Coordinator::Coordinator(net::Loop& loop, const Settings& settings, Number term, Send send)
+    : term_(term),
+      send_(std::move(send)),
+      slot_table_(slot_table_options(settings)),
+      planner_(planner_options(settings, term), net::Loop::now()),
+      listing_({settings.list_rate_per_s, kRunnerListPause}, net::Loop::now()),
+      platform_(loop, settings.platform, Fence{settings.node_name, term}, *this),
+      recent_actions_(kMaxRecentActions) {
+    Event("coordinator_started").with("term", term);
+    next_tick_ = net::Loop::now();
+}
+
+// ---- configuration and proxies ----
+
+void Coordinator::on_committed(const LogEntry& entry, std::shared_ptr<const Configuration> parsed) {
+    if (entry.members != members_) {
+        members_ = entry.members;
+        announce_ranks_at_ = net::Loop::now();
+    }
+    if (entry.version <= publisher_.newest()) return;
+    if (parsed)
+        slot_table_.configure(std::move(parsed));
+    else
+        leaf::try_handle_all(
+            [&]() -> leaf::result<void> {
+                BOOST_LEAF_AUTO(configuration, Configuration::read(entry.body));
+                slot_table_.configure(std::move(configuration));
+                return {};
+            },
+            [&] {
+                Event("committed_configuration_unreadable", Level::error).with("version", entry.version);
+            });
+    publisher_.publish(entry.version, entry.body);
+    for (auto& [session, proxy] : proxies_) send_update(session, proxy);
+    plan_all(net::Loop::now());
+}
+
+void Coordinator::send_update(Session session, ProxySession& proxy) {
+    if (const auto update = publisher_.next_update(proxy.configuration)) send_(session, *update);
+}
+
+void Coordinator::announce_ranks_by(Micros at) {
+    if (announce_ranks_at_ == 0) announce_ranks_at_ = at;
+}
+
+// By name, so that proxies keep their ranks where the set of them stays the same.
+void Coordinator::announce_ranks() {
+    announce_ranks_at_ = 0;
+    std::vector<std::pair<std::string, Session>> by_name;
+    for (const auto& [session, proxy] : proxies_) by_name.emplace_back(proxy.name, session);
+    std::sort(by_name.begin(), by_name.end());
+    const auto count = static_cast<std::uint32_t>(by_name.size());
+    for (std::uint32_t rank = 0; rank < count; ++rank)
+        send_(by_name[rank].second, Registered{term_, rank, count, members_});
+}
+
+void Coordinator::on_registered(Session session, const Register& registration) {
+    ProxySession& proxy = proxies_[session];
+    proxy.name = registration.name;
+    proxy.configuration.held = registration.version;
+    send_(session, Registered{term_, 0, static_cast<std::uint32_t>(proxies_.size()), members_});
+    send_update(session, proxy);
+    std::vector<ProxyMessage> messages;
+    slot_table_.on_proxy_registered(net::Loop::now(), session, registration, messages);
+    send_all(messages);
+    announce_ranks_by(net::Loop::now() + kRanksDelayAfterRegistration);
+}
+
+void Coordinator::on_disconnected(Session session) {
+    if (proxies_.erase(session) == 0) return;
+    std::vector<ProxyMessage> messages;
+    slot_table_.on_proxy_disconnected(net::Loop::now(), session, messages);
+    send_all(messages);
+    announce_ranks_by(net::Loop::now() + kRanksDelayAfterDisconnect);
+}
+
+void Coordinator::send_all(std::vector<ProxyMessage>& messages) {
+    for (const ProxyMessage& one : messages) send_(one.to, one.message);
+    messages.clear();
+}
+
+void Coordinator::on_message(Session session, const Message& message) {
+    const auto at = proxies_.find(session);
+    if (at == proxies_.end()) return;
+    const Micros now = net::Loop::now();
+    if (const auto* request = std::get_if<AcquireRequest>(&message))
+        return on_acquire(now, session, *request);
+    if (std::holds_alternative<Heartbeat>(message)) return send_(session, Heartbeat{});
+    if (const auto* held = std::get_if<ConfigurationHeld>(&message)) {
+        at->second.configuration = {held->version, 0};
+        return send_update(session, at->second);
+    }
+    update_slots(now, session, message);
+}
+
+void Coordinator::on_acquire(Micros now, Session session, const AcquireRequest& request) {
+    std::vector<ProxyMessage> messages;
+    Function* const function = slot_table_.ask(now, session, request, messages);
+    send_all(messages);
+    if (function && !function->waiting.empty()) plan_waiting(now, *function);
+}
+
+void Coordinator::update_slots(Micros now, Session session, const Message& message) {
+    std::vector<ProxyMessage> messages;
+    if (const auto* release = std::get_if<Release>(&message))
+        slot_table_.release(now, session, *release, messages);
+    else if (const auto* reachable = std::get_if<RunnerReachable>(&message))
+        slot_table_.up(now, session, *reachable, messages);
+    else if (const auto* load = std::get_if<LoadReport>(&message))
+        slot_table_.loads(now, session, *load);
+    else if (const auto* outstanding = std::get_if<OutstandingReport>(&message))
+        slot_table_.outs(now, session, *outstanding);
+    send_all(messages);
+}
+
+// ---- the platform ----
+
+void Coordinator::on_runner_page(Micros now, const RunnerListPage& page) {
+    bool complete = false;
+    std::vector<std::string> gone;
+    listing_.page(now, page, complete, gone);
+    std::vector<ProxyMessage> messages;
+    for (const ListedRunner& listed : page.runners)
+        slot_table_.listed(now, listed.what, listed.draining, messages);
+    for (const std::string& runner : gone) slot_table_.gone(now, runner, "not listed any more", messages);
+    if (complete) planner_.list_read(now);
+    send_all(messages);
+}
+
+void Coordinator::on_runner_list_failed(Micros now) { listing_.failed(now); }
+
+void Coordinator::on_worker_list(Micros now, std::vector<Worker> workers) {
+    worker_list_pending_ = false;
+    std::vector<ProxyMessage> messages;
+    planner_.workers(now, std::move(workers));
+    planner_.cancel_lost_starts(now, slot_table_, messages);
+    send_all(messages);
+}
+
+void Coordinator::on_worker_list_failed(Micros now) {
+    worker_list_pending_ = false;
+    next_worker_list_ = now + kWorkerListRetryInterval;
+}
+
+void Coordinator::on_start_completed(Micros now, const StartRunner& start,
+                                     const PlatformClient::StartReply& reply) {
+    const bool started = reply.result == StartResult::begun;
+    std::vector<ProxyMessage> messages;
+    if (started) {
+        RunnerInfo runner = reply.runner;
+        runner.service = start.service;
+        runner.worker = start.worker;
+        runner.zone = planner_.zone_of(start.worker);
+        slot_table_.began(now, runner, messages);
+    }
+    Event("runner_start_completed", started ? Level::info : Level::warning)
+        .with("service", start.service)
+        .with("worker", start.worker)
+        .with("reason", start.why)
+        .with("status", reply.status)
+        .with("runner", reply.runner.runner);
+    recent_actions_.add({now, PlatformAction::Kind::start, start.service, start.worker, reply.runner.runner,
+                         reply.status, start.why});
+    planner_.on_start_result(now, start.nonce, reply.result);
+    send_all(messages);
+    // What the answer changed is planned with the next sample; what waits has been planned for.
+}
+
+void Coordinator::on_stop_completed(Micros now, const StopRunner& stop,
+                                    const PlatformClient::StopReply& reply) {
+    Event("runner_stop_completed")
+        .with("runner", stop.runner)
+        .with("reason", stop.why)
+        .with("done", reply.done);
+    recent_actions_.add({now, PlatformAction::Kind::stop, {}, {}, stop.runner, reply.status, stop.why});
+    planner_.on_stop_result(stop.runner, reply.done);
+    std::vector<ProxyMessage> messages;
+    if (reply.done) slot_table_.gone(now, stop.runner, "stopped", messages);
+    send_all(messages);
+}
+
+void Coordinator::plan_waiting(Micros now, Function& function) {
+    std::vector<ProxyMessage> messages;
+    planner_.plan_waiting(now, slot_table_, function, messages);
+    send_all(messages);
+    request_due(now);
+}
+
+void Coordinator::plan_all(Micros now) {
+    std::vector<ProxyMessage> messages;
+    planner_.plan_all(now, slot_table_, messages);
+    send_all(messages);
+    request_due(now);
+}
+
+void Coordinator::request_due(Micros now) {
+    PlatformRequests requests;
+    planner_.due(now, requests);
+    for (const StartRunner& start : requests.starts) platform_.start(start);
+    for (const StopRunner& stop : requests.stops) platform_.stop(stop);
+}
+
+void Coordinator::poll_platform(Micros now) {
+    platform_.tick(now);
+    std::string page_token;
+    if (listing_.due(now, page_token)) platform_.list_runners(page_token);
+    if (!worker_list_pending_ && now >= next_worker_list_) {
+        worker_list_pending_ = true;
+        next_worker_list_ = now + kWorkerListInterval;
+        platform_.list_workers();
+    }
+}
+
+// ---- time, log and operators ----
+
+void Coordinator::tick(Micros now) {
+    if (now < next_tick_) return;
+    next_tick_ = now + SlotTable::kSample;
+    poll_platform(now);
+    log_priority_inversions();
+    if (announce_ranks_at_ > 0 && now >= announce_ranks_at_) announce_ranks();
+    std::vector<ProxyMessage> messages;
+    slot_table_.tick(now, messages);
+    send_all(messages);
+    plan_all(now);
+}
+
+// Of those since the last call the ones that the table still remembers.
+void Coordinator::log_priority_inversions() {
+    const auto& inversions = slot_table_.priority_inversions();
+    const std::size_t fresh = std::min(inversions.all() - inversions_logged_, inversions.kept().size());
+    for (std::size_t i = inversions.kept().size() - fresh; i < inversions.kept().size(); ++i)
+        log_priority_inversion(inversions.kept()[i]);
+    inversions_logged_ = inversions.all();
+}
+
+void Coordinator::log_priority_inversion(const PriorityInversion& inversion) const {
+    Event("priority_inversion")
+        .with("function", inversion.service)
+        .with("proxy", proxy_name(inversion.front))
+        .with("request_id", inversion.ask)
+        .with("target_left_ms", inversion.target_left / 1000)
+        .with("priority", inversion.priority)
+        .with("before_proxy", proxy_name(inversion.before_front))
+        .with("before_request_id", inversion.before_ask)
+        .with("before_target_left_ms", inversion.before_target_left / 1000)
+        .with("reason", inversion.why);
+}
+
+std::string Coordinator::proxy_name(Session session) const {
+    const std::string* const name = slot_table_.name_of(session);
+    return name ? *name : std::string();
+}
+
+void Coordinator::explain(Micros now, const std::string& part, json::Object& status) const {
+    add_coordinator_status(now, part, {slot_table_, recent_actions_, proxies_}, status);
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -0,0 +1,103 @@
+#include "cluster/coordinator/coordinator_status.hpp"
+
+#include <utility>
+
+#include "cluster/status/json_values.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+json::Value json_number(Number number) { return json_value(static_cast<double>(number)); }
+
+json::Value json_proxy(const SlotTable& slot_table, Session session) {
+    const std::string* const name = slot_table.name_of(session);
+    return json_value(name ? *name : std::string());
+}
+
+json::List action_rows(Micros now, const BoundedHistory<PlatformAction>& actions) {
+    json::List rows;
+    for (const PlatformAction& action : actions.kept()) {
+        const bool is_start = action.kind == PlatformAction::Kind::start;
+        rows.emplace_back(json::Object{{"ago_ms", json_ms(now - action.at)},
+                                       {"deed", json_value(std::string(is_start ? "start" : "stop"))},
+                                       {"service", json_value(action.service)},
+                                       {"worker", json_value(action.worker)},
+                                       {"runner", json_value(action.runner)},
+                                       {"why", json_value(std::string(action.reason))},
+                                       {"answer", json_value(action.status)}});
+    }
+    return rows;
+}
+
+json::Value function_row(const SlotTable& slot_table, const Function& function) {
+    double busy_slots = 0;
+    for (const std::uint32_t number : function.runners) busy_slots += slot_table.runner(number).out();
+    return json::Value(json::Object{
+        {"function", json_value(function.name)},
+        {"mode", json_value(std::string(function.unrestricted ? "unrestricted" : "coordinated"))},
+        {"runners", json_number(function.runners.size())},
+        {"slots_out", json_value(busy_slots)},
+        {"waiting", json_number(function.waiting.size())},
+        {"overtaken", json_number(function.overtaken)},
+        {"rate_per_s", json_value(function.rate)},
+        {"load", json_value(function.load_slow)}});
+}
+
+json::List function_rows(const SlotTable& slot_table) {
+    json::List rows;
+    for (const auto& [name, function] : slot_table.functions())
+        if (function->active || !function->runners.empty())
+            rows.push_back(function_row(slot_table, *function));
+    return rows;
+}
+
+json::List waiting_rows(Micros now, const SlotTable& slot_table) {
+    json::List rows;
+    for (const auto& [name, function] : slot_table.functions())
+        for (const auto& [place, waiting] : function->waiting.all())
+            rows.emplace_back(json::Object{{"function", json_value(name)},
+                                           {"front", json_proxy(slot_table, waiting.front)},
+                                           {"priority", json_value(waiting.ask.priority)},
+                                           {"waited_ms", json_ms(now - waiting.since)},
+                                           {"aim_left_ms", json_ms(waiting.target_at - now)},
+                                           {"deadline_left_ms", json_ms(waiting.deadline_at - now)}});
+    return rows;
+}
+
+json::List inversion_rows(Micros now, const SlotTable& slot_table) {
+    json::List rows;
+    for (const PriorityInversion& inversion : slot_table.priority_inversions().kept())
+        rows.emplace_back(json::Object{{"ago_ms", json_ms(now - inversion.at)},
+                                       {"function", json_value(inversion.service)},
+                                       {"went", json_proxy(slot_table, inversion.front)},
+                                       {"priority", json_value(inversion.priority)},
+                                       {"aim_left_ms", json_ms(inversion.target_left)},
+                                       {"before", json_proxy(slot_table, inversion.before_front)},
+                                       {"its_priority", json_value(inversion.before_priority)},
+                                       {"its_aim_left_ms", json_ms(inversion.before_target_left)},
+                                       {"why", json_value(std::string(inversion.why))}});
+    return rows;
+}
+
+json::List proxy_rows(const std::map<Session, ProxySession>& proxies) {
+    json::List rows;
+    for (const auto& [session, proxy] : proxies)
+        rows.emplace_back(json::Object{{"front", json_value(proxy.name)},
+                                       {"version_held", json_number(proxy.configuration.held)},
+                                       {"version_sent", json_number(proxy.configuration.in_flight)}});
+    return rows;
+}
+
+}  // namespace
+
+void add_coordinator_status(Micros now, const std::string& part, const CoordinatorView& view,
+                            json::Object& status) {
+    const auto is_asked = [&](const char* name) { return part.empty() || part == name; };
+    if (is_asked("starts")) status["starts"] = json::Value(action_rows(now, view.recent_actions));
+    if (is_asked("functions")) status["functions"] = json::Value(function_rows(view.slot_table));
+    if (is_asked("waiting")) status["waiting"] = json::Value(waiting_rows(now, view.slot_table));
+    if (is_asked("overtakings")) status["overtakings"] = json::Value(inversion_rows(now, view.slot_table));
+    if (is_asked("fronts")) status["fronts"] = json::Value(proxy_rows(view.proxies));
+}
+
+}  // namespace gannethold::cluster
--- a/src/cluster/programs/admin.hpp
+++ b/src/cluster/programs/admin.hpp
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "json/json.hpp"
+#include "cluster/status/json_values.hpp"
 #include "cluster/transport/http_service.hpp"
 
 namespace gannethold::cluster {
@@ -31,10 +32,4 @@
     std::unique_ptr<HttpService> service_;
 };
 
-// JSON values of the explain resource. Whole numbers are written without a fraction, others with four digits.
-json::Value json_value(double number);
-json::Value json_value(std::string text);
-/// In milliseconds.
-json::Value json_ms(Micros span);
-
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -1,497 +1,162 @@
-// gannethold-controller: a core machine. Keeps the shared state with the other core machines, answers the
-// operator, and, while it leads, keeps slots and places runners for all fronts.
+// gannethold-controller: a core machine. Keeps the shared state with the other core machines, answers
+// operators, and, while it leads, coordinates the slots of all runners and starts and stops runners.
 #include <algorithm>
-#include <csignal>
-#include <filesystem>
-#include <optional>
-#include <random>
+#include <utility>
 
-#include "net/listener.hpp"
-#include "cluster/consensus/consensus.hpp"
+#include "net/loop.hpp"
 #include "cluster/base/events.hpp"
+#include "cluster/controller/controller_status.hpp"
+#include "cluster/controller/coordinator_role.hpp"
+#include "cluster/controller/durable_consensus.hpp"
+#include "cluster/controller/graceful_shutdown.hpp"
+#include "cluster/controller/inbound_connections.hpp"
+#include "cluster/controller/operator_api.hpp"
+#include "cluster/controller/peer_connections.hpp"
 #include "cluster/programs/admin.hpp"
-#include "cluster/programs/coordinator.hpp"
 #include "cluster/programs/process.hpp"
-#include "cluster/store/store.hpp"
-#include "cluster/transport/http_service.hpp"
-#include "cluster/transport/message_connection.hpp"
 
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kConnect = 400'000, kRedial = 100'000, kDeaf = 1'500'000, kReopen = 300'000;
-constexpr std::size_t kMostHeld = 20'000;  // letters of fronts while a lease has run out
-
-constexpr std::uint32_t kRetryMs = 200;  // told to an operator whose order has no clear answer
-constexpr std::size_t kMostUnsentBytes =
-    std::size_t{256} * 1024;                 // to one core machine; what is over is sent again later
-constexpr Micros kLeastLeaveTime = 300'000;  // in which answers under way reach their callers
-constexpr Micros kLeaveCheck = 20'000;
-
-// Times come from what the deployment promises to bear.
-Consensus::Options consensus_options(const Settings& settings) {
-    Consensus::Options options;
-    options.self = settings.control_plane;
-    options.seeds = settings.seeds;
-    options.random_seed = std::random_device()();
-    // A machine counts as lost for catch_up after its start: by then its predecessor must be out.
-    constexpr Micros kLeastReplaceAfter = 600'000;
-    constexpr Micros kMostReplaceAfter = 3'000'000;
-    options.replace_after = std::clamp(settings.catch_up / 4, kLeastReplaceAfter, kMostReplaceAfter);
-    options.remove_after = 2 * options.replace_after;
-    return options;
-}
+constexpr Micros kSweepInterval = 500'000;
+constexpr Micros kSettingsPollInterval = 2'000'000;
 
+// The parts of the program, and what each tells the others.
 class Controller {
   public:
-    Controller(net::Loop& loop, Settings settings)
-        : loop_(loop),
-          settings_(std::move(settings)),
-          watch_(loop, [this](const Settings& s) { restated(s); }),
-          control_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
-                   {[this](HttpService::Exchange e, HttpMessage&& m) { asked(e, std::move(m)); },
-                    [this](HttpService::Exchange e) { puts_.erase(e); }},
-                   512),
-          listener_(
-              loop,
-              net::Door(address_or_end(settings_.ip_address + ":" + std::to_string(settings_.internal_port),
-                                       "internal_port_range")),
-              [this](evutil_socket_t s) { accepted(s); }, [] {}),
-          explain_(loop, [this](const std::string& what) { return explain(what); }),
-          timer_(loop, [this] { due(); }),
-          signals_(loop, [this] { leave(); }) {
-        Limits limits;
-        limits.body_bytes = 16U << 20;
-        control_.limit(limits);
-        open();
-        due();
-    }
+    Controller(net::Loop& loop, Settings settings);
 
   private:
-    struct Peer {
-        std::unique_ptr<MessageConnection> line;
-        Micros dialed = 0, heard = 0;
-    };
-    struct InboundPeer {  // who dialed us
-        std::unique_ptr<MessageConnection> line;
-        std::string member;
-        Session session = 0;
-        bool front = false;
-        Register registration;
-    };
-
-    // ---- disk and consensus ----
-
-    void open() {
-        const Micros now = net::Loop::now();
-        consensus_.reset();
-        reopen_at_ = now + kReopen;
-        leaf::try_handle_all(
-            [&]() -> leaf::result<void> {
-                std::error_code ignored;
-                std::filesystem::create_directories(settings_.data_directory, ignored);
-                BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
-                Consensus::Options options = consensus_options(settings_);
-                options.first_start = settings_.initial_start && !state.promise.member;
-                Output out;
-                Event("disk_opened")
-                    .with("member", state.promise.member)
-                    .with("term", state.promise.term)
-                    .with("version", state.entry.version);
-                consensus_.emplace(std::move(options), std::move(state), now, out);
-                carry_out(out);
-                return {};
-            },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
-                Event("disk_failed", Level::error)
-                    .with("kind", error_response(kind).name)
-                    .with("detail", detail.text);
-            },
-            [] {});
-    }
-
-    // First what is written, then what follows from it.
-    void carry_out(Output& out) {
-        if (out.write) {
-            const bool done = leaf::try_handle_all(
-                [&]() -> leaf::result<bool> {
-                    BOOST_LEAF_CHECK(store_.write(consensus_->persistent_state()));
-                    return true;
-                },
-                [&](ErrorCode kind, const ErrorDetail& detail) {
-                    Event("write_failed", Level::error)
-                        .with("kind", error_response(kind).name)
-                        .with("detail", detail.text);
-                    return false;
-                },
-                [] { return false; });
-            if (!done) {
-                // Nothing of it was said; the machine steps back to what its disk holds, once that can be
-                // read again.
-                step_back();
-                return;
-            }
-        }
-        for (const Output::Envelope& mail : out.sends) send(mail.to, mail.message);
-        for (const Output::ProposalResult& result : out.results) answer_operator(result);
-        look();
-    }
-
-    void answer_operator(const Output::ProposalResult& result) {
-        const auto at = std::find_if(puts_.begin(), puts_.end(),
-                                     [&](const auto& put) { return put.second == result.ticket; });
-        if (at == puts_.end()) return;
-        const HttpService::Exchange exchange = at->first;
-        puts_.erase(at);
-        switch (result.outcome) {
-            case ProposalOutcome::committed:
-                return acknowledge(exchange);
-            case ProposalOutcome::conflict:
-                return control_.answer(exchange, ErrorCode::version_conflict,
-                                       "another body was confirmed under it");
-            case ProposalOutcome::unknown:
-                return control_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
-        }
-    }
-
-    void step_back() {
-        close_coordinator();
-        consensus_.reset();
-        reopen_at_ = net::Loop::now() + kReopen;
-        for (const auto& [exchange, ticket] : std::exchange(puts_, {}))
-            control_.answer(exchange, ErrorCode::disk_failed, {}, 300);
-    }
-
-    // Whether this machine leads, and what is committed, may have changed.
-    void look() {
-        if (!consensus_) return;
-        const Micros now = net::Loop::now();
-        const bool leads = acts(now);
-        // A lease that runs out while this machine is short of time comes back with the next round: until
-        // then nothing is said and nothing taken, but the coordinator stays. To close it would make all
-        // fronts greet anew at the worst moment.
-        if (coordinator_ && (!consensus_->holds() || leaving_ || coordinator_->term() != consensus_->term()))
-            close_coordinator();
-        if (leads && !coordinator_) {
-            coordinator_ = std::make_unique<Coordinator>(loop_, settings_, consensus_->term(),
-                                                         [this](Session s, const Message& m) { tell(s, m); });
-            for (auto& [key, inbound_peer] : inbound_peers_)
-                if (inbound_peer->front && inbound_peer->line->open())
-                    coordinator_->came(inbound_peer->session, inbound_peer->registration);
-        }
-        if (!coordinator_ || !leads) return;
-        if (const LogEntry* const entry = consensus_->committed()) {
-            const bool same = read_ && read_->version() == entry->version && read_body_ == entry->body;
-            coordinator_->committed(*entry, same ? read_ : nullptr);
-        }
-        for (const auto& [session, message] : std::exchange(held_out_, {})) tell(session, message);
-        for (const auto& [session, message] : std::exchange(held_in_, {})) take(session, message);
-    }
-
-    bool acts(Micros now) const { return consensus_ && !leaving_ && consensus_->leads(now); }
-
-    // What a front says to the coordinator.
-    void take(Session session, const Message& message) {
-        if (!acts(net::Loop::now())) {
-            if (held_in_.size() < kMostHeld)
-                held_in_.emplace_back(session, message);
-            else
-                close_coordinator();  // its books would be wrong: fronts greet the next one
-            return;
-        }
-        if (const auto* registration = std::get_if<Register>(&message))
-            coordinator_->came(session, *registration);
-        else
-            coordinator_->said(session, message);
-    }
-
-    void close_coordinator() {
-        if (!coordinator_) return;
-        Event("coordinator_closed").with("term", coordinator_->term());
-        closed_coordinators_.push_back(std::move(coordinator_));
-        held_in_.clear();
-        held_out_.clear();
-        for (auto& [key, inbound_peer] : inbound_peers_)
-            if (inbound_peer->front) {
-                inbound_peer->line->close();
-                gone_.push_back(key);
-            }
-    }
-
-    // ---- mail ----
-
-    void send(const std::string& to, const Message& message) {
-        Peer& peer = peers_[to];
-        const Micros now = net::Loop::now();
-        if (!peer.line) {
-            if (now < peer.dialed + kRedial) return;
-            dial(to, peer);
-        }
-        if (peer.line && peer.line->unsent() < kMostUnsentBytes)
-            peer.line->send(message, settings_.control_plane);
-    }
-
-    void dial(const std::string& to, Peer& peer) {
-        const auto address = net::Address::read(settings_.internal_of(to));
-        if (!address) return;
-        peer.dialed = net::Loop::now();
-        MessageConnection::Events events;
-        events.message_received = [](const ReceivedMessage&) {};
-        events.ended = [this, to] {
-            Peer& p = peers_[to];
-            if (p.line) old_lines_.push_back(std::move(p.line));
-        };
-        peer.line = std::make_unique<MessageConnection>(loop_, *address, kConnect, std::move(events));
-    }
-
-    void accepted(evutil_socket_t socket) {
-        auto inbound_peer = std::make_unique<InboundPeer>();
-        InboundPeer* const key = inbound_peer.get();
-        MessageConnection::Events events;
-        events.message_received = [this, key](const ReceivedMessage& message_received) {
-            got(*key, message_received);
-        };
-        events.ended = [this, key] { gone_.push_back(key); };
-        inbound_peer->line = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
-        inbound_peer->session = ++last_session_;
-        by_session_[inbound_peer->session] = key;
-        inbound_peers_[key] = std::move(inbound_peer);
-    }
-
-    void got(InboundPeer& inbound_peer, const ReceivedMessage& message_received) {
-        const Micros now = net::Loop::now();
-        if (!message_received.from.empty()) {
-            inbound_peer.member = message_received.from;
-            peers_[message_received.from].heard = now;
-            if (!consensus_) return;
-            Output out;
-            consensus_->receive(now, message_received.from, message_received.message, out);
-            carry_out(out);
-            set_timer();
-            return;
-        }
-        if (const auto* registration = std::get_if<Register>(&message_received.message)) {
-            inbound_peer.front = true;
-            inbound_peer.registration = *registration;
-            const bool fresh = !coordinator_;
-            look();
-            if (coordinator_ && fresh) return;  // it was told of all guests as it opened
-            if (coordinator_) return take(inbound_peer.session, message_received.message);
-            const std::string leader = consensus_ ? consensus_->leader() : std::string();
-            inbound_peer.line->send(Redirect{leader == settings_.control_plane ? std::string() : leader});
-            return;
-        }
-        if (coordinator_ && inbound_peer.front) take(inbound_peer.session, message_received.message);
-    }
-
-    void tell(Session session, const Message& message) {
-        if (!acts(net::Loop::now())) {
-            held_out_.emplace_back(session, message);
-            return void();
-        }
-        const auto at = by_session_.find(session);
-        if (at != by_session_.end() && at->second->line->open()) at->second->line->send(message);
-    }
+    DurableConsensus::Callbacks consensus_callbacks();
+    InboundConnections::Callbacks connection_callbacks();
+
+    void on_core_message(const std::string& member, const Message& message);
+    void on_step_completed();
+    void on_storage_failed();
+    void on_settings_changed(const Settings& settings);
+    void on_shutdown();
+    void on_timer();
+    void sweep(Micros now);
+    void set_timer();
 
-    // ---- the operator ----
+    net::Loop& loop_;
+    Settings settings_;
+    DurableConsensus consensus_;
+    PeerConnections peers_;
+    OperatorApi operator_api_;
+    InboundConnections connections_;
+    CoordinatorRole role_;
+    GracefulShutdown shutdown_;
+    ExplainResource explain_;
+    SettingsWatch settings_watch_;
+    ShutdownSignals signals_;
+    net::Timer timer_;
+    Micros next_sweep_ = 0;
+    Micros next_settings_poll_ = 0;
+};
 
-    void asked(HttpService::Exchange exchange, HttpMessage&& m) {
-        const std::string path = m.target.substr(0, m.target.find('?'));
-        if (path != "/v1/configuration") return control_.answer(exchange, ErrorCode::no_route, path);
-        if (m.method != "PUT" && m.method != "GET")
-            return control_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
-        const Micros now = net::Loop::now();
-        if (leaving_ || !consensus_ || !consensus_->leads(now)) {
-            const std::string leader = consensus_ && !leaving_ ? consensus_->leader() : std::string();
-            if (leader.empty() || leader == settings_.control_plane)
-                return control_.answer(exchange, ErrorCode::no_majority, {}, 200);
-            HttpMessage answer;
-            answer.status = error_response(ErrorCode::not_leading).status;
-            answer.fields.emplace_back("Location", "http://" + leader + m.target);
-            return control_.answer(exchange, answer);
-        }
-        if (m.method == "GET") {
-            const LogEntry* const entry = consensus_->committed();
-            if (!entry || entry->version == 0)
-                return control_.answer(exchange, ErrorCode::no_majority, "no configuration yet", 200);
-            HttpMessage answer;
-            answer.status = 200;
-            answer.fields.emplace_back("Content-Type", "application/json");
-            answer.body = entry->body;
-            return control_.answer(exchange, answer);
-        }
-        leaf::try_handle_all(
-            [&]() -> leaf::result<void> {
-                BOOST_LEAF_AUTO(configuration, Configuration::read(m.body));
-                read_ = configuration;
-                read_body_ = m.body;
-                const Number ticket = ++last_ticket_;
-                puts_[exchange] = ticket;
-                Output out;
-                consensus_->propose(now, ticket, configuration->version(), std::move(m.body), out);
-                carry_out(out);
-                set_timer();
-                return {};
-            },
-            [&](ErrorCode kind, const ErrorDetail& detail) {
-                Event("configuration_refused", Level::warning)
-                    .with("kind", error_response(kind).name)
-                    .with("detail", detail.text);
-                control_.answer(exchange, kind, detail.text);
-            },
-            [&] { control_.answer(exchange, ErrorCode::configuration_cut); });
-    }
+Controller::Controller(net::Loop& loop, Settings settings)
+    : loop_(loop),
+      settings_(std::move(settings)),
+      consensus_(settings_, consensus_callbacks()),
+      peers_(loop, settings_),
+      operator_api_(loop, address_or_end(settings_.control_plane, "listen_addresses.control_plane"),
+                    settings_, consensus_),
+      connections_(loop,
+                   address_or_end(settings_.ip_address + ":" + std::to_string(settings_.internal_port),
+                                  "internal_port_range"),
+                   connection_callbacks()),
+      role_(loop, settings_, consensus_, connections_,
+            [this](const LogEntry& entry) { return operator_api_.parsed(entry); }),
+      explain_(loop,
+               [this](const std::string& part) {
+                   return controller_status(net::Loop::now(), part, settings_, consensus_.state(),
+                                            role_.coordinator());
+               }),
+      settings_watch_(loop, [this](const Settings& changed) { on_settings_changed(changed); }),
+      signals_(loop, [this] { on_shutdown(); }),
+      timer_(loop, [this] { on_timer(); }) {
+    on_timer();
+}
 
-    void acknowledge(HttpService::Exchange exchange) {
-        HttpMessage answer;
-        answer.status = 200;
-        answer.fields.emplace_back("Content-Type", "application/json");
-        answer.body = "{}";
-        control_.answer(exchange, answer);
-    }
+DurableConsensus::Callbacks Controller::consensus_callbacks() {
+    return {
+        [this](const std::string& member, const Message& message) { peers_.send(member, message); },
+        [this](const Output::ProposalResult& result) { operator_api_.on_proposal_resolved(result); },
+        [this] { on_step_completed(); },
+        [this] { on_storage_failed(); },
+    };
+}
 
-    json::Value explain(const std::string& what) const {
-        const Micros now = net::Loop::now();
-        json::Object all{{"node", json_value(settings_.node_name)},
-                         {"role", json_value(std::string("controller"))}};
-        if (!consensus_) {
-            all["state"] = json_value(std::string("its disk can not be used"));
-            return json::Value(std::move(all));
-        }
-        all["term"] = json_value(static_cast<double>(consensus_->term()));
-        all["leader"] = json_value(consensus_->leader());
-        all["leads"] = json::Value(consensus_->leads(now));
-        all["recovering"] = json::Value(consensus_->recovering());
-        all["fence"] = json_value(coordinator_ ? static_cast<double>(coordinator_->term()) : 0);
-        all["version"] =
-            json_value(consensus_->committed() ? static_cast<double>(consensus_->committed()->version) : 0);
-        all["malformed_lines"] = json_value(static_cast<double>(MessageConnection::malformed()));
-        json::List core;
-        if (what.empty() || what == "core")
-            for (const std::string& m : consensus_->members()) {
-                const Micros heard = consensus_->heard_from(m);
-                core.emplace_back(
-                    json::Object{{"member", json_value(m)},
-                                 {"itself", json::Value(m == settings_.control_plane)},
-                                 {"heard_ms_ago", heard > 0 ? json_ms(now - heard) : json::Value()}});
-            }
-        if (!core.empty()) all["core"] = json::Value(std::move(core));
-        if (coordinator_) coordinator_->explain(what, all);
-        return json::Value(std::move(all));
-    }
+InboundConnections::Callbacks Controller::connection_callbacks() {
+    return {
+        [this](const std::string& member, const Message& message) { on_core_message(member, message); },
+        [this](Session session, const Register& registration) { role_.on_registered(session, registration); },
+        [this](Session session, const Message& message) { role_.on_message(session, message); },
+        [this](Session session) { role_.on_disconnected(session); },
+    };
+}
 
-    // ---- time ----
+void Controller::on_core_message(const std::string& member, const Message& message) {
+    const Micros now = net::Loop::now();
+    peers_.on_received_from(member, now);
+    consensus_.receive(now, member, message);
+}
 
-    void due() {
-        const Micros now = net::Loop::now();
-        if (!consensus_ && now >= reopen_at_) open();
-        if (consensus_) {
-            Output out;
-            consensus_->tick(now, out);
-            carry_out(out);
-        }
-        if (coordinator_ && acts(now)) coordinator_->tick(now);
-        if (now >= next_sweep_) sweep(now);
-        end_if_done(now);
-        set_timer();
-    }
+void Controller::on_step_completed() {
+    role_.update();
+    set_timer();
+}
 
-    void sweep(Micros now) {
-        next_sweep_ = now + 500'000;
-        control_.sweep(now);
-        explain_.sweep(now);
-        old_lines_.clear();
-        closed_coordinators_.clear();
-        for (auto& [key, inbound_peer] : inbound_peers_)
-            if (now > inbound_peer->line->heard() + kDeaf) {
-                inbound_peer->line->close();
-                gone_.push_back(key);
-            }
-        for (InboundPeer* const key : std::exchange(gone_, {})) {
-            const auto at = inbound_peers_.find(key);
-            if (at == inbound_peers_.end()) continue;
-            if (coordinator_ && key->front) coordinator_->left(key->session);
-            by_session_.erase(key->session);
-            inbound_peers_.erase(at);
-        }
-        // Against a path that is cut: what was written there is not waited for.
-        for (auto& [to, peer] : peers_)
-            if (peer.line && now > std::max(peer.heard, peer.dialed) + kDeaf) {
-                peer.line->close();
-                old_lines_.push_back(std::move(peer.line));
-            }
-        if (now >= next_look_) {
-            next_look_ = now + 2'000'000;
-            watch_.poll();
-        }
-    }
+void Controller::on_storage_failed() {
+    role_.stop_coordinator();
+    operator_api_.on_storage_failed();
+    set_timer();
+}
 
-    void set_timer() {
-        Micros next = next_sweep_;
-        if (consensus_)
-            next = std::min(next, consensus_->next_tick());
-        else
-            next = std::min(next, reopen_at_);
-        if (coordinator_ && acts(net::Loop::now())) next = std::min(next, coordinator_->next_tick());
-        if (leaving_) next = std::min(next, net::Loop::now() + kLeaveCheck);
-        timer_.set(next);
-    }
+void Controller::on_settings_changed(const Settings& settings) {
+    settings_.seeds = settings.seeds;
+    consensus_.set_seeds(settings.seeds);
+}
 
-    void restated(const Settings& s) {
-        settings_.seeds = s.seeds;
-        if (consensus_) consensus_->set_seeds(s.seeds);
-    }
+void Controller::on_shutdown() {
+    Event("shutdown_started").with("pending", operator_api_.pending_proposals());
+    role_.begin_shutdown();
+    consensus_.leave(net::Loop::now());
+    role_.stop_coordinator();
+    operator_api_.begin_shutdown();
+    shutdown_.begin(net::Loop::now(), settings_.grace_period);
+    set_timer();
+}
 
-    void leave() {
-        leaving_ = true;
-        Event("shutdown_started").with("pending", puts_.size());
-        if (consensus_) {
-            Output out;
-            consensus_->leave(net::Loop::now(), out);
-            carry_out(out);
-        }
-        close_coordinator();
-        control_.say_goodbye();
-        control_.close_idle();
-        leave_by_ = net::Loop::now() + settings_.grace_period / 2;
-        leave_no_sooner_ = net::Loop::now() + kLeastLeaveTime;
-        set_timer();
-    }
+void Controller::on_timer() {
+    const Micros now = net::Loop::now();
+    consensus_.tick(now);
+    role_.tick(now);
+    if (now >= next_sweep_) sweep(now);
+    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->may_end())) loop_.stop();
+    set_timer();
+}
 
-    // Ends once the others hold all that is committed here, and what was still to be answered has been.
-    void end_if_done(Micros now) {
-        if (!leaving_ || now < leave_no_sooner_) return;
-        const bool may_end = !consensus_ || consensus_->may_end();
-        if (may_end || now >= leave_by_) loop_.stop();
+void Controller::sweep(Micros now) {
+    next_sweep_ = now + kSweepInterval;
+    operator_api_.sweep(now);
+    explain_.sweep(now);
+    role_.sweep();
+    connections_.sweep(now);
+    peers_.sweep(now);
+    if (now >= next_settings_poll_) {
+        next_settings_poll_ = now + kSettingsPollInterval;
+        settings_watch_.poll();
     }
+}
 
-    net::Loop& loop_;
-    Settings settings_;
-    SettingsWatch watch_;
-    HttpService control_;
-    net::Listener listener_;
-    Store store_;
-    std::optional<Consensus> consensus_;
-    std::unique_ptr<Coordinator> coordinator_;
-    std::vector<std::unique_ptr<Coordinator>> closed_coordinators_;
-    std::vector<std::pair<Session, Message>> held_in_, held_out_;  // until the lease is back
-    std::shared_ptr<const Configuration> read_;  // the newest that was handed in, and its text
-    std::string read_body_;
-    std::map<std::string, Peer> peers_;
-    std::vector<std::unique_ptr<MessageConnection>> old_lines_;
-    std::map<InboundPeer*, std::unique_ptr<InboundPeer>> inbound_peers_;
-    std::map<Session, InboundPeer*> by_session_;
-    std::vector<InboundPeer*> gone_;
-    std::map<HttpService::Exchange, Number> puts_;
-    Number last_ticket_ = 0;
-    Session last_session_ = 0;
-    Micros reopen_at_ = 0, next_sweep_ = 0, next_look_ = 0;
-    Micros leave_by_ = 0, leave_no_sooner_ = 0;
-    bool leaving_ = false;
-    ExplainResource explain_;
-    net::Timer timer_;
-    ShutdownSignals signals_;
-};
+void Controller::set_timer() {
+    const Micros now = net::Loop::now();
+    Micros next = std::min({next_sweep_, consensus_.next_tick(), role_.next_tick(now)});
+    if (shutdown_.has_begun()) next = std::min(next, now + GracefulShutdown::kPollInterval);
+    timer_.set(next);
+}
 
 }  // namespace
 }  // namespace gannethold::cluster
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "cluster/configuration/configuration.hpp"
-#include "cluster/programs/coordinator.hpp"
+#include "cluster/coordinator/coordinator.hpp"
 #include "cluster/programs/run_end.hpp"
 #include "cluster/proxy/request_handler.hpp"
 #include "cluster/slots/slot_table.hpp"
@@ -808,9 +808,9 @@
         coordinator.emplace(loop, settings, term, [](Session, const Message&) {});
         LogEntry entry;
         entry.version = 1;
-        coordinator->committed(entry, configuration(true, 2));
-        coordinator->came(kSession, Register{"front", "z0", 1, 1, {}, {}});
-        coordinator->said(kSession, AcquireRequest{1, 0, kService, 1500, 60'000, 1, 1, false});
+        coordinator->on_committed(entry, configuration(true, 2));
+        coordinator->on_registered(kSession, Register{"front", "z0", 1, 1, {}, {}});
+        coordinator->on_message(kSession, AcquireRequest{1, 0, kService, 1500, 60'000, 1, 1, false});
     }
     bool until_asked(std::size_t times) {
         return turn_until(loop, [&] {
--- a/tests/system/controller_calls.cpp
+++ b/tests/system/controller/controller_process_test.cpp
@@ -84,5 +84,14 @@
     BOOST_TEST(refused < again);
 }
 
+BOOST_AUTO_TEST_CASE(a_controller_ends_by_itself_on_sigterm) {
+    for (int run = 0; run < 5; ++run) {
+        Core core;
+        core.program.send_signal(SIGTERM);
+        BOOST_REQUIRE(core.until([&] { return core.program.exit_status().has_value(); }));
+        BOOST_TEST(core.program.exit_status().value() == 0);
+    }
+}
+
 }  // namespace
 }  // namespace gannethold::cluster
--- /dev/null
+++ b/tests/system/controller/durable_consensus_test.cpp
@@ -0,0 +1,121 @@
+// A member of the core with its disk: what is on disk before what is sent, and what happens where the disk
+// can not be used.
+#include <boost/test/unit_test.hpp>
+
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "net/loop.hpp"
+#include "cluster/controller/durable_consensus.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Number kTicket = 41;
+constexpr Number kVersion = 7;
+const std::string kBody = R"({"version":7,"routes":[],"services":[]})";
+
+// A core of one, in a folder of its own.
+struct Member {
+    Member() {
+        static int made = 0;
+        folder = std::filesystem::temp_directory_path() /
+                 ("gannethold-durable-" + std::to_string(getpid()) + "-" + std::to_string(++made));
+        std::filesystem::create_directories(folder);
+        settings.control_plane = "127.0.0.1:1";
+        settings.seeds = {settings.control_plane};
+        settings.initial_start = true;
+        settings.data_directory = folder / "disk";
+        start();
+    }
+    Member(const Member&) = delete;
+    Member& operator=(const Member&) = delete;
+    ~Member() { std::filesystem::remove_all(folder); }
+
+    void start() {
+        consensus.reset();
+        consensus.emplace(settings,
+                          DurableConsensus::Callbacks{
+                              [](const std::string&, const Message&) {},
+                              [this](const Output::ProposalResult& result) { results.push_back(result); },
+                              [this] { ++steps; },
+                              [this] { ++failures; },
+                          });
+    }
+    // Ticks until it leads, at the times that it asks for.
+    bool lead() {
+        for (int ticks = 0; ticks < 100 && !consensus->is_leader(now); ++ticks) {
+            consensus->tick(now);
+            now = std::max(now, consensus->next_tick());
+        }
+        return consensus->is_leader(now);
+    }
+
+    std::filesystem::path folder;
+    Settings settings;
+    std::optional<DurableConsensus> consensus;
+    std::vector<Output::ProposalResult> results;
+    int steps = 0;
+    int failures = 0;
+    Micros now = net::Loop::now();
+};
+
+BOOST_AUTO_TEST_SUITE(durable_consensus)
+
+BOOST_AUTO_TEST_CASE(opens_nothing_before_the_first_tick) {
+    Member member;
+    BOOST_TEST(member.consensus->state() == nullptr);
+    BOOST_TEST(!member.consensus->is_leader(member.now));
+    BOOST_TEST(member.consensus->next_tick() <= member.now);
+    member.consensus->tick(member.now);
+    BOOST_TEST(member.consensus->state() != nullptr);
+    BOOST_TEST(member.steps > 0);
+}
+
+BOOST_AUTO_TEST_CASE(a_committed_proposal_is_there_after_a_restart) {
+    Member member;
+    BOOST_REQUIRE(member.lead());
+    member.consensus->propose(member.now, kTicket, kVersion, kBody);
+    BOOST_REQUIRE(member.results.size() == 1U);
+    BOOST_TEST(member.results[0].ticket == kTicket);
+    BOOST_TEST((member.results[0].outcome == ProposalOutcome::committed));
+    member.start();
+    BOOST_REQUIRE(member.lead());
+    BOOST_REQUIRE(member.consensus->state()->committed() != nullptr);
+    BOOST_TEST(member.consensus->state()->committed()->version == kVersion);
+    BOOST_TEST(member.consensus->state()->committed()->body == kBody);
+}
+
+BOOST_AUTO_TEST_CASE(a_folder_that_can_not_be_opened_is_tried_again) {
+    Member member;
+    std::ofstream(member.settings.data_directory) << "a file where the folder should be";
+    member.consensus->tick(member.now);
+    BOOST_TEST(member.consensus->state() == nullptr);
+    BOOST_TEST(member.consensus->next_tick() > member.now);
+    std::filesystem::remove(member.settings.data_directory);
+    member.consensus->tick(member.now);
+    BOOST_TEST(member.consensus->state() == nullptr);  // not before its time
+    member.now = member.consensus->next_tick();
+    member.consensus->tick(member.now);
+    BOOST_TEST(member.consensus->state() != nullptr);
+    BOOST_TEST(member.failures == 0);
+}
+
+BOOST_AUTO_TEST_CASE(without_a_disk_messages_and_a_leave_have_no_effect) {
+    Member member;
+    member.consensus->receive(member.now, "127.0.0.1:2", JoinRequest{});
+    member.consensus->leave(member.now);
+    member.consensus->set_seeds({});
+    BOOST_TEST(member.consensus->state() == nullptr);
+    BOOST_TEST(member.steps == 0);
+}
+
+BOOST_AUTO_TEST_SUITE_END()
+
+}  // namespace
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/tests/system/controller/inbound_connections_test.cpp
@@ -0,0 +1,126 @@
+// Sessions of processes that dial a controller: who they are, and when they are over.
+#include <boost/test/unit_test.hpp>
+
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "cluster/controller/inbound_connections.hpp"
+#include "peers.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Micros kConnectTimeout = 500'000;
+constexpr Micros kLongerThanPeerTimeout = 2'000'000;
+
+// A listening controller, and processes that dial it.
+struct Controller {
+    Controller() : port(free_port()) {
+        connections.emplace(
+            loop, *net::Address::read(address()),
+            InboundConnections::Callbacks{
+                [this](const std::string& member, const Message&) { members.push_back(member); },
+                [this](Session session, const Register& registration) {
+                    registered.emplace_back(session, registration.name);
+                },
+                [this](Session session, const Message&) { messages.push_back(session); },
+                [this](Session session) { disconnected.push_back(session); },
+            });
+    }
+    std::string address() const { return "127.0.0.1:" + std::to_string(port); }
+    bool until(const std::function<bool()>& holds) { return turn_until(loop, holds); }
+    std::vector<std::string> connected_proxies() const {
+        std::vector<std::string> names;
+        connections->for_each_proxy(
+            [&](Session, const Register& registration) { names.push_back(registration.name); });
+        return names;
+    }
+
+    net::Loop loop{256};
+    std::uint16_t port;
+    std::vector<std::string> members;
+    std::vector<std::pair<Session, std::string>> registered;
+    std::vector<Session> messages;
+    std::vector<Session> disconnected;
+    std::optional<InboundConnections> connections;
+};
+
+// A process that has dialed it.
+struct Dialer {
+    explicit Dialer(Controller& controller)
+        : connection(controller.loop, *net::Address::read(controller.address()), kConnectTimeout,
+                     {[] {}, [this](const ReceivedMessage&) { ++received; }, [this] { ended = true; }}) {}
+    int received = 0;
+    bool ended = false;
+    MessageConnection connection;
+};
+
+Register registration(const std::string& name) {
+    Register message;
+    message.name = name;
+    return message;
+}
+
+BOOST_AUTO_TEST_SUITE(inbound_connections)
+
+BOOST_AUTO_TEST_CASE(a_core_machine_names_itself_in_each_message) {
+    Controller controller;
+    Dialer core(controller);
+    core.connection.send(JoinRequest{}, "127.0.0.9:18263");
+    BOOST_REQUIRE(controller.until([&] { return !controller.members.empty(); }));
+    BOOST_TEST(controller.members[0] == "127.0.0.9:18263");
+    BOOST_TEST(controller.registered.empty());
+    BOOST_TEST(controller.connected_proxies().empty());
+}
+
+BOOST_AUTO_TEST_CASE(a_proxy_is_heard_once_it_has_registered) {
+    Controller controller;
+    Dialer proxy(controller);
+    proxy.connection.send(Heartbeat{});
+    proxy.connection.send(registration("p-1"));
+    proxy.connection.send(Heartbeat{});
+    BOOST_REQUIRE(controller.until([&] { return !controller.messages.empty(); }));
+    BOOST_TEST(controller.messages.size() == 1U);
+    BOOST_REQUIRE(controller.registered.size() == 1U);
+    BOOST_TEST(controller.registered[0].second == "p-1");
+    BOOST_TEST(controller.messages[0] == controller.registered[0].first);
+    controller.connections->send(controller.registered[0].first, Heartbeat{});
+    BOOST_TEST(controller.until([&] { return proxy.received == 1; }));
+}
+
+BOOST_AUTO_TEST_CASE(a_closed_session_is_reported_with_the_next_sweep) {
+    Controller controller;
+    Dialer proxy(controller);
+    proxy.connection.send(registration("p-1"));
+    BOOST_REQUIRE(controller.until([&] { return !controller.registered.empty(); }));
+    const Session session = controller.registered[0].first;
+    controller.connections->disconnect_proxies();
+    BOOST_TEST(controller.connected_proxies().empty());
+    BOOST_TEST(controller.disconnected.empty());
+    controller.connections->send(session, Heartbeat{});  // without effect
+    controller.connections->sweep(net::Loop::now());
+    BOOST_REQUIRE(controller.disconnected.size() == 1U);
+    BOOST_TEST(controller.disconnected[0] == session);
+    BOOST_TEST(controller.until([&] { return proxy.ended; }));
+    controller.connections->sweep(net::Loop::now());
+    BOOST_TEST(controller.disconnected.size() == 1U);
+}
+
+BOOST_AUTO_TEST_CASE(a_silent_proxy_is_disconnected) {
+    Controller controller;
+    Dialer proxy(controller);
+    proxy.connection.send(registration("p-1"));
+    BOOST_REQUIRE(controller.until([&] { return !controller.registered.empty(); }));
+    controller.connections->sweep(net::Loop::now());
+    BOOST_TEST(controller.connected_proxies().size() == 1U);
+    controller.connections->sweep(net::Loop::now() + kLongerThanPeerTimeout);
+    BOOST_TEST(controller.connected_proxies().empty());
+    BOOST_TEST(controller.disconnected.size() == 1U);
+}
+
+BOOST_AUTO_TEST_SUITE_END()
+
+}  // namespace
+}  // namespace gannethold::cluster
