--- a/tests/system/program.hpp
+++ b/tests/system/program.hpp
@@ -11,6 +11,7 @@
 
 #include <filesystem>
 #include <fstream>
+#include <optional>
 #include <string>
 
 extern char** environ;
@@ -38,10 +39,20 @@
     Program(const Program&) = delete;
     Program& operator=(const Program&) = delete;
     ~Program() {
-        kill(process_, SIGKILL);
-        waitpid(process_, nullptr, 0);
+        if (!exit_status().has_value()) {
+            kill(process_, SIGKILL);
+            waitpid(process_, nullptr, 0);
+        }
         std::filesystem::remove_all(folder_);
     }
+    /// REQUIRES: it has not ended.
+    void send_signal(int number) const { kill(process_, number); }
+    /// Its status as waitpid() tells it; nullopt while it runs.
+    std::optional<int> exit_status() {
+        int status = 0;
+        if (!status_ && waitpid(process_, &status, WNOHANG) == process_) status_ = status;
+        return status_;
+    }
     long resident_kb() const {
         std::ifstream status("/proc/" + std::to_string(process_) + "/status");
         for (std::string line; std::getline(status, line);)
@@ -52,6 +63,7 @@
   private:
     std::filesystem::path folder_;
     pid_t process_ = 0;
+    std::optional<int> status_;  // once it has ended
 };
 
 }  // namespace gannethold::cluster
