--- a/src/cluster/base/events.cpp
+++ b/src/cluster/base/events.cpp
@@ -5,6 +5,10 @@
 #include <log4cplus/layout.h>
 #include <log4cplus/logger.h>
 
+#include <memory>
+#include <optional>
+#include <utility>
+
 namespace gannethold::cluster {
 namespace {
 
@@ -22,7 +26,9 @@
     return log4cplus::ERROR_LOG_LEVEL;
 }
 
-log4cplus::Logger* logger = nullptr;
+// Set from open_log() to close_log().
+std::unique_ptr<log4cplus::Initializer> initializer;
+std::optional<log4cplus::Logger> logger;
 
 }  // namespace
 
@@ -38,18 +44,25 @@
         least = rank(Level::error);
     else
         return false;
-    static log4cplus::Initializer initializer;
-    static log4cplus::Logger root = log4cplus::Logger::getRoot();
+    if (!initializer) initializer = std::make_unique<log4cplus::Initializer>();
+    log4cplus::Logger root = log4cplus::Logger::getRoot();
     log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(true, true));
     console->setLayout(
         std::unique_ptr<log4cplus::Layout>(new log4cplus::PatternLayout("time=%d{%q} level=%p %m%n")));
     root.removeAllAppenders();
     root.addAppender(console);
     root.setLogLevel(least);
-    logger = &root;
+    logger = std::move(root);
     return true;
 }
 
+void close_log() {
+    if (!logger) return;
+    logger->removeAllAppenders();
+    logger.reset();
+    initializer.reset();
+}
+
 Event::Event(std::string_view what, Level level)
     : level_(level), on_(logger && logger->isEnabledFor(rank(level))) {
     if (on_) line_.append("event=").append(what);
--- a/src/cluster/base/events.hpp
+++ b/src/cluster/base/events.hpp
@@ -13,6 +13,10 @@
 // Once, before the first event. Level names: debug, info, warning, error. False: no such level.
 bool open_log(const std::string& level);
 
+// Writes out what was logged and ends the logger's threads; events after it are dropped. Call it before
+// main() returns.
+void close_log();
+
 class Event {
   public:
     explicit Event(std::string_view what, Level level = Level::info);
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -163,7 +163,7 @@
 
 int main(int argc, char** argv) {
     using namespace gannethold;
-    cluster::run_process<cluster::Controller>(
+    return cluster::run_process<cluster::Controller>(
         argc, argv,
         "gannethold-controller keeps the system's shared state and, while it leads, its slots and runners.\n"
         "It takes its addresses and bounds from the settings file.");
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -91,11 +91,6 @@
     on_shutdown_();
 }
 
-void end_process() {
-    std::fflush(nullptr);
-    std::_Exit(0);
-}
-
 net::Address address_or_end(const std::string& text, const char* key) {
     auto address = net::Address::read(text);
     if (!address) exit_with_error(std::string("settings_invalid: ") + key + " is no ip:port: " + text);
--- a/src/cluster/programs/process.hpp
+++ b/src/cluster/programs/process.hpp
@@ -6,6 +6,7 @@
 
 #include "net/address.hpp"
 #include "net/loop.hpp"
+#include "cluster/base/events.hpp"
 #include "cluster/base/settings.hpp"
 
 namespace gannethold::cluster {
@@ -14,10 +15,6 @@
 /// that names what is wrong, and ends the process with status 2.
 Settings begin_process(int argc, char** argv, const char* usage);
 
-/// Ends the process with status 0 after its loop has stopped: what must survive is on disk by then, and every
-/// answer is written.
-[[noreturn]] void end_process();
-
 /// Watches the settings file: SIGHUP, or a change without one, reads it again. A file that can not be read or
 /// is not valid changes nothing.
 class SettingsWatch {
@@ -56,15 +53,19 @@
 /// How many blocks of memory all connections may use together: a quarter of limits.memory_mb.
 std::size_t blocks_for(const Settings& settings);
 
-/// A program from its first to its last line. Program is constructed with (net::Loop&, Settings), and stops
-/// the loop once it is to end.
+/// A program from its first to its last line; returns its exit status. Program is constructed with
+/// (net::Loop&, Settings), and stops the loop once it is to end: what must survive is on disk by then, and
+/// every answer is written.
 template <class Program>
-[[noreturn]] void run_process(int argc, char** argv, const char* usage) {
+int run_process(int argc, char** argv, const char* usage) {
     const Settings settings = begin_process(argc, argv, usage);
-    net::Loop loop(blocks_for(settings));
-    Program program(loop, settings);
-    loop.run([] {});
-    end_process();
+    {
+        net::Loop loop(blocks_for(settings));
+        Program program(loop, settings);
+        loop.run([] {});
+    }
+    close_log();
+    return 0;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -453,7 +453,7 @@
 
 int main(int argc, char** argv) {
     using namespace gannethold;
-    cluster::run_process<cluster::Proxy>(
+    return cluster::run_process<cluster::Proxy>(
         argc, argv,
         "gannethold-proxy takes requests from clients and brings them to runners.\n"
         "It takes its addresses and bounds from the settings file.");
