--- a/src/cluster/programs/explain.cpp
+++ b/src/cluster/programs/explain.cpp
@@ -1,4 +1,4 @@
-// gannethold-explain: asks a running counter or controller at its --admin address, and prints tables or the
+// gannethold-explain: asks a running proxy or controller at its --admin address, and prints tables or the
 // JSON as it came.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -6,7 +6,8 @@
 
 #include <algorithm>
 #include <cstdio>
-#include <set>
+#include <map>
+#include <string>
 
 #include "json/json.hpp"
 #include "net/loop.hpp"
@@ -15,7 +16,7 @@
 ABSL_FLAG(std::string, at, "127.0.0.1:9800", "ip:port that the process was given as --admin");
 ABSL_FLAG(bool, json, false, "print the JSON as it came");
 ABSL_FLAG(std::string, what, "",
-          "only that part: requests, losses, splits (a counter); core, starts, functions, waiting, "
+          "only that part: requests, losses, splits (a proxy); core, starts, functions, waiting, "
           "overtakings, fronts (a controller); empty: all");
 ABSL_FLAG(int, wait_ms, 3000, "milliseconds to wait for the answer");
 
@@ -23,83 +24,116 @@
 
 using namespace gannethold;
 
-std::string text_of(const json::Value& v) {
-    if (const auto* t = v.get<std::string>()) return *t;
-    if (const auto* n = v.get<json::Number>()) return n->text;
-    if (const auto* b = v.get<bool>()) return *b ? "yes" : "no";
-    if (const auto* l = v.get<json::List>()) {
-        std::string all;
-        for (const auto& one : *l) all += (all.empty() ? "" : " ") + text_of(one);
-        return all;
+constexpr std::size_t kBlocks = 64;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{64} << 20;
+
+std::string cell_text(const json::Value& value) {
+    if (const auto* text = value.get<std::string>()) return *text;
+    if (const auto* number = value.get<json::Number>()) return number->text;
+    if (const auto* boolean = value.get<bool>()) return *boolean ? "yes" : "no";
+    if (const auto* list = value.get<json::List>()) {
+        std::string joined;
+        for (const auto& element : *list) joined += (joined.empty() ? "" : " ") + cell_text(element);
+        return joined;
     }
     return "-";
 }
 
-// A list of objects as a table, a column for each name.
-void print_table(const std::string& name, const json::List& rows) {
-    std::printf("\n%s (%zu)\n", name.c_str(), rows.size());
-    std::set<std::string> names;
-    for (const auto& row : rows)
-        if (const auto* o = row.get<json::Object>())
-            for (const auto& [key, value] : *o) names.insert(key);
-    std::map<std::string, std::size_t> width;
-    for (const auto& n : names) width[n] = n.size();
+std::string cell_text(const json::Value& row, const std::string& column) {
+    const json::Value* const value = row.find(column);
+    return value ? cell_text(*value) : std::string("-");
+}
+
+// The columns' names and how wide each has to be.
+std::map<std::string, std::size_t> column_widths(const json::List& rows) {
+    std::map<std::string, std::size_t> widths;
     for (const auto& row : rows)
-        for (const auto& n : names)
-            if (const auto* v = row.find(n)) width[n] = std::max(width[n], text_of(*v).size());
-    for (const auto& n : names) std::printf("%-*s  ", static_cast<int>(width[n]), n.c_str());
+        if (const auto* object = row.get<json::Object>())
+            for (const auto& [column, value] : *object) {
+                std::size_t& width = widths[column];
+                width = std::max({width, column.size(), cell_text(value).size()});
+            }
+    return widths;
+}
+
+void print_cell(const std::string& text, std::size_t width) {
+    std::printf("%-*s  ", static_cast<int>(width), text.c_str());
+}
+
+// A list of objects, a row each, with a column for each name.
+void print_table(const std::string& title, const json::List& rows) {
+    std::printf("\n%s (%zu)\n", title.c_str(), rows.size());
+    const std::map<std::string, std::size_t> widths = column_widths(rows);
+    for (const auto& [column, width] : widths) print_cell(column, width);
     std::printf("\n");
     for (const auto& row : rows) {
-        for (const auto& n : names)
-            std::printf("%-*s  ", static_cast<int>(width[n]),
-                        row.find(n) ? text_of(*row.find(n)).c_str() : "-");
+        for (const auto& [column, width] : widths) print_cell(cell_text(row, column), width);
         std::printf("\n");
     }
 }
 
+// Returns the program's exit status.
 int print(const std::string& body) {
     if (absl::GetFlag(FLAGS_json)) {
         std::printf("%s\n", body.c_str());
         return 0;
     }
-    const json::Value all = json::read(body);
-    const auto* const top = all.get<json::Object>();
-    if (!top) return 1;
-    for (const auto& [key, value] : *top)
-        if (!value.get<json::List>()) std::printf("%-14s %s\n", key.c_str(), text_of(value).c_str());
-    for (const auto& [key, value] : *top)
-        if (const auto* rows = value.get<json::List>()) print_table(key, *rows);
+    const json::Value status = json::read(body);
+    const auto* const parts = status.get<json::Object>();
+    if (!parts) return 1;
+    for (const auto& [name, value] : *parts)
+        if (!value.get<json::List>()) std::printf("%-14s %s\n", name.c_str(), cell_text(value).c_str());
+    for (const auto& [name, value] : *parts)
+        if (const auto* rows = value.get<json::List>()) print_table(name, *rows);
     return 0;
 }
 
-}  // namespace
+cluster::HttpCaller::Options caller_options() {
+    cluster::HttpCaller::Options options;
+    options.connect_limit = 1'000'000;
+    options.keep = 1'000'000;
+    options.most_idle = 1;
+    options.most_answer = kMaxAnswerBytes;
+    return options;
+}
 
-int main(int argc, char** argv) {
-    absl::SetProgramUsageMessage(
-        "gannethold explain asks a running counter or controller what it decided lately and why.");
-    absl::ParseCommandLine(argc, argv);
-    net::Loop loop(64);
-    int code = 1;
-    cluster::HttpCaller caller(
-        loop, {1'000'000, 1'000'000, 1, 64U << 20, {}},
-        {[&](cluster::HttpCaller::Call, cluster::CallEnd how, cluster::HttpMessage&& answer, bool) {
-             if (how == cluster::CallEnd::answered && answer.status == 200)
-                 code = print(answer.body);
-             else
-                 std::fprintf(stderr, "no answer at %s\n", absl::GetFlag(FLAGS_at).c_str());
-             loop.stop();
-         },
-         [](const std::string&) {}, [](const std::string&) {}});
-    net::Timer limit(loop, [&] {
-        std::fprintf(stderr, "no answer at %s in time\n", absl::GetFlag(FLAGS_at).c_str());
-        loop.stop();
-    });
-    limit.set(net::Loop::now() + absl::GetFlag(FLAGS_wait_ms) * 1000LL);
+cluster::HttpMessage explain_request() {
     cluster::HttpMessage request;
     request.method = "GET";
     request.target = "/explain?what=" + absl::GetFlag(FLAGS_what);
     request.fields.emplace_back("Host", "gannethold");
-    caller.call(1, absl::GetFlag(FLAGS_at), request);
+    return request;
+}
+
+// Returns the program's exit status.
+int explain(const std::string& address) {
+    net::Loop loop(kBlocks);
+    int status = 1;
+    const auto on_completed = [&](cluster::HttpCaller::Call, cluster::CallEnd end,
+                                  cluster::HttpMessage&& answer, bool) {
+        if (end == cluster::CallEnd::answered && answer.status == 200)
+            status = print(answer.body);
+        else
+            std::fprintf(stderr, "no answer at %s\n", address.c_str());
+        loop.stop();
+    };
+    cluster::HttpCaller caller(loop, caller_options(),
+                               {on_completed, [](const std::string&) {}, [](const std::string&) {}});
+    net::Timer timeout(loop, [&] {
+        std::fprintf(stderr, "no answer at %s in time\n", address.c_str());
+        loop.stop();
+    });
+    timeout.set(net::Loop::now() + absl::GetFlag(FLAGS_wait_ms) * Micros{1000});
+    caller.call(1, address, explain_request());
     loop.run([] {});
-    return code;
+    return status;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    absl::SetProgramUsageMessage(
+        "gannethold explain asks a running proxy or controller what it decided lately and why.");
+    absl::ParseCommandLine(argc, argv);
+    return explain(absl::GetFlag(FLAGS_at));
 }
