--- a/src/cluster/controller/controller_status.cpp
+++ b/src/cluster/controller/controller_status.cpp
@@ -13,11 +13,11 @@
 json::List member_rows(Micros now, const Settings& settings, const Consensus& consensus) {
     json::List rows;
     for (const std::string& member : consensus.members()) {
-        const Micros heard_at = consensus.heard_from(member);
-        rows.emplace_back(
-            json::Object{{"member", json_value(member)},
-                         {"itself", json::Value(member == settings.control_plane)},
-                         {"heard_ms_ago", heard_at > 0 ? json_ms(now - heard_at) : json::Value()}});
+        const Micros last_received_at = consensus.heard_from(member);
+        rows.emplace_back(json::Object{
+            {"member", json_value(member)},
+            {"itself", json::Value(member == settings.control_plane)},
+            {"heard_ms_ago", last_received_at > 0 ? json_ms(now - last_received_at) : json::Value()}});
     }
     return rows;
 }
--- a/src/cluster/coordinator/coordinator.cpp
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -134,7 +134,7 @@
     const Micros now = net::Loop::now();
     if (const auto* request = std::get_if<AcquireRequest>(&message))
         return on_acquire(now, session, *request);
-    if (std::holds_alternative<Heartbeat>(message)) return send_(session, Heartbeat{});
+    if (std::get_if<Heartbeat>(&message) != nullptr) return send_(session, Heartbeat{});
     if (const auto* held = std::get_if<ConfigurationHeld>(&message)) {
         at->second.configuration = {held->version, 0};
         return send_update(session, at->second);
--- a/src/cluster/coordinator/coordinator_status.cpp
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -92,12 +92,13 @@
 
 void add_coordinator_status(Micros now, const std::string& part, const CoordinatorView& view,
                             json::Object& status) {
-    const auto is_asked = [&](const char* name) { return part.empty() || part == name; };
-    if (is_asked("starts")) status["starts"] = json::Value(action_rows(now, view.recent_actions));
-    if (is_asked("functions")) status["functions"] = json::Value(function_rows(view.slot_table));
-    if (is_asked("waiting")) status["waiting"] = json::Value(waiting_rows(now, view.slot_table));
-    if (is_asked("overtakings")) status["overtakings"] = json::Value(inversion_rows(now, view.slot_table));
-    if (is_asked("fronts")) status["fronts"] = json::Value(proxy_rows(view.proxies));
+    const auto is_requested = [&](const char* name) { return part.empty() || part == name; };
+    if (is_requested("starts")) status["starts"] = json::Value(action_rows(now, view.recent_actions));
+    if (is_requested("functions")) status["functions"] = json::Value(function_rows(view.slot_table));
+    if (is_requested("waiting")) status["waiting"] = json::Value(waiting_rows(now, view.slot_table));
+    if (is_requested("overtakings"))
+        status["overtakings"] = json::Value(inversion_rows(now, view.slot_table));
+    if (is_requested("fronts")) status["fronts"] = json::Value(proxy_rows(view.proxies));
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/controller/controller_process_test.cpp
+++ b/tests/system/controller/controller_process_test.cpp
@@ -35,7 +35,7 @@
                "limits.memory_mb=256\nlimits.file_descriptors=1024\nlisten_addresses.control_plane=" +
                control_plane + "\n";
     }
-    bool until(const std::function<bool()>& holds) { return turn_until(loop, holds); }
+    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
     // What a new connection is answered; empty where nobody listens yet.
     std::string call(const std::string& words) {
         std::optional<Wire> wire = Wire::try_to(control);
--- a/tests/system/controller/inbound_connections_test.cpp
+++ b/tests/system/controller/inbound_connections_test.cpp
@@ -1,6 +1,7 @@
 // Sessions of processes that dial a controller: who they are, and when they are over.
 #include <boost/test/unit_test.hpp>
 
+#include <functional>
 #include <optional>
 #include <string>
 #include <utility>
@@ -30,7 +31,7 @@
             });
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
-    bool until(const std::function<bool()>& holds) { return turn_until(loop, holds); }
+    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
     std::vector<std::string> connected_proxies() const {
         std::vector<std::string> names;
         connections->for_each_proxy(
@@ -75,7 +76,7 @@
     BOOST_TEST(controller.connected_proxies().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_is_heard_once_it_has_registered) {
+BOOST_AUTO_TEST_CASE(a_proxy_is_known_once_it_has_registered) {
     Controller controller;
     Dialer proxy(controller);
     proxy.connection.send(Heartbeat{});
--- /dev/null
+++ b/tests/system/controller/operator_api_test.cpp
@@ -0,0 +1,146 @@
+// The operators' interface of a core machine: who answers, and how.
+#include <boost/test/unit_test.hpp>
+
+#include <algorithm>
+#include <filesystem>
+#include <optional>
+#include <string>
+
+#include "cluster/controller/operator_api.hpp"
+#include "peers.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Micros kAcceptTime = 50'000;
+
+std::string configuration(int version) {
+    return R"({"version":)" + std::to_string(version) + R"(,"routes":[],"services":[]})";
+}
+
+std::string request(const std::string& method, const std::string& target, const std::string& body = {}) {
+    return method + " " + target +
+           " HTTP/1.1\r\nHost: core\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+// A core machine that is alone, with its disk in a folder of its own.
+struct Machine {
+    Machine() : port(free_port()) {
+        static int made = 0;
+        folder = std::filesystem::temp_directory_path() /
+                 ("gannethold-operator-api-" + std::to_string(getpid()) + "-" + std::to_string(++made));
+        settings.control_plane = "127.0.0.1:" + std::to_string(port);
+        settings.seeds = {settings.control_plane};
+        settings.initial_start = true;
+        settings.data_directory = folder;
+        consensus.emplace(
+            settings, DurableConsensus::Callbacks{
+                          [](const std::string&, const Message&) {},
+                          [this](const Output::ProposalResult& result) { api->on_proposal_resolved(result); },
+                          [] {},
+                          [] {},
+                      });
+        api.emplace(loop, *net::Address::read(settings.control_plane), settings, *consensus);
+    }
+    Machine(const Machine&) = delete;
+    Machine& operator=(const Machine&) = delete;
+    ~Machine() { std::filesystem::remove_all(folder); }
+
+    bool lead() {
+        return turn_until(loop, [this] {
+            consensus->tick(net::Loop::now());
+            return consensus->is_leader(net::Loop::now());
+        });
+    }
+    std::string answer_to(const std::string& text) {
+        Wire wire = Wire::to(port);
+        wire.say(text);
+        BOOST_REQUIRE(turn_until(loop, [&] {
+            if (consensus->state()) consensus->tick(net::Loop::now());  // keeps the lease
+            return wire.has("}") || wire.closed;
+        }));
+        return wire.got;
+    }
+
+    net::Loop loop{256};
+    std::uint16_t port;
+    std::filesystem::path folder;
+    Settings settings;
+    std::optional<DurableConsensus> consensus;
+    std::optional<OperatorApi> api;
+};
+
+BOOST_AUTO_TEST_SUITE(operator_api)
+
+BOOST_AUTO_TEST_CASE(there_is_one_resource_with_two_methods) {
+    Machine machine;
+    BOOST_TEST(machine.answer_to(request("GET", "/v1/other")).starts_with("HTTP/1.1 404"));
+    BOOST_TEST(machine.answer_to(request("POST", "/v1/configuration")).starts_with("HTTP/1.1 400"));
+}
+
+BOOST_AUTO_TEST_CASE(without_a_leader_an_operator_is_told_to_retry) {
+    Machine machine;
+    const std::string answer = machine.answer_to(request("PUT", "/v1/configuration", configuration(1)));
+    BOOST_TEST(answer.starts_with("HTTP/1.1 503"));
+    BOOST_TEST(answer.find("Retry-After") != std::string::npos);
+    BOOST_TEST(machine.api->pending_proposals() == 0U);
+}
+
+BOOST_AUTO_TEST_CASE(the_leader_commits_what_it_acknowledges) {
+    Machine machine;
+    BOOST_REQUIRE(machine.lead());
+    BOOST_TEST(machine.answer_to(request("GET", "/v1/configuration")).starts_with("HTTP/1.1 503"));
+    const std::string body = configuration(4);
+    BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", body)).starts_with("HTTP/1.1 200"));
+    BOOST_TEST(machine.answer_to(request("GET", "/v1/configuration?x=1")).ends_with(body));
+    BOOST_TEST(machine.api->pending_proposals() == 0U);
+}
+
+BOOST_AUTO_TEST_CASE(the_entry_of_the_newest_put_is_not_read_again) {
+    Machine machine;
+    BOOST_REQUIRE(machine.lead());
+    machine.answer_to(request("PUT", "/v1/configuration", configuration(4)));
+    const LogEntry* const entry = machine.consensus->state()->committed();
+    BOOST_REQUIRE(entry != nullptr);
+    BOOST_REQUIRE(machine.api->parsed(*entry) != nullptr);
+    BOOST_TEST(machine.api->parsed(*entry)->version() == 4U);
+    LogEntry other = *entry;
+    other.body += " ";
+    BOOST_TEST(machine.api->parsed(other) == nullptr);
+}
+
+BOOST_AUTO_TEST_CASE(a_configuration_that_is_not_valid_changes_nothing) {
+    Machine machine;
+    BOOST_REQUIRE(machine.lead());
+    BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", "{")).starts_with("HTTP/1.1 400"));
+    BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", "{}")).starts_with("HTTP/1.1 4"));
+    BOOST_TEST(machine.consensus->state()->committed()->version == 0U);
+}
+
+BOOST_AUTO_TEST_CASE(another_body_under_a_committed_version_is_a_conflict) {
+    Machine machine;
+    BOOST_REQUIRE(machine.lead());
+    machine.answer_to(request("PUT", "/v1/configuration", configuration(4)));
+    const std::string other = R"({"version":4,"routes":[],"services":[{"name":"f","connection_limit":8,)"
+                              R"("memory_mb":64,"boot_duration_ms":100,"max_concurrency":1}]})";
+    BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", other)).starts_with("HTTP/1.1 409"));
+}
+
+BOOST_AUTO_TEST_CASE(a_machine_that_shuts_down_answers_no_more_as_the_leader) {
+    Machine machine;
+    BOOST_REQUIRE(machine.lead());
+    Wire wire = Wire::to(machine.port);
+    wire.say(request("GET", "/v1/configuration").substr(0, 10));  // accepted before
+    const Micros accepted_by = net::Loop::now() + kAcceptTime;
+    turn_until(machine.loop, [&] { return net::Loop::now() >= accepted_by; });
+    BOOST_REQUIRE(machine.lead());
+    machine.api->begin_shutdown();
+    wire.say(request("GET", "/v1/configuration").substr(10));
+    BOOST_REQUIRE(turn_until(machine.loop, [&] { return wire.has("}") || wire.closed; }));
+    BOOST_TEST(wire.got.starts_with("HTTP/1.1 503"));
+}
+
+BOOST_AUTO_TEST_SUITE_END()
+
+}  // namespace
+}  // namespace gannethold::cluster
--- a/tests/system/coordinator/configuration_publisher_test.cpp
+++ b/tests/system/coordinator/configuration_publisher_test.cpp
@@ -24,7 +24,7 @@
     BOOST_TEST(proxy.in_flight == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(sends_all_to_a_proxy_that_holds_nothing) {
+BOOST_AUTO_TEST_CASE(sends_all_to_a_proxy_that_has_nothing) {
     ConfigurationPublisher publisher;
     publisher.publish(3, body(3));
     ProxyConfiguration proxy;
