--- a/src/cluster/controller/coordinator_role.cpp
+++ b/src/cluster/controller/coordinator_role.cpp
@@ -26,7 +26,7 @@
     const bool acts = may_act(net::Loop::now());
     // A lease that runs out while this machine is short of time comes back with the next round of heartbeats:
     // until then nothing is received or sent, but the coordinator stays. To stop it would make all proxies
-    // register anew at the worst moment.
+    // register again at the worst moment.
     if (coordinator_ && (!consensus->holds() || shutting_down_ || coordinator_->term() != consensus->term()))
         stop_coordinator();
     if (acts && !coordinator_) start_coordinator();
--- a/src/cluster/controller/graceful_shutdown.hpp
+++ b/src/cluster/controller/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// When a controller that was told to end may end: once the other core machines hold all that is committed and
-// its last answers had time to be written, or half of the grace period is over.
+// When a controller that is shutting down may end: once the other core machines hold all that is committed
+// and its last answers had time to be written, or half of the grace period is over.
 #pragma once
 
 #include "types.hpp"
--- a/src/cluster/controller/inbound_connections.hpp
+++ b/src/cluster/controller/inbound_connections.hpp
@@ -19,7 +19,7 @@
   public:
     struct Callbacks {
         std::function<void(const std::string& member, const Message&)> on_core_message;
-        /// A proxy has registered, for the first time on its connection or anew.
+        /// A proxy has registered, for the first time on its connection or again.
         std::function<void(Session, const Register&)> on_registered;
         /// Another message of a proxy that has registered.
         std::function<void(Session, const Message&)> on_proxy_message;
--- a/src/cluster/coordinator/configuration_publisher.cpp
+++ b/src/cluster/coordinator/configuration_publisher.cpp
@@ -8,7 +8,8 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMaxBases = 8;  // versions that differences are made against; to others the whole goes
+constexpr std::size_t kMaxBases =
+    8;  // versions that differences are made against; others get the newest one in full
 
 }  // namespace
 
--- a/src/cluster/coordinator/coordinator.hpp
+++ b/src/cluster/coordinator/coordinator.hpp
@@ -1,6 +1,6 @@
 // The coordinator: what the core's leader does for all proxies in one term. It keeps the slots of all
 // runners, plans how many runners there are, has the platform start and stop them, and brings proxies the
-// committed configuration. It is made anew with each term and knows nothing of the one before but what
+// committed configuration. It is created for each term and knows nothing of the one before but what
 // proxies register and the platform lists.
 #pragma once
 
