--- a/src/cluster/controller/controller_status.cpp
+++ b/src/cluster/controller/controller_status.cpp
@@ -12,12 +12,12 @@
 
 json::List member_rows(Micros now, const Settings& settings, const Consensus& consensus) {
     json::List rows;
-    for (const std::string& member : consensus.members()) {
-        const Micros last_received_at = consensus.heard_from(member);
-        rows.emplace_back(json::Object{
-            {"member", json_value(member)},
-            {"itself", json::Value(member == settings.control_plane)},
-            {"heard_ms_ago", last_received_at > 0 ? json_ms(now - last_received_at) : json::Value()}});
+    for (const std::string& member : consensus.voters()) {
+        const Micros last_contact = consensus.last_contact(member);
+        rows.emplace_back(
+            json::Object{{"member", json_value(member)},
+                         {"itself", json::Value(member == settings.control_plane)},
+                         {"heard_ms_ago", last_contact > 0 ? json_ms(now - last_contact) : json::Value()}});
     }
     return rows;
 }
@@ -32,11 +32,11 @@
         status["state"] = json_value(std::string("its disk can not be used"));
         return json::Value(std::move(status));
     }
-    const LogEntry* const committed = consensus->committed();
-    status["term"] = json_number(consensus->term());
+    const LogEntry* const committed = consensus->committed_entry();
+    status["term"] = json_number(consensus->current_term());
     status["leader"] = json_value(consensus->leader());
-    status["leads"] = json::Value(consensus->leads(now));
-    status["recovering"] = json::Value(consensus->recovering());
+    status["leads"] = json::Value(consensus->has_lease(now));
+    status["recovering"] = json::Value(consensus->is_recovering());
     status["fence"] = json_number(coordinator ? coordinator->term() : 0);
     status["version"] = json_number(committed ? committed->version : 0);
     status["malformed_lines"] = json_number(MessageConnection::malformed());
--- a/src/cluster/controller/coordinator_role.cpp
+++ b/src/cluster/controller/coordinator_role.cpp
@@ -27,11 +27,12 @@
     // A lease that runs out while this machine is short of time comes back with the next round of heartbeats:
     // until then nothing is received or sent, but the coordinator stays. To stop it would make all proxies
     // register again at the worst moment.
-    if (coordinator_ && (!consensus->holds() || shutting_down_ || coordinator_->term() != consensus->term()))
+    if (coordinator_ && (!consensus->is_established_leader() || shutting_down_ ||
+                         coordinator_->term() != consensus->current_term()))
         stop_coordinator();
     if (acts && !coordinator_) start_coordinator();
     if (!coordinator_ || !acts) return;
-    if (const LogEntry* const entry = consensus->committed())
+    if (const LogEntry* const entry = consensus->committed_entry())
         coordinator_->on_committed(*entry, parsed_(*entry));
     for (const auto& [session, message] : std::exchange(deferred_outbound_, {})) send(session, message);
     for (const auto& [session, message] : std::exchange(deferred_inbound_, {})) deliver(session, message);
@@ -39,7 +40,7 @@
 
 void CoordinatorRole::start_coordinator() {
     coordinator_ = std::make_unique<Coordinator>(
-        loop_, settings_, consensus_.state()->term(),
+        loop_, settings_, consensus_.state()->current_term(),
         [this](Session session, const Message& message) { send(session, message); });
     connections_.for_each_proxy([this](Session session, const Register& registration) {
         coordinator_->on_registered(session, registration);
--- a/src/cluster/controller/coordinator_role.hpp
+++ b/src/cluster/controller/coordinator_role.hpp
@@ -56,7 +56,7 @@
     };
 
     // Whether a coordinator may receive and send now: the lease is held (Ongaro's thesis, section 6.4.1).
-    bool may_act(Micros now) const { return !shutting_down_ && consensus_.is_leader(now); }
+    bool may_act(Micros now) const { return !shutting_down_ && consensus_.has_lease(now); }
     void start_coordinator();
     void redirect(Session session);
     void deliver(Session session, const Message& message);
--- a/src/cluster/controller/durable_consensus.cpp
+++ b/src/cluster/controller/durable_consensus.cpp
@@ -46,9 +46,8 @@
                 .with("member", state.promise.member)
                 .with("term", state.promise.term)
                 .with("version", state.entry.version);
-            Output output;
-            consensus_.emplace(std::move(options), std::move(state), now, output);
-            complete_step(output);
+            consensus_.emplace(std::move(options), std::move(state), now);
+            complete_step(consensus_->start());
             return {};
         },
         [&](ErrorCode code, const ErrorDetail& detail) {
@@ -74,8 +73,8 @@
         [] { return false; });
 }
 
-void DurableConsensus::complete_step(Output& output) {
-    if (output.write && !write_state()) {
+void DurableConsensus::complete_step(const ConsensusOutput& output) {
+    if (output.must_persist && !write_state()) {
         // Nothing of the step has left the machine. It goes on from what its disk holds, once that can be
         // read again.
         consensus_.reset();
@@ -83,41 +82,32 @@
         callbacks_.on_storage_failed();
         return;
     }
-    for (const Output::Envelope& envelope : output.sends) callbacks_.send(envelope.to, envelope.message);
-    for (const Output::ProposalResult& result : output.results) callbacks_.on_proposal_resolved(result);
+    for (const ConsensusOutput::Envelope& envelope : output.messages)
+        callbacks_.send(envelope.to, envelope.message);
+    for (const ProposalResult& result : output.proposal_results) callbacks_.on_proposal_resolved(result);
     callbacks_.on_step_completed();
 }
 
-void DurableConsensus::tick(Micros now) {
+void DurableConsensus::on_timer(Micros now) {
     if (!consensus_ && now >= reopen_at_) open(now);
     if (!consensus_) return;
-    Output output;
-    consensus_->tick(now, output);
-    complete_step(output);
+    complete_step(consensus_->on_timer(now));
 }
 
-void DurableConsensus::receive(Micros now, const std::string& member, const Message& message) {
-    if (!consensus_) return;
-    Output output;
-    consensus_->receive(now, member, message, output);
-    complete_step(output);
+void DurableConsensus::on_message(Micros now, const std::string& member, const Message& message) {
+    if (consensus_) complete_step(consensus_->on_message(now, member, message));
 }
 
-void DurableConsensus::leave(Micros now) {
-    if (!consensus_) return;
-    Output output;
-    consensus_->leave(now, output);
-    complete_step(output);
+void DurableConsensus::begin_leaving(Micros now) {
+    if (consensus_) complete_step(consensus_->begin_leaving(now));
 }
 
 void DurableConsensus::set_seeds(const std::vector<std::string>& seeds) {
     if (consensus_) consensus_->set_seeds(seeds);
 }
 
-void DurableConsensus::propose(Micros now, Number ticket, Number version, std::string body) {
-    Output output;
-    consensus_->propose(now, ticket, version, std::move(body), output);
-    complete_step(output);
+void DurableConsensus::propose(Micros now, Proposal proposal) {
+    complete_step(consensus_->propose(now, std::move(proposal)));
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/controller/durable_consensus.hpp
+++ b/src/cluster/controller/durable_consensus.hpp
@@ -21,7 +21,7 @@
     /// None of them may call back into the consensus.
     struct Callbacks {
         std::function<void(const std::string& member, const Message&)> send;
-        std::function<void(const Output::ProposalResult&)> on_proposal_resolved;
+        std::function<void(const ProposalResult&)> on_proposal_resolved;
         /// The step is over: role, term and committed entry may have changed.
         std::function<void()> on_step_completed;
         /// The disk failed. state() is nullptr, nothing of the step was sent, and no proposal made before
@@ -29,29 +29,29 @@
         std::function<void()> on_storage_failed;
     };
 
-    /// `settings` must outlive this object. Nothing is opened before the first tick().
+    /// `settings` must outlive this object. Nothing is opened before the first on_timer().
     DurableConsensus(const Settings& settings, Callbacks callbacks);
 
     /// nullptr while the disk can not be used.
     const Consensus* state() const { return consensus_ ? &*consensus_ : nullptr; }
-    bool is_leader(Micros now) const { return consensus_ && consensus_->leads(now); }
+    bool has_lease(Micros now) const { return consensus_ && consensus_->has_lease(now); }
 
     /// Opens the disk where it is not open, again every kReopenInterval; then lets time pass.
-    void tick(Micros now);
-    /// When to call tick() next.
-    Micros next_tick() const { return consensus_ ? consensus_->next_tick() : reopen_at_; }
+    void on_timer(Micros now);
+    /// When to call on_timer() next.
+    Micros next_timer() const { return consensus_ ? consensus_->next_timer() : reopen_at_; }
 
     // Without effect while the disk can not be used.
-    void receive(Micros now, const std::string& member, const Message& message);
-    void leave(Micros now);
+    void on_message(Micros now, const std::string& member, const Message& message);
+    void begin_leaving(Micros now);
     void set_seeds(const std::vector<std::string>& seeds);
 
-    /// REQUIRES: state() != nullptr. The result comes with on_proposal_resolved under the same ticket.
-    void propose(Micros now, Number ticket, Number version, std::string body);
+    /// REQUIRES: state() != nullptr. The result comes with on_proposal_resolved under the proposal's ticket.
+    void propose(Micros now, Proposal proposal);
 
   private:
     void open(Micros now);
-    void complete_step(Output& output);
+    void complete_step(const ConsensusOutput& output);
     bool write_state();
 
     const Settings& settings_;
--- a/src/cluster/controller/operator_api.cpp
+++ b/src/cluster/controller/operator_api.cpp
@@ -34,7 +34,7 @@
     if (path != "/v1/configuration") return service_.answer(exchange, ErrorCode::no_route, path);
     if (request.method != "PUT" && request.method != "GET")
         return service_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
-    if (shutting_down_ || !consensus_.is_leader(net::Loop::now()))
+    if (shutting_down_ || !consensus_.has_lease(net::Loop::now()))
         return redirect_to_leader(exchange, request);
     if (request.method == "GET") return get_configuration(exchange);
     put_configuration(exchange, std::move(request.body));
@@ -52,7 +52,7 @@
 }
 
 void OperatorApi::get_configuration(Exchange exchange) {
-    const LogEntry* const entry = consensus_.state()->committed();
+    const LogEntry* const entry = consensus_.state()->committed_entry();
     if (!entry || entry->version == 0)
         return service_.answer(exchange, ErrorCode::no_majority, "no configuration yet", kRetryMs);
     answer_json(exchange, entry->body);
@@ -66,7 +66,7 @@
             newest_put_body_ = body;
             const Number ticket = ++last_ticket_;
             pending_[exchange] = ticket;
-            consensus_.propose(net::Loop::now(), ticket, configuration->version(), std::move(body));
+            consensus_.propose(net::Loop::now(), {ticket, configuration->version(), std::move(body)});
             return {};
         },
         [&](ErrorCode code, const ErrorDetail& detail) {
@@ -86,7 +86,7 @@
     service_.answer(exchange, answer);
 }
 
-void OperatorApi::on_proposal_resolved(const Output::ProposalResult& result) {
+void OperatorApi::on_proposal_resolved(const ProposalResult& result) {
     const auto at = std::find_if(pending_.begin(), pending_.end(),
                                  [&](const auto& pending) { return pending.second == result.ticket; });
     if (at == pending_.end()) return;
--- a/src/cluster/controller/operator_api.hpp
+++ b/src/cluster/controller/operator_api.hpp
@@ -24,7 +24,7 @@
                 DurableConsensus& consensus);
 
     /// Answers the PUT whose proposal has that result, if its client still waits.
-    void on_proposal_resolved(const Output::ProposalResult& result);
+    void on_proposal_resolved(const ProposalResult& result);
 
     /// Answers all pending PUTs: what they proposed is not on disk, so not acknowledged.
     void on_storage_failed();
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -82,7 +82,7 @@
 DurableConsensus::Callbacks Controller::consensus_callbacks() {
     return {
         [this](const std::string& member, const Message& message) { peers_.send(member, message); },
-        [this](const Output::ProposalResult& result) { operator_api_.on_proposal_resolved(result); },
+        [this](const ProposalResult& result) { operator_api_.on_proposal_resolved(result); },
         [this] { on_step_completed(); },
         [this] { on_storage_failed(); },
     };
@@ -100,7 +100,7 @@
 void Controller::on_core_message(const std::string& member, const Message& message) {
     const Micros now = net::Loop::now();
     peers_.on_received_from(member, now);
-    consensus_.receive(now, member, message);
+    consensus_.on_message(now, member, message);
 }
 
 void Controller::on_step_completed() {
@@ -122,7 +122,7 @@
 void Controller::on_shutdown() {
     Event("shutdown_started").with("pending", operator_api_.pending_proposals());
     role_.begin_shutdown();
-    consensus_.leave(net::Loop::now());
+    consensus_.begin_leaving(net::Loop::now());
     role_.stop_coordinator();
     operator_api_.begin_shutdown();
     shutdown_.begin(net::Loop::now(), settings_.grace_period);
@@ -131,10 +131,10 @@
 
 void Controller::on_timer() {
     const Micros now = net::Loop::now();
-    consensus_.tick(now);
+    consensus_.on_timer(now);
     role_.tick(now);
     if (now >= next_sweep_) sweep(now);
-    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->may_end())) loop_.stop();
+    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->may_stop())) loop_.stop();
     set_timer();
 }
 
@@ -153,7 +153,7 @@
 
 void Controller::set_timer() {
     const Micros now = net::Loop::now();
-    Micros next = std::min({next_sweep_, consensus_.next_tick(), role_.next_tick(now)});
+    Micros next = std::min({next_sweep_, consensus_.next_timer(), role_.next_tick(now)});
     if (shutdown_.has_begun()) next = std::min(next, now + GracefulShutdown::kPollInterval);
     timer_.set(next);
 }
--- a/tests/system/controller/coordinator_role_test.cpp
+++ b/tests/system/controller/coordinator_role_test.cpp
@@ -32,7 +32,7 @@
         settings.platform = "127.0.0.1:1";
         consensus.emplace(settings, DurableConsensus::Callbacks{
                                         [](const std::string&, const Message&) {},
-                                        [](const Output::ProposalResult&) {},
+                                        [](const ProposalResult&) {},
                                         [this] { role->update(); },
                                         [this] { role->stop_coordinator(); },
                                     });
@@ -58,10 +58,10 @@
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
     void tick() {
         const Micros now = net::Loop::now();
-        consensus->tick(now);
+        consensus->on_timer(now);
         role->tick(now);
     }
-    bool is_leader() const { return consensus->is_leader(net::Loop::now()); }
+    bool is_leader() const { return consensus->has_lease(net::Loop::now()); }
     // Turns the loop with the clock of consensus running.
     bool until(const std::function<bool()>& condition) {
         return turn_until(loop, [&] {
@@ -119,7 +119,7 @@
     BOOST_REQUIRE(controller.until_without_ticks([&] { return proxy.count<Redirect>() == 1; }));
     BOOST_REQUIRE(controller.until([&] { return proxy.count<Registered>() >= 1; }));
     BOOST_REQUIRE(controller.role->coordinator() != nullptr);
-    BOOST_TEST(controller.role->coordinator()->term() == controller.consensus->state()->term());
+    BOOST_TEST(controller.role->coordinator()->term() == controller.consensus->state()->current_term());
 }
 
 BOOST_AUTO_TEST_CASE(messages_wait_while_the_lease_has_run_out) {
--- a/tests/system/controller/durable_consensus_test.cpp
+++ b/tests/system/controller/durable_consensus_test.cpp
@@ -39,27 +39,26 @@
 
     void start() {
         consensus.reset();
-        consensus.emplace(settings,
-                          DurableConsensus::Callbacks{
-                              [](const std::string&, const Message&) {},
-                              [this](const Output::ProposalResult& result) { results.push_back(result); },
-                              [this] { ++steps; },
-                              [this] { ++failures; },
-                          });
+        consensus.emplace(settings, DurableConsensus::Callbacks{
+                                        [](const std::string&, const Message&) {},
+                                        [this](const ProposalResult& result) { results.push_back(result); },
+                                        [this] { ++steps; },
+                                        [this] { ++failures; },
+                                    });
     }
     // Ticks until it leads, at the times that it asks for.
     bool lead() {
-        for (int ticks = 0; ticks < 100 && !consensus->is_leader(now); ++ticks) {
-            consensus->tick(now);
-            now = std::max(now, consensus->next_tick());
+        for (int ticks = 0; ticks < 100 && !consensus->has_lease(now); ++ticks) {
+            consensus->on_timer(now);
+            now = std::max(now, consensus->next_timer());
         }
-        return consensus->is_leader(now);
+        return consensus->has_lease(now);
     }
 
     std::filesystem::path folder;
     Settings settings;
     std::optional<DurableConsensus> consensus;
-    std::vector<Output::ProposalResult> results;
+    std::vector<ProposalResult> results;
     int steps = 0;
     int failures = 0;
     Micros now = net::Loop::now();
@@ -67,12 +66,12 @@
 
 BOOST_AUTO_TEST_SUITE(durable_consensus)
 
-BOOST_AUTO_TEST_CASE(opens_nothing_before_the_first_tick) {
+BOOST_AUTO_TEST_CASE(opens_nothing_before_the_first_timer) {
     Member member;
     BOOST_TEST(member.consensus->state() == nullptr);
-    BOOST_TEST(!member.consensus->is_leader(member.now));
-    BOOST_TEST(member.consensus->next_tick() <= member.now);
-    member.consensus->tick(member.now);
+    BOOST_TEST(!member.consensus->has_lease(member.now));
+    BOOST_TEST(member.consensus->next_timer() <= member.now);
+    member.consensus->on_timer(member.now);
     BOOST_TEST(member.consensus->state() != nullptr);
     BOOST_TEST(member.steps > 0);
 }
@@ -80,36 +79,36 @@
 BOOST_AUTO_TEST_CASE(a_committed_proposal_is_there_after_a_restart) {
     Member member;
     BOOST_REQUIRE(member.lead());
-    member.consensus->propose(member.now, kTicket, kVersion, kBody);
+    member.consensus->propose(member.now, {kTicket, kVersion, kBody});
     BOOST_REQUIRE(member.results.size() == 1U);
     BOOST_TEST(member.results[0].ticket == kTicket);
     BOOST_TEST((member.results[0].outcome == ProposalOutcome::committed));
     member.start();
     BOOST_REQUIRE(member.lead());
-    BOOST_REQUIRE(member.consensus->state()->committed() != nullptr);
-    BOOST_TEST(member.consensus->state()->committed()->version == kVersion);
-    BOOST_TEST(member.consensus->state()->committed()->body == kBody);
+    BOOST_REQUIRE(member.consensus->state()->committed_entry() != nullptr);
+    BOOST_TEST(member.consensus->state()->committed_entry()->version == kVersion);
+    BOOST_TEST(member.consensus->state()->committed_entry()->body == kBody);
 }
 
 BOOST_AUTO_TEST_CASE(a_folder_that_can_not_be_opened_is_tried_again) {
     Member member;
     std::ofstream(member.settings.data_directory) << "a file where the folder should be";
-    member.consensus->tick(member.now);
+    member.consensus->on_timer(member.now);
     BOOST_TEST(member.consensus->state() == nullptr);
-    BOOST_TEST(member.consensus->next_tick() > member.now);
+    BOOST_TEST(member.consensus->next_timer() > member.now);
     std::filesystem::remove(member.settings.data_directory);
-    member.consensus->tick(member.now);
+    member.consensus->on_timer(member.now);
     BOOST_TEST(member.consensus->state() == nullptr);  // not before its time
-    member.now = member.consensus->next_tick();
-    member.consensus->tick(member.now);
+    member.now = member.consensus->next_timer();
+    member.consensus->on_timer(member.now);
     BOOST_TEST(member.consensus->state() != nullptr);
     BOOST_TEST(member.failures == 0);
 }
 
 BOOST_AUTO_TEST_CASE(without_a_disk_messages_and_a_leave_have_no_effect) {
     Member member;
-    member.consensus->receive(member.now, "127.0.0.1:2", JoinRequest{});
-    member.consensus->leave(member.now);
+    member.consensus->on_message(member.now, "127.0.0.1:2", JoinRequest{});
+    member.consensus->begin_leaving(member.now);
     member.consensus->set_seeds({});
     BOOST_TEST(member.consensus->state() == nullptr);
     BOOST_TEST(member.steps == 0);
--- a/tests/system/controller/operator_api_test.cpp
+++ b/tests/system/controller/operator_api_test.cpp
@@ -33,13 +33,13 @@
         settings.seeds = {settings.control_plane};
         settings.initial_start = true;
         settings.data_directory = folder;
-        consensus.emplace(
-            settings, DurableConsensus::Callbacks{
-                          [](const std::string&, const Message&) {},
-                          [this](const Output::ProposalResult& result) { api->on_proposal_resolved(result); },
-                          [] {},
-                          [] {},
-                      });
+        consensus.emplace(settings,
+                          DurableConsensus::Callbacks{
+                              [](const std::string&, const Message&) {},
+                              [this](const ProposalResult& result) { api->on_proposal_resolved(result); },
+                              [] {},
+                              [] {},
+                          });
         api.emplace(loop, *net::Address::read(settings.control_plane), settings, *consensus);
     }
     Machine(const Machine&) = delete;
@@ -48,15 +48,15 @@
 
     bool lead() {
         return turn_until(loop, [this] {
-            consensus->tick(net::Loop::now());
-            return consensus->is_leader(net::Loop::now());
+            consensus->on_timer(net::Loop::now());
+            return consensus->has_lease(net::Loop::now());
         });
     }
     std::string answer_to(const std::string& text) {
         Wire wire = Wire::to(port);
         wire.say(text);
         BOOST_REQUIRE(turn_until(loop, [&] {
-            if (consensus->state()) consensus->tick(net::Loop::now());  // keeps the lease
+            if (consensus->state()) consensus->on_timer(net::Loop::now());  // keeps the lease
             return wire.has("}") || wire.closed;
         }));
         return wire.got;
@@ -100,7 +100,7 @@
     Machine machine;
     BOOST_REQUIRE(machine.lead());
     machine.answer_to(request("PUT", "/v1/configuration", configuration(4)));
-    const LogEntry* const entry = machine.consensus->state()->committed();
+    const LogEntry* const entry = machine.consensus->state()->committed_entry();
     BOOST_REQUIRE(entry != nullptr);
     BOOST_REQUIRE(machine.api->parsed(*entry) != nullptr);
     BOOST_TEST(machine.api->parsed(*entry)->version() == 4U);
@@ -114,7 +114,7 @@
     BOOST_REQUIRE(machine.lead());
     BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", "{")).starts_with("HTTP/1.1 400"));
     BOOST_TEST(machine.answer_to(request("PUT", "/v1/configuration", "{}")).starts_with("HTTP/1.1 4"));
-    BOOST_TEST(machine.consensus->state()->committed()->version == 0U);
+    BOOST_TEST(machine.consensus->state()->committed_entry()->version == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(another_body_under_a_committed_version_is_a_conflict) {
