--- a/rehearsal/system/load_generator.cpp
+++ b/rehearsal/system/load_generator.cpp
@@ -7,23 +7,12 @@
 namespace gannethold::trial {
 namespace {
 
-using cluster::CallEnd;
 using cluster::HttpMessage;
 
 constexpr Micros kFirstPutAfter = 800'000;
 constexpr Micros kPutRetryInterval = 200'000;
 constexpr Micros kSweepInterval = 500'000;
 
-cluster::HttpCaller::Options caller_options() {
-    cluster::HttpCaller::Options options;
-    options.connect_limit = 1'000'000;
-    options.keep = 4'000'000;
-    options.most_idle = 8;
-    options.most_answer = 1 << 20;
-    options.id_field = "X-Attempt-Id";
-    return options;
-}
-
 std::string route_json(const FunctionSpec& function) {
     std::ostringstream text;
     text << R"({"name":"r-)" << function.name << R"(","host":")" << kHost << R"(","path_prefix":"/)"
@@ -58,10 +47,13 @@
 }  // namespace
 
 LoadGenerator::LoadGenerator(net::Loop& loop)
-    : caller_(
-          loop, caller_options(),
-          {[this](Call call, CallEnd end, HttpMessage&& answer, bool) { on_completed(call, end, answer); },
-           [](const std::string&) {}, [](const std::string&) {}}),
+    : client_(loop,
+              {.connect_timeout = 1'000'000,
+               .idle_timeout = 4'000'000,
+               .max_idle_connections = 8,
+               .max_response_bytes = 1 << 20,
+               .id_field = "X-Attempt-Id"},
+              {.on_call_completed = [this](cluster::CompletedCall&& call) { on_call_completed(call); }}),
       last_sent_at_(net::Loop::now()),
       next_put_(last_sent_at_ + kFirstPutAfter) {}
 
@@ -70,7 +62,7 @@
     if (next_put_ > 0 && now >= next_put_) put_configuration();
     if (now < next_sweep_) return;
     next_sweep_ = now + kSweepInterval;
-    caller_.sweep(now);
+    client_.close_expired(now);
 }
 
 void LoadGenerator::put_configuration() {
@@ -80,8 +72,8 @@
     request.target = "/v1/configuration";
     request.fields.emplace_back("Host", "core");
     request.body = configuration_body();
-    put_call_ = ++last_call_;
-    caller_.call(put_call_, controller_address(puts_++ % kControllers), request);
+    put_call_ = cluster::CallId{++last_call_};
+    client_.call(put_call_, controller_address(puts_++ % kControllers), request);
 }
 
 void LoadGenerator::on_put_completed(bool acknowledged) {
@@ -104,21 +96,21 @@
 
 void LoadGenerator::send_request() {
     const FunctionSpec& function = draw_function();
-    const Call call = ++last_call_;
+    const std::uint64_t number = ++last_call_;
     HttpMessage request;
     request.method = "GET";
     request.target = "/" + function.name + "/x";
     request.fields = {
-        {"Host", kHost}, {"X-Attempt-Id", "try-" + std::to_string(call)}, {"X-Deadline-Remaining", "4000"}};
-    pending_[call] = {net::Loop::now(), &function};
+        {"Host", kHost}, {"X-Attempt-Id", "try-" + std::to_string(number)}, {"X-Deadline-Remaining", "4000"}};
+    pending_[cluster::CallId{number}] = {net::Loop::now(), &function};
     ++outcomes_.sent;
-    caller_.call(call, proxy_address(static_cast<int>(call % kProxies)), request);
+    client_.call(cluster::CallId{number}, proxy_address(static_cast<int>(number % kProxies)), request);
 }
 
-void LoadGenerator::on_completed(Call call, CallEnd end, const HttpMessage& answer) {
-    const int status = end == CallEnd::answered ? answer.status : 0;
-    if (call == put_call_) return on_put_completed(status == 200);
-    const auto at = pending_.find(call);
+void LoadGenerator::on_call_completed(const cluster::CompletedCall& call) {
+    const int status = call.result == cluster::CallResult::completed ? call.response.status : 0;
+    if (call.id == put_call_) return on_put_completed(status == 200);
+    const auto at = pending_.find(call.id);
     if (at == pending_.end()) return;
     const Micros latency = net::Loop::now() - at->second.sent_at;
     const Micros target = at->second.function->latency_target_ms * Micros{1000};
--- a/rehearsal/system/load_generator.hpp
+++ b/rehearsal/system/load_generator.hpp
@@ -3,11 +3,12 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <map>
 #include <random>
 
 #include "net/loop.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 #include "trial_site.hpp"
 
 namespace gannethold::trial {
@@ -33,8 +34,6 @@
     const Outcomes& outcomes() const { return outcomes_; }
 
   private:
-    using Call = cluster::HttpCaller::Call;
-
     struct PendingRequest {
         Micros sent_at = 0;
         const FunctionSpec* function = nullptr;
@@ -43,17 +42,17 @@
     void put_configuration();
     void send_request();
     const FunctionSpec& draw_function();
-    void on_completed(Call call, cluster::CallEnd end, const cluster::HttpMessage& answer);
+    void on_call_completed(const cluster::CompletedCall& call);
     void on_put_completed(bool acknowledged);
 
-    cluster::HttpCaller caller_;
-    Call last_call_ = 0;
-    std::map<Call, PendingRequest> pending_;
+    cluster::HttpClient client_;
+    std::uint64_t last_call_ = 0;
+    std::map<cluster::CallId, PendingRequest> pending_;
     Outcomes outcomes_;
     std::mt19937 random_{7};
     double requests_due_ = 0;
     Micros last_sent_at_;
-    Call put_call_ = 0;
+    cluster::CallId put_call_{};
     int puts_ = 0;
     Micros next_put_ = 0;  // 0: acknowledged, or pending
     Micros next_sweep_ = 0;
--- a/rehearsal/system/platform_stand_in.cpp
+++ b/rehearsal/system/platform_stand_in.cpp
@@ -26,8 +26,8 @@
 PlatformStandIn::PlatformStandIn(net::Loop& loop)
     : loop_(loop),
       api_(loop, *net::Address::read(kPlatformAddress),
-           {[this](Exchange exchange, HttpMessage&& request) { on_request(exchange, request); },
-            [](Exchange) {}},
+           {[this](ExchangeId exchange, HttpMessage&& request) { on_request(exchange, request); },
+            [](ExchangeId) {}},
            kMaxConnections) {}
 
 int PlatformStandIn::excess_runs() const {
@@ -35,7 +35,7 @@
                                           [](const auto& run) { return run.second > kAttemptsOfRoute; }));
 }
 
-void PlatformStandIn::on_request(Exchange exchange, const HttpMessage& request) {
+void PlatformStandIn::on_request(ExchangeId exchange, const HttpMessage& request) {
     if (request.target.starts_with("/runners")) return list_runners(exchange);
     if (request.target == "/v1/workers") return list_workers(exchange);
     if (!accepts_fence(request)) return answer(exchange, 403, "{}");
@@ -51,7 +51,7 @@
     return true;
 }
 
-void PlatformStandIn::list_runners(Exchange exchange) {
+void PlatformStandIn::list_runners(ExchangeId exchange) {
     const Micros now = net::Loop::now();
     std::string rows;
     for (const auto& [id, runner] : runners_) {
@@ -65,7 +65,7 @@
     answer(exchange, 200, "{\"instances\":[" + rows + "],\"next_page_token\":null}");
 }
 
-void PlatformStandIn::list_workers(Exchange exchange) {
+void PlatformStandIn::list_workers(ExchangeId exchange) {
     std::string rows;
     for (int index = 0; index < kWorkers; ++index)
         rows += (index > 0 ? ",{" : "{") + std::string("\"name\":\"w-") + std::to_string(index) +
@@ -74,7 +74,7 @@
     answer(exchange, 200, "{\"workers\":[" + rows + "]}");
 }
 
-void PlatformStandIn::stop_runner(Exchange exchange, const std::string& body) {
+void PlatformStandIn::stop_runner(ExchangeId exchange, const std::string& body) {
     const json::Value order = json::read(body);
     const auto at = runners_.find(*order.text("runner_id"));
     if (at == runners_.end()) return answer(exchange, 404, "{}");
@@ -85,7 +85,7 @@
     answer(exchange, 200, "{}");
 }
 
-void PlatformStandIn::start_runner(Exchange exchange, const std::string& body) {
+void PlatformStandIn::start_runner(ExchangeId exchange, const std::string& body) {
     const json::Value order = json::read(body);
     const std::string service = *order.text("service");
     const std::string nonce = service + "/" + *order.text("request_nonce");
@@ -110,15 +110,15 @@
     runners_[runner->id] = std::move(runner);
 }
 
-void PlatformStandIn::answer(Exchange exchange, int status, std::string body) {
+void PlatformStandIn::answer(ExchangeId exchange, int status, std::string body) {
     HttpMessage message;
     message.status = status;
     message.fields.emplace_back("Content-Type", "application/json");
     message.body = std::move(body);
-    api_.answer(exchange, message);
+    api_.respond(exchange, message);
 }
 
-void PlatformStandIn::answer_started(Exchange exchange, const Runner& runner) {
+void PlatformStandIn::answer_started(ExchangeId exchange, const Runner& runner) {
     answer(exchange, 200, "{\"runner_id\":\"" + runner.id + "\",\"address\":\"" + runner.address + "\"}");
 }
 
@@ -127,21 +127,21 @@
         if (!runner->http && now >= runner->ready_at) open(*runner);
     if (now < next_sweep_) return;
     next_sweep_ = now + kSweepInterval;
-    api_.sweep(now);
+    api_.close_expired(now);
     for (auto& [id, runner] : runners_)
-        if (runner->http) runner->http->sweep(now);
+        if (runner->http) runner->http->close_expired(now);
 }
 
 void PlatformStandIn::open(Runner& runner) {
-    runner.http = std::make_unique<cluster::HttpService>(
+    runner.http = std::make_unique<cluster::HttpServer>(
         loop_, *net::Address::read(runner.address),
-        cluster::HttpService::Events{
-            [this, &runner](Exchange exchange, HttpMessage&& request) { run(runner, exchange, request); },
-            [](Exchange) {}},
+        cluster::HttpServer::Events{
+            [this, &runner](ExchangeId exchange, HttpMessage&& request) { run(runner, exchange, request); },
+            [](ExchangeId) {}},
         kMaxConnections);
 }
 
-void PlatformStandIn::run(Runner& runner, Exchange exchange, const HttpMessage& request) {
+void PlatformStandIn::run(Runner& runner, ExchangeId exchange, const HttpMessage& request) {
     const std::string attempt(request.field(kAttemptIdField));
     HttpMessage answer;
     answer.fields.emplace_back(kAttemptIdField, attempt);
@@ -150,7 +150,7 @@
         answer.status = is_full ? 503 : 421;
         if (is_full) ++rejected_;
         answer.fields.emplace_back("X-Request-Not-Run", "1");
-        return runner.http->answer(exchange, answer);
+        return runner.http->respond(exchange, answer);
     }
     ++runner.busy_slots;
     ++runs_[attempt];
@@ -165,9 +165,9 @@
 }
 
 // Called by the timer, which therefore stays in `work` until the runner goes.
-void PlatformStandIn::finish(Runner& runner, Exchange exchange, const HttpMessage& answer) {
+void PlatformStandIn::finish(Runner& runner, ExchangeId exchange, const HttpMessage& answer) {
     --runner.busy_slots;
-    if (runner.http) runner.http->answer(exchange, answer);
+    if (runner.http) runner.http->respond(exchange, answer);
 }
 
 }  // namespace gannethold::trial
--- a/rehearsal/system/platform_stand_in.hpp
+++ b/rehearsal/system/platform_stand_in.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/loop.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 #include "trial_site.hpp"
 
 namespace gannethold::trial {
@@ -32,7 +32,7 @@
     int excess_runs() const;
 
   private:
-    using Exchange = cluster::HttpService::Exchange;
+    using ExchangeId = cluster::ExchangeId;
 
     struct Runner {
         std::string id;
@@ -44,24 +44,24 @@
         Micros ready_at = 0;
         Micros listed_at = 0;
         int busy_slots = 0;
-        std::unique_ptr<cluster::HttpService> http;  // nullptr: still booting, or stopped
-        std::map<Exchange, std::unique_ptr<net::Timer>> work;
+        std::unique_ptr<cluster::HttpServer> http;  // nullptr: still booting, or stopped
+        std::map<ExchangeId, std::unique_ptr<net::Timer>> work;
     };
 
-    void on_request(Exchange exchange, const cluster::HttpMessage& request);
-    void list_runners(Exchange exchange);
-    void list_workers(Exchange exchange);
-    void start_runner(Exchange exchange, const std::string& body);
-    void stop_runner(Exchange exchange, const std::string& body);
+    void on_request(ExchangeId exchange, const cluster::HttpMessage& request);
+    void list_runners(ExchangeId exchange);
+    void list_workers(ExchangeId exchange);
+    void start_runner(ExchangeId exchange, const std::string& body);
+    void stop_runner(ExchangeId exchange, const std::string& body);
     bool accepts_fence(const cluster::HttpMessage& request);
-    void answer(Exchange exchange, int status, std::string body);
-    void answer_started(Exchange exchange, const Runner& runner);
+    void answer(ExchangeId exchange, int status, std::string body);
+    void answer_started(ExchangeId exchange, const Runner& runner);
     void open(Runner& runner);
-    void run(Runner& runner, Exchange exchange, const cluster::HttpMessage& request);
-    void finish(Runner& runner, Exchange exchange, const cluster::HttpMessage& answer);
+    void run(Runner& runner, ExchangeId exchange, const cluster::HttpMessage& request);
+    void finish(Runner& runner, ExchangeId exchange, const cluster::HttpMessage& answer);
 
     net::Loop& loop_;
-    cluster::HttpService api_;
+    cluster::HttpServer api_;
     std::map<std::string, std::unique_ptr<Runner>> runners_;  // by id
     std::vector<std::unique_ptr<Runner>> stopped_;
     std::map<std::string, std::string> started_by_nonce_;  // runners' ids, by service and nonce
--- a/src/cluster/controller/controller_status.cpp
+++ b/src/cluster/controller/controller_status.cpp
@@ -39,7 +39,7 @@
     status["recovering"] = json::Value(consensus->is_recovering());
     status["fence"] = json_number(coordinator ? coordinator->term() : 0);
     status["version"] = json_number(committed ? committed->version : 0);
-    status["malformed_lines"] = json_number(MessageConnection::malformed());
+    status["malformed_lines"] = json_number(MessageConnection::malformed_connections());
     if (part.empty() || part == "core") {
         json::List rows = member_rows(now, settings, *consensus);
         if (!rows.empty()) status["core"] = json::Value(std::move(rows));
--- a/src/cluster/controller/inbound_connections.cpp
+++ b/src/cluster/controller/inbound_connections.cpp
@@ -15,10 +15,8 @@
 void InboundConnections::on_accept(evutil_socket_t socket) {
     const Session session = ++last_session_;
     MessageConnection::Events events;
-    events.message_received = [this, session](const ReceivedMessage& received) {
-        on_message(session, received);
-    };
-    events.ended = [this, session] { closed_.push_back(session); };
+    events.on_message = [this, session](const ReceivedMessage& received) { on_message(session, received); };
+    events.on_disconnected = [this, session] { closed_.push_back(session); };
     peers_[session].connection = std::make_unique<MessageConnection>(loop_, socket, std::move(events));
 }
 
@@ -35,7 +33,7 @@
 
 void InboundConnections::send(Session session, const Message& message) {
     const auto at = peers_.find(session);
-    if (at != peers_.end() && at->second.connection->open()) at->second.connection->send(message);
+    if (at != peers_.end() && at->second.connection->is_open()) at->second.connection->send(message);
 }
 
 void InboundConnections::disconnect_proxies() {
@@ -48,7 +46,7 @@
 
 void InboundConnections::sweep(Micros now) {
     for (auto& [session, peer] : peers_) {
-        if (now <= peer.connection->heard() + kPeerTimeout) continue;
+        if (now <= peer.connection->last_received_at() + kPeerTimeout) continue;
         peer.connection->close();
         closed_.push_back(session);
     }
--- a/src/cluster/controller/inbound_connections.hpp
+++ b/src/cluster/controller/inbound_connections.hpp
@@ -37,7 +37,7 @@
     template <class Visit>
     void for_each_proxy(const Visit& visit) const {
         for (const auto& [session, peer] : peers_)
-            if (peer.is_proxy && peer.connection->open()) visit(session, peer.registration);
+            if (peer.is_proxy && peer.connection->is_open()) visit(session, peer.registration);
     }
 
     /// Closes all proxies' connections, so that they register with the next leader.
--- a/src/cluster/controller/operator_api.cpp
+++ b/src/cluster/controller/operator_api.cpp
@@ -19,46 +19,46 @@
                          DurableConsensus& consensus)
     : settings_(settings),
       consensus_(consensus),
-      service_(
-          loop, listen_at,
-          {[this](Exchange exchange, HttpMessage&& request) { on_request(exchange, std::move(request)); },
-           [this](Exchange exchange) { pending_.erase(exchange); }},
-          kMaxConnections) {
+      server_(loop, listen_at,
+              {.on_request = [this](ExchangeId exchange,
+                                    HttpMessage&& request) { on_request(exchange, std::move(request)); },
+               .on_client_disconnected = [this](ExchangeId exchange) { pending_.erase(exchange); }},
+              kMaxConnections) {
     Limits limits;
     limits.body_bytes = kMaxBodyBytes;
-    service_.limit(limits);
+    server_.set_limits(limits);
 }
 
-void OperatorApi::on_request(Exchange exchange, HttpMessage&& request) {
+void OperatorApi::on_request(ExchangeId exchange, HttpMessage&& request) {
     const std::string path = request.target.substr(0, request.target.find('?'));
-    if (path != "/v1/configuration") return service_.answer(exchange, ErrorCode::no_route, path);
+    if (path != "/v1/configuration") return server_.respond(exchange, ErrorCode::no_route, path);
     if (request.method != "PUT" && request.method != "GET")
-        return service_.answer(exchange, ErrorCode::request_malformed, "PUT or GET");
+        return server_.respond(exchange, ErrorCode::request_malformed, "PUT or GET");
     if (shutting_down_ || !consensus_.has_lease(net::Loop::now()))
         return redirect_to_leader(exchange, request);
     if (request.method == "GET") return get_configuration(exchange);
     put_configuration(exchange, std::move(request.body));
 }
 
-void OperatorApi::redirect_to_leader(Exchange exchange, const HttpMessage& request) {
+void OperatorApi::redirect_to_leader(ExchangeId exchange, const HttpMessage& request) {
     const Consensus* const state = consensus_.state();
     const std::string leader = state && !shutting_down_ ? state->leader() : std::string();
     if (leader.empty() || leader == settings_.control_plane)
-        return service_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
+        return server_.respond(exchange, ErrorCode::no_majority, {}, kRetryMs);
     HttpMessage answer;
     answer.status = error_response(ErrorCode::not_leading).status;
     answer.fields.emplace_back("Location", "http://" + leader + request.target);
-    service_.answer(exchange, answer);
+    server_.respond(exchange, answer);
 }
 
-void OperatorApi::get_configuration(Exchange exchange) {
+void OperatorApi::get_configuration(ExchangeId exchange) {
     const LogEntry* const entry = consensus_.state()->committed_entry();
     if (!entry || entry->version == 0)
-        return service_.answer(exchange, ErrorCode::no_majority, "no configuration yet", kRetryMs);
+        return server_.respond(exchange, ErrorCode::no_majority, "no configuration yet", kRetryMs);
     answer_json(exchange, entry->body);
 }
 
-void OperatorApi::put_configuration(Exchange exchange, std::string body) {
+void OperatorApi::put_configuration(ExchangeId exchange, std::string body) {
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
             BOOST_LEAF_AUTO(configuration, Configuration::read(body));
@@ -73,39 +73,39 @@
             Event("configuration_rejected", Level::warning)
                 .with("error", error_response(code).name)
                 .with("detail", detail.text);
-            service_.answer(exchange, code, detail.text);
+            server_.respond(exchange, code, detail.text);
         },
-        [&] { service_.answer(exchange, ErrorCode::configuration_cut); });
+        [&] { server_.respond(exchange, ErrorCode::configuration_cut); });
 }
 
-void OperatorApi::answer_json(Exchange exchange, std::string body) {
+void OperatorApi::answer_json(ExchangeId exchange, std::string body) {
     HttpMessage answer;
     answer.status = 200;
     answer.fields.emplace_back("Content-Type", "application/json");
     answer.body = std::move(body);
-    service_.answer(exchange, answer);
+    server_.respond(exchange, answer);
 }
 
 void OperatorApi::on_proposal_resolved(const ProposalResult& result) {
     const auto at = std::find_if(pending_.begin(), pending_.end(),
                                  [&](const auto& pending) { return pending.second == result.ticket; });
     if (at == pending_.end()) return;
-    const Exchange exchange = at->first;
+    const ExchangeId exchange = at->first;
     pending_.erase(at);
     switch (result.outcome) {
         case ProposalOutcome::committed:
             return answer_json(exchange, "{}");
         case ProposalOutcome::conflict:
-            return service_.answer(exchange, ErrorCode::version_conflict,
+            return server_.respond(exchange, ErrorCode::version_conflict,
                                    "another body was confirmed under it");
         case ProposalOutcome::unknown:
-            return service_.answer(exchange, ErrorCode::no_majority, {}, kRetryMs);
+            return server_.respond(exchange, ErrorCode::no_majority, {}, kRetryMs);
     }
 }
 
 void OperatorApi::on_storage_failed() {
     for (const auto& [exchange, ticket] : std::exchange(pending_, {}))
-        service_.answer(exchange, ErrorCode::disk_failed, {}, kStorageRetryMs);
+        server_.respond(exchange, ErrorCode::disk_failed, {}, kStorageRetryMs);
 }
 
 std::shared_ptr<const Configuration> OperatorApi::parsed(const LogEntry& entry) const {
@@ -116,8 +116,8 @@
 
 void OperatorApi::begin_shutdown() {
     shutting_down_ = true;
-    service_.say_goodbye();
-    service_.close_idle();
+    server_.disable_keep_alive();
+    server_.drain();
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/controller/operator_api.hpp
+++ b/src/cluster/controller/operator_api.hpp
@@ -12,7 +12,7 @@
 #include "cluster/base/settings.hpp"
 #include "cluster/configuration/configuration.hpp"
 #include "cluster/controller/durable_consensus.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 namespace gannethold::cluster {
 
@@ -36,23 +36,21 @@
     void begin_shutdown();
 
     /// Closes idle connections. Call it about twice a second.
-    void sweep(Micros now) { service_.sweep(now); }
+    void sweep(Micros now) { server_.close_expired(now); }
 
     std::size_t pending_proposals() const { return pending_.size(); }
 
   private:
-    using Exchange = HttpService::Exchange;
-
-    void on_request(Exchange exchange, HttpMessage&& request);
-    void redirect_to_leader(Exchange exchange, const HttpMessage& request);
-    void get_configuration(Exchange exchange);
-    void put_configuration(Exchange exchange, std::string body);
-    void answer_json(Exchange exchange, std::string body);
+    void on_request(ExchangeId exchange, HttpMessage&& request);
+    void redirect_to_leader(ExchangeId exchange, const HttpMessage& request);
+    void get_configuration(ExchangeId exchange);
+    void put_configuration(ExchangeId exchange, std::string body);
+    void answer_json(ExchangeId exchange, std::string body);
 
     const Settings& settings_;
     DurableConsensus& consensus_;
-    HttpService service_;
-    std::map<Exchange, Number> pending_;  // tickets of proposals whose clients wait
+    HttpServer server_;
+    std::map<ExchangeId, Number> pending_;  // tickets of proposals whose clients wait
     Number last_ticket_ = 0;
     std::shared_ptr<const Configuration> newest_put_;  // checked, and committed or not
     std::string newest_put_body_;
--- a/src/cluster/controller/peer_connections.cpp
+++ b/src/cluster/controller/peer_connections.cpp
@@ -21,7 +21,7 @@
         if (net::Loop::now() < peer.last_dialed_at + kRedialInterval) return;
         dial(member, peer);
     }
-    if (peer.connection && peer.connection->unsent() < kMaxUnsentBytes)
+    if (peer.connection && peer.connection->unsent_bytes() < kMaxUnsentBytes)
         peer.connection->send(message, settings_.control_plane);
 }
 
@@ -30,8 +30,8 @@
     if (!address) return;
     peer.last_dialed_at = net::Loop::now();
     MessageConnection::Events events;
-    events.message_received = [](const ReceivedMessage&) {};
-    events.ended = [this, member] { retire(peers_[member]); };
+    events.on_message = [](const ReceivedMessage&) {};
+    events.on_disconnected = [this, member] { retire(peers_[member]); };
     peer.connection =
         std::make_unique<MessageConnection>(loop_, *address, kConnectTimeout, std::move(events));
 }
--- a/src/cluster/coordinator/coordinator.cpp
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -11,7 +11,6 @@
 
 constexpr Micros kWorkerListInterval = 1'000'000;
 constexpr Micros kWorkerListRetryInterval = 300'000;
-constexpr Micros kRunnerListPause = 400'000;
 // Several proxies register or go at about the same time: their new ranks are announced once.
 constexpr Micros kRanksDelayAfterRegistration = 300'000;
 constexpr Micros kRanksDelayAfterDisconnect = 2'000'000;
@@ -52,8 +51,8 @@
       send_(std::move(send)),
       slot_table_(slot_table_options(settings)),
       planner_(planner_options(settings, term), net::Loop::now()),
-      listing_({settings.list_rate_per_s, kRunnerListPause}, net::Loop::now()),
-      platform_(loop, settings.platform, Fence{settings.node_name, term}, *this),
+      list_poller_({.max_pages_per_s = settings.list_rate_per_s}, net::Loop::now()),
+      platform_(loop, settings.platform, FencingToken{settings.node_name, term}, *this),
       recent_actions_(kMaxRecentActions) {
     Event("coordinator_started").with("term", term);
     next_tick_ = net::Loop::now();
@@ -165,18 +164,17 @@
 // ---- the platform ----
 
 void Coordinator::on_runner_page(Micros now, const RunnerListPage& page) {
-    bool complete = false;
-    std::vector<std::string> gone;
-    listing_.page(now, page, complete, gone);
+    const RunnerListPoller::Update update = list_poller_.on_page(now, page);
     std::vector<ProxyMessage> messages;
     for (const ListedRunner& listed : page.runners)
-        slot_table_.listed(now, listed.what, listed.draining, messages);
-    for (const std::string& runner : gone) slot_table_.gone(now, runner, "not listed any more", messages);
-    if (complete) planner_.list_read(now);
+        slot_table_.listed(now, listed.info, listed.draining, messages);
+    for (const std::string& runner : update.removed)
+        slot_table_.gone(now, runner, "not listed any more", messages);
+    if (update.is_complete) planner_.list_read(now);
     send_all(messages);
 }
 
-void Coordinator::on_runner_list_failed(Micros now) { listing_.failed(now); }
+void Coordinator::on_runner_list_failed(Micros now) { list_poller_.on_failure(now); }
 
 void Coordinator::on_worker_list(Micros now, std::vector<Worker> workers) {
     worker_list_pending_ = false;
@@ -196,7 +194,9 @@
     const bool started = reply.result == StartResult::begun;
     std::vector<ProxyMessage> messages;
     if (started) {
-        RunnerInfo runner = reply.runner;
+        RunnerInfo runner;
+        runner.runner = reply.runner_id;
+        runner.address = reply.address;
         runner.service = start.service;
         runner.worker = start.worker;
         runner.zone = planner_.zone_of(start.worker);
@@ -207,8 +207,8 @@
         .with("worker", start.worker)
         .with("reason", start.why)
         .with("status", reply.status)
-        .with("runner", reply.runner.runner);
-    recent_actions_.add({now, PlatformAction::Kind::start, start.service, start.worker, reply.runner.runner,
+        .with("runner", reply.runner_id);
+    recent_actions_.add({now, PlatformAction::Kind::start, start.service, start.worker, reply.runner_id,
                          reply.status, start.why});
     planner_.on_start_result(now, start.nonce, reply.result);
     send_all(messages);
@@ -251,8 +251,7 @@
 
 void Coordinator::poll_platform(Micros now) {
     platform_.tick(now);
-    std::string page_token;
-    if (listing_.due(now, page_token)) platform_.list_runners(page_token);
+    if (const auto page_token = list_poller_.take_due_request(now)) platform_.list_runners(*page_token);
     if (!worker_list_pending_ && now >= next_worker_list_) {
         worker_list_pending_ = true;
         next_worker_list_ = now + kWorkerListInterval;
--- a/src/cluster/coordinator/coordinator.hpp
+++ b/src/cluster/coordinator/coordinator.hpp
@@ -16,7 +16,7 @@
 #include "cluster/coordinator/configuration_publisher.hpp"
 #include "cluster/coordinator/platform_client.hpp"
 #include "cluster/placement/planner.hpp"
-#include "cluster/runners/listing.hpp"
+#include "cluster/runners/runner_list_poller.hpp"
 #include "cluster/slots/slot_table.hpp"
 
 namespace gannethold::cluster {
@@ -94,7 +94,7 @@
     Send send_;
     SlotTable slot_table_;
     Planner planner_;
-    RunnerListing listing_;
+    RunnerListPoller list_poller_;
     PlatformClient platform_;
     ConfigurationPublisher publisher_;
     std::map<Session, ProxySession> proxies_;
--- a/src/cluster/coordinator/platform_client.cpp
+++ b/src/cluster/coordinator/platform_client.cpp
@@ -9,17 +9,8 @@
 
 constexpr Micros kCallTimeout = 1'200'000;
 
-HttpCaller::Options caller_options() {
-    HttpCaller::Options options;
-    options.connect_limit = 600'000;
-    options.keep = 8'000'000;
-    options.most_idle = 4;
-    options.most_answer = std::size_t{16} << 20;
-    return options;
-}
-
-std::string status_text(const HttpMessage* answer) {
-    return answer ? std::to_string(answer->status) : std::string("none");
+std::string status_text(const HttpMessage* response) {
+    return response ? std::to_string(response->status) : std::string("none");
 }
 
 void log_failure(const char* event, ErrorCode code, const ErrorDetail& detail) {
@@ -28,61 +19,64 @@
 
 }  // namespace
 
-PlatformClient::PlatformClient(net::Loop& loop, std::string address, Fence fence, Listener& listener)
+PlatformClient::PlatformClient(net::Loop& loop, std::string address, FencingToken token, Listener& listener)
     : address_(std::move(address)),
-      fence_(std::move(fence)),
       listener_(listener),
-      caller_(loop, caller_options(),
-              {[this](HttpCaller::Call id, CallEnd end, HttpMessage&& answer, bool) {
-                   on_call_completed(id, end == CallEnd::answered ? &answer : nullptr);
-               },
-               [](const std::string&) {}, [](const std::string&) {}}) {}
+      api_(std::move(token)),
+      client_(loop,
+              {.connect_timeout = 600'000,
+               .idle_timeout = 8'000'000,
+               .max_idle_connections = 4,
+               .max_response_bytes = std::size_t{16} << 20},
+              {.on_call_completed = [this](CompletedCall&& call) {
+                  on_call_completed(call.id, call.result == CallResult::completed ? &call.response : nullptr);
+              }}) {}
 
 void PlatformClient::call(PendingCall pending, const HttpMessage& request) {
-    const HttpCaller::Call id = ++last_call_;
+    const CallId id{++last_call_};
     pending.deadline = net::Loop::now() + kCallTimeout;
     pending_[id] = std::move(pending);
-    caller_.call(id, address_, request);
+    client_.call(id, address_, request);
 }
 
 void PlatformClient::list_runners(const std::string& page_token) {
     PendingCall pending;
     pending.kind = Kind::list_runners;
-    call(std::move(pending), runner_list_.get(page_token));
+    call(std::move(pending), api_.list_runners(page_token));
 }
 
 void PlatformClient::list_workers() {
     PendingCall pending;
     pending.kind = Kind::list_workers;
-    call(std::move(pending), worker_list_.get());
+    call(std::move(pending), api_.list_workers());
 }
 
 void PlatformClient::start(const StartRunner& start) {
     PendingCall pending;
     pending.kind = Kind::start;
     pending.start = start;
-    call(std::move(pending), start_runner_.post(fence_, start));
+    call(std::move(pending), api_.start_runner(start));
 }
 
 void PlatformClient::stop(const StopRunner& stop) {
     PendingCall pending;
     pending.kind = Kind::stop;
     pending.stop = stop;
-    call(std::move(pending), stop_runner_.post(fence_, stop));
+    call(std::move(pending), api_.stop_runner(stop));
 }
 
 void PlatformClient::tick(Micros now) {
-    std::vector<HttpCaller::Call> overdue;
+    std::vector<CallId> overdue;
     for (const auto& [id, pending] : pending_)
         if (now >= pending.deadline) overdue.push_back(id);
-    for (const HttpCaller::Call id : overdue) {
-        caller_.abandon(id);
+    for (const CallId id : overdue) {
+        client_.cancel(id);
         on_call_completed(id, nullptr);
     }
-    caller_.sweep(now);
+    client_.close_expired(now);
 }
 
-void PlatformClient::on_call_completed(HttpCaller::Call id, const HttpMessage* answer) {
+void PlatformClient::on_call_completed(CallId id, const HttpMessage* response) {
     const auto at = pending_.find(id);
     if (at == pending_.end()) return;
     const PendingCall pending = std::move(at->second);
@@ -90,21 +84,21 @@
     const Micros now = net::Loop::now();
     switch (pending.kind) {
         case Kind::list_runners:
-            return on_runners(now, answer);
+            return on_runners(now, response);
         case Kind::list_workers:
-            return on_workers(now, answer);
+            return on_workers(now, response);
         case Kind::start:
-            return on_start(now, pending.start, answer);
+            return on_start(now, pending.start, response);
         case Kind::stop:
-            return on_stop(now, pending.stop, answer);
+            return on_stop(now, pending.stop, response);
     }
 }
 
-void PlatformClient::on_runners(Micros now, const HttpMessage* answer) {
+void PlatformClient::on_runners(Micros now, const HttpMessage* response) {
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            if (!answer) return failure(ErrorCode::platform_silent, "list");
-            BOOST_LEAF_AUTO(page, runner_list_.read(*answer));
+            if (!response) return failure(ErrorCode::platform_silent, "list");
+            BOOST_LEAF_AUTO(page, api_.read_runners(*response));
             listener_.on_runner_page(now, page);
             return {};
         },
@@ -115,11 +109,11 @@
         [&] { listener_.on_runner_list_failed(now); });
 }
 
-void PlatformClient::on_workers(Micros now, const HttpMessage* answer) {
+void PlatformClient::on_workers(Micros now, const HttpMessage* response) {
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            if (!answer) return failure(ErrorCode::platform_silent, "workers");
-            BOOST_LEAF_AUTO(workers, worker_list_.read(*answer));
+            if (!response) return failure(ErrorCode::platform_silent, "workers");
+            BOOST_LEAF_AUTO(workers, api_.read_workers(*response));
             listener_.on_worker_list(now, std::move(workers));
             return {};
         },
@@ -130,15 +124,20 @@
         [&] { listener_.on_worker_list_failed(now); });
 }
 
-void PlatformClient::on_start(Micros now, const StartRunner& start, const HttpMessage* answer) {
+void PlatformClient::on_start(Micros now, const StartRunner& start, const HttpMessage* response) {
     StartReply reply;
-    reply.status = status_text(answer);
-    if (answer) reply.result = start_runner_.read(*answer, reply.runner);
+    reply.status = status_text(response);
+    if (response) {
+        StartRunnerResponse started = api_.read_start(*response);
+        reply.result = started.result;
+        reply.runner_id = std::move(started.runner_id);
+        reply.address = std::move(started.address);
+    }
     listener_.on_start_completed(now, start, reply);
 }
 
-void PlatformClient::on_stop(Micros now, const StopRunner& stop, const HttpMessage* answer) {
-    listener_.on_stop_completed(now, stop, {answer && stop_runner_.done(*answer), status_text(answer)});
+void PlatformClient::on_stop(Micros now, const StopRunner& stop, const HttpMessage* response) {
+    listener_.on_stop_completed(now, stop, {response && api_.read_stop(*response), status_text(response)});
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/coordinator/platform_client.hpp
+++ b/src/cluster/coordinator/platform_client.hpp
@@ -2,14 +2,14 @@
 // runners. Each call ends with one call of the listener, also where the platform is silent.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
 #include "net/loop.hpp"
-#include "cluster/runners/listing.hpp"
-#include "cluster/runners/resources.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/runners/platform_api.hpp"
+#include "cluster/transport/http_client.hpp"
 
 namespace gannethold::cluster {
 
@@ -17,8 +17,9 @@
   public:
     struct StartReply {
         StartResult result = StartResult::silent;
-        RunnerInfo runner;   // where one was started: its name and address
-        std::string status;  // of HTTP; "none" without an answer
+        std::string runner_id;  // where one was started
+        std::string address;    // where one was started
+        std::string status;     // of HTTP; "none" without an answer
     };
     struct StopReply {
         bool done = false;
@@ -41,9 +42,9 @@
         virtual void on_stop_completed(Micros now, const StopRunner& stop, const StopReply& reply) = 0;
     };
 
-    /// `address`: "ip:port". `fence` goes with each start and stop. `loop` and `listener` must outlive this
+    /// `address`: "ip:port". `token` goes with each start and stop. `loop` and `listener` must outlive this
     /// object.
-    PlatformClient(net::Loop& loop, std::string address, Fence fence, Listener& listener);
+    PlatformClient(net::Loop& loop, std::string address, FencingToken token, Listener& listener);
 
     /// `page_token`: of the page; empty: the first.
     void list_runners(const std::string& page_token);
@@ -65,23 +66,19 @@
     };
 
     void call(PendingCall pending, const HttpMessage& request);
-    /// `answer`: nullptr where there is none.
-    void on_call_completed(HttpCaller::Call id, const HttpMessage* answer);
-    void on_runners(Micros now, const HttpMessage* answer);
-    void on_workers(Micros now, const HttpMessage* answer);
-    void on_start(Micros now, const StartRunner& start, const HttpMessage* answer);
-    void on_stop(Micros now, const StopRunner& stop, const HttpMessage* answer);
+    /// `response`: nullptr where there is none.
+    void on_call_completed(CallId id, const HttpMessage* response);
+    void on_runners(Micros now, const HttpMessage* response);
+    void on_workers(Micros now, const HttpMessage* response);
+    void on_start(Micros now, const StartRunner& start, const HttpMessage* response);
+    void on_stop(Micros now, const StopRunner& stop, const HttpMessage* response);
 
     std::string address_;
-    Fence fence_;
     Listener& listener_;
-    RunnerListResource runner_list_;
-    WorkerListResource worker_list_;
-    StartRunnerResource start_runner_;
-    StopRunnerResource stop_runner_;
-    std::map<HttpCaller::Call, PendingCall> pending_;
-    HttpCaller::Call last_call_ = 0;
-    HttpCaller caller_;
+    PlatformApi api_;
+    std::map<CallId, PendingCall> pending_;
+    std::uint64_t last_call_ = 0;
+    HttpClient client_;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/admin.cpp
@@ -20,18 +20,18 @@
 ExplainResource::ExplainResource(net::Loop& loop, Explain explain) : explain_(std::move(explain)) {
     const std::string address = absl::GetFlag(FLAGS_admin);
     if (address.empty()) return;
-    service_ = std::make_unique<HttpService>(
+    service_ = std::make_unique<HttpServer>(
         loop, address_or_end(address, "--admin"),
-        HttpService::Events{
-            [this](HttpService::Exchange exchange, HttpMessage&& request) { on_request(exchange, request); },
-            [](HttpService::Exchange) {}},
+        HttpServer::Events{
+            [this](ExchangeId exchange, HttpMessage&& request) { on_request(exchange, request); },
+            [](ExchangeId) {}},
         kMaxConnections);
 }
 
-void ExplainResource::on_request(HttpService::Exchange exchange, const HttpMessage& request) {
+void ExplainResource::on_request(ExchangeId exchange, const HttpMessage& request) {
     constexpr std::string_view kParameter = "what=";
     if (request.method != "GET" || request.target.substr(0, request.target.find('?')) != "/explain")
-        return service_->answer(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
+        return service_->respond(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
     const auto at = request.target.find(kParameter);
     const std::string part =
         at == std::string::npos ? std::string() : request.target.substr(at + kParameter.size());
@@ -39,7 +39,7 @@
     answer.status = 200;
     answer.fields.emplace_back("Content-Type", "application/json");
     answer.body = json::write(explain_(part));
-    service_->answer(exchange, answer);
+    service_->respond(exchange, answer);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/admin.hpp
+++ b/src/cluster/programs/admin.hpp
@@ -8,7 +8,7 @@
 
 #include "json/json.hpp"
 #include "cluster/status/json_values.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 namespace gannethold::cluster {
 
@@ -22,14 +22,14 @@
     ExplainResource(net::Loop& loop, Explain explain);
     /// Closes idle connections. Call it about twice a second.
     void sweep(Micros now) {
-        if (service_) service_->sweep(now);
+        if (service_) service_->close_expired(now);
     }
 
   private:
-    void on_request(HttpService::Exchange exchange, const HttpMessage& request);
+    void on_request(ExchangeId exchange, const HttpMessage& request);
 
     Explain explain_;
-    std::unique_ptr<HttpService> service_;
+    std::unique_ptr<HttpServer> service_;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/explain.cpp
+++ b/src/cluster/programs/explain.cpp
@@ -11,7 +11,7 @@
 
 #include "json/json.hpp"
 #include "net/loop.hpp"
-#include "cluster/transport/http_caller.hpp"
+#include "cluster/transport/http_client.hpp"
 
 ABSL_FLAG(std::string, at, "127.0.0.1:9800", "ip:port that the process was given as --admin");
 ABSL_FLAG(bool, json, false, "print the JSON as it came");
@@ -25,7 +25,7 @@
 using namespace gannethold;
 
 constexpr std::size_t kBlocks = 64;
-constexpr std::size_t kMaxAnswerBytes = std::size_t{64} << 20;
+constexpr std::size_t kMaxResponseBytes = std::size_t{64} << 20;
 
 std::string cell_text(const json::Value& value) {
     if (const auto* text = value.get<std::string>()) return *text;
@@ -88,15 +88,6 @@
     return 0;
 }
 
-cluster::HttpCaller::Options caller_options() {
-    cluster::HttpCaller::Options options;
-    options.connect_limit = 1'000'000;
-    options.keep = 1'000'000;
-    options.most_idle = 1;
-    options.most_answer = kMaxAnswerBytes;
-    return options;
-}
-
 cluster::HttpMessage explain_request() {
     cluster::HttpMessage request;
     request.method = "GET";
@@ -109,22 +100,25 @@
 int explain(const std::string& address) {
     net::Loop loop(kBlocks);
     int status = 1;
-    const auto on_completed = [&](cluster::HttpCaller::Call, cluster::CallEnd end,
-                                  cluster::HttpMessage&& answer, bool) {
-        if (end == cluster::CallEnd::answered && answer.status == 200)
-            status = print(answer.body);
-        else
-            std::fprintf(stderr, "no answer at %s\n", address.c_str());
-        loop.stop();
-    };
-    cluster::HttpCaller caller(loop, caller_options(),
-                               {on_completed, [](const std::string&) {}, [](const std::string&) {}});
+    cluster::HttpClient client(
+        loop,
+        {.connect_timeout = 1'000'000,
+         .idle_timeout = 1'000'000,
+         .max_idle_connections = 1,
+         .max_response_bytes = kMaxResponseBytes},
+        {.on_call_completed = [&](cluster::CompletedCall&& call) {
+            if (call.result == cluster::CallResult::completed && call.response.status == 200)
+                status = print(call.response.body);
+            else
+                std::fprintf(stderr, "no answer at %s\n", address.c_str());
+            loop.stop();
+        }});
     net::Timer timeout(loop, [&] {
         std::fprintf(stderr, "no answer at %s in time\n", address.c_str());
         loop.stop();
     });
     timeout.set(net::Loop::now() + absl::GetFlag(FLAGS_wait_ms) * Micros{1000});
-    caller.call(1, address, explain_request());
+    client.call(cluster::CallId{1}, address, explain_request());
     loop.run([] {});
     return status;
 }
--- a/src/cluster/proxy_server/classify_attempt.cpp
+++ b/src/cluster/proxy_server/classify_attempt.cpp
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-AttemptResult classify_attempt(CallEnd end, const HttpMessage& response, bool is_first_response) {
-    switch (end) {
-        case CallEnd::unreachable:
+AttemptResult classify_attempt(CallResult call_result, const HttpMessage& response, bool is_first_response) {
+    switch (call_result) {
+        case CallResult::connect_failed:
             return AttemptResult::connect_failed;
-        case CallEnd::unsent:
+        case CallResult::not_sent:
             return AttemptResult::not_sent;
-        case CallEnd::answered:
+        case CallResult::completed:
             return classify_response(response, is_first_response);
-        case CallEnd::broken:
-        case CallEnd::malformed:
+        case CallResult::connection_lost:
+        case CallResult::malformed_response:
             break;
     }
     return AttemptResult::outcome_unknown;
--- a/src/cluster/proxy_server/downstream_server.cpp
+++ b/src/cluster/proxy_server/downstream_server.cpp
@@ -3,18 +3,28 @@
 #include "cluster/proxy_server/forwarding.hpp"
 
 namespace gannethold::cluster {
+namespace {
+
+// A request bears its exchange's number through the whole proxy.
+RequestId request_id(ExchangeId exchange) { return static_cast<RequestId>(exchange); }
+
+}  // namespace
 
 DownstreamServer::DownstreamServer(net::Loop& loop, const net::Address& address, std::size_t max_connections,
                                    Events events)
     : events_(std::move(events)),
-      service_(
-          loop, address,
-          {[this](HttpService::Exchange id, HttpMessage&& message) { on_request(id, std::move(message)); },
-           [this](HttpService::Exchange id) {
-               requests_.erase(id);  // so it is not sent again
-               events_.client_disconnected(id);
-           }},
-          max_connections) {}
+      server_(loop, address,
+              {.on_request =
+                   [this](ExchangeId exchange, HttpMessage&& message) {
+                       on_request(request_id(exchange), std::move(message));
+                   },
+               .on_client_disconnected =
+                   [this](ExchangeId exchange) {
+                       const RequestId id = request_id(exchange);
+                       requests_.erase(id);  // so it is not sent again
+                       events_.client_disconnected(id);
+                   }},
+              max_connections) {}
 
 void DownstreamServer::on_request(RequestId id, HttpMessage&& message) {
     const std::uint32_t deadline_ms = parse_deadline_ms(message.field(kDeadlineHeader));
@@ -30,12 +40,12 @@
 }
 
 void DownstreamServer::reply(const Actions::LocalReply& local_reply) {
-    service_.answer(local_reply.request, local_reply.error, {}, local_reply.retry_after_ms);
+    server_.respond(ExchangeId{local_reply.request}, local_reply.error, {}, local_reply.retry_after_ms);
     requests_.erase(local_reply.request);
 }
 
 void DownstreamServer::relay(RequestId id, HttpMessage&& upstream_response) {
-    service_.answer(id, make_downstream_response(std::move(upstream_response)));
+    server_.respond(ExchangeId{id}, make_downstream_response(std::move(upstream_response)));
     requests_.erase(id);
 }
 
--- a/src/cluster/proxy_server/readiness_server.hpp
+++ b/src/cluster/proxy_server/readiness_server.hpp
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 namespace gannethold::cluster {
 
@@ -17,13 +17,13 @@
   public:
     ReadinessServer(net::Loop& loop, const net::Address& address, std::function<Readiness()> readiness);
 
-    void sweep(Micros now) { service_.sweep(now); }
+    void sweep(Micros now) { server_.close_expired(now); }
 
   private:
-    void on_probe(HttpService::Exchange exchange);
+    void on_probe(ExchangeId exchange);
 
     std::function<Readiness()> readiness_;
-    HttpService service_;
+    HttpServer server_;
 };
 
 }  // namespace gannethold::cluster
--- a/tests/system/controller/coordinator_role_test.cpp
+++ b/tests/system/controller/coordinator_role_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cluster/controller/coordinator_role.hpp"
-#include "peers.hpp"
+#include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
 namespace {
@@ -64,13 +64,15 @@
     bool is_leader() const { return consensus->has_lease(net::Loop::now()); }
     // Turns the loop with the clock of consensus running.
     bool until(const std::function<bool()>& condition) {
-        return turn_until(loop, [&] {
+        return run_loop_until(loop, [&] {
             tick();
             return condition();
         });
     }
     // Turns the loop as a machine does that has no time for consensus.
-    bool until_without_ticks(const std::function<bool()>& condition) { return turn_until(loop, condition); }
+    bool until_without_ticks(const std::function<bool()>& condition) {
+        return run_loop_until(loop, condition);
+    }
 
     net::Loop loop{256};
     std::uint16_t port;
--- a/tests/system/controller/inbound_connections_test.cpp
+++ b/tests/system/controller/inbound_connections_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cluster/controller/inbound_connections.hpp"
-#include "peers.hpp"
+#include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
 namespace {
@@ -31,7 +31,7 @@
             });
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
-    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
+    bool until(const std::function<bool()>& condition) { return run_loop_until(loop, condition); }
     std::vector<std::string> connected_proxies() const {
         std::vector<std::string> names;
         connections->for_each_proxy(
--- a/tests/system/controller/operator_api_test.cpp
+++ b/tests/system/controller/operator_api_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "cluster/controller/operator_api.hpp"
-#include "peers.hpp"
+#include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
 namespace {
@@ -47,19 +47,19 @@
     ~Machine() { std::filesystem::remove_all(folder); }
 
     bool lead() {
-        return turn_until(loop, [this] {
+        return run_loop_until(loop, [this] {
             consensus->on_timer(net::Loop::now());
             return consensus->has_lease(net::Loop::now());
         });
     }
     std::string answer_to(const std::string& text) {
-        Wire wire = Wire::to(port);
-        wire.say(text);
-        BOOST_REQUIRE(turn_until(loop, [&] {
+        ScriptedConnection wire = ScriptedConnection::connect_to(port);
+        wire.send(text);
+        BOOST_REQUIRE(run_loop_until(loop, [&] {
             if (consensus->state()) consensus->on_timer(net::Loop::now());  // keeps the lease
-            return wire.has("}") || wire.closed;
+            return wire.has_received("}") || wire.closed;
         }));
-        return wire.got;
+        return wire.received;
     }
 
     net::Loop loop{256};
@@ -129,15 +129,15 @@
 BOOST_AUTO_TEST_CASE(a_machine_that_shuts_down_answers_no_more_as_the_leader) {
     Machine machine;
     BOOST_REQUIRE(machine.lead());
-    Wire wire = Wire::to(machine.port);
-    wire.say(request("GET", "/v1/configuration").substr(0, 10));  // accepted before
+    ScriptedConnection wire = ScriptedConnection::connect_to(machine.port);
+    wire.send(request("GET", "/v1/configuration").substr(0, 10));  // accepted before
     const Micros accepted_by = net::Loop::now() + kAcceptTime;
-    turn_until(machine.loop, [&] { return net::Loop::now() >= accepted_by; });
+    run_loop_until(machine.loop, [&] { return net::Loop::now() >= accepted_by; });
     BOOST_REQUIRE(machine.lead());
     machine.api->begin_shutdown();
-    wire.say(request("GET", "/v1/configuration").substr(10));
-    BOOST_REQUIRE(turn_until(machine.loop, [&] { return wire.has("}") || wire.closed; }));
-    BOOST_TEST(wire.got.starts_with("HTTP/1.1 503"));
+    wire.send(request("GET", "/v1/configuration").substr(10));
+    BOOST_REQUIRE(run_loop_until(machine.loop, [&] { return wire.has_received("}") || wire.closed; }));
+    BOOST_TEST(wire.received.starts_with("HTTP/1.1 503"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/controller/peer_connections_test.cpp
+++ b/tests/system/controller/peer_connections_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "cluster/controller/peer_connections.hpp"
-#include "peers.hpp"
+#include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
 namespace {
@@ -20,15 +20,15 @@
         settings.internal_port = peer.port;
     }
     void send() { connections.send(member, Heartbeat{}); }
-    bool until(const std::function<bool()>& condition) { return turn_until(loop, condition); }
+    bool until(const std::function<bool()>& condition) { return run_loop_until(loop, condition); }
     void let_pass(Micros span) {
         const Micros end = net::Loop::now() + span;
         until([end] { return net::Loop::now() >= end; });
     }
-    std::size_t dials() { return peer.guests().size(); }
+    std::size_t dials() { return peer.connections().size(); }
 
     net::Loop loop{256};
-    Door peer;
+    ScriptedListener peer;
     Settings settings;
     std::string member = "127.0.0.1:18263";  // its control_plane address
     PeerConnections connections{loop, settings};
@@ -43,7 +43,7 @@
     BOOST_REQUIRE(fixture.until([&] { return fixture.dials() == 1; }));
     fixture.send();
     fixture.send();
-    BOOST_TEST(fixture.until([&] { return !fixture.peer.guests()[0].look().got.empty(); }));
+    BOOST_TEST(fixture.until([&] { return !fixture.peer.connections()[0].receive().received.empty(); }));
     BOOST_TEST(fixture.dials() == 1U);
 }
 
@@ -52,7 +52,7 @@
     fixture.send();
     BOOST_REQUIRE(fixture.until([&] { return fixture.dials() == 1; }));
     fixture.let_pass(kLongerThanRedialInterval);
-    fixture.peer.guests()[0].hang_up();
+    fixture.peer.connections()[0].close();
     fixture.let_pass(kLongerThanRedialInterval);
     fixture.send();
     BOOST_TEST(fixture.until([&] { return fixture.dials() == 2; }));
@@ -76,9 +76,9 @@
     fixture.connections.on_received_from(fixture.member, later);
     fixture.connections.sweep(later);
     fixture.let_pass(kLongerThanRedialInterval);
-    BOOST_TEST(!fixture.peer.guests()[0].look().closed);
+    BOOST_TEST(!fixture.peer.connections()[0].receive().closed);
     fixture.connections.sweep(later + kLongerThanPeerTimeout);
-    BOOST_TEST(fixture.until([&] { return fixture.peer.guests()[0].look().closed; }));
+    BOOST_TEST(fixture.until([&] { return fixture.peer.connections()[0].receive().closed; }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
