--- a/tests/system/controller/coordinator_role_test.cpp
+++ b/tests/system/controller/coordinator_role_test.cpp
@@ -115,7 +115,7 @@
     BOOST_TEST(proxy.count<Registered>() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_that_came_before_the_leader_is_registered_with_it) {
+BOOST_AUTO_TEST_CASE(a_proxy_connected_before_the_election_is_registered_with_it) {
     Controller controller;
     Proxy proxy(controller);
     BOOST_REQUIRE(controller.until_without_ticks([&] { return proxy.count<Redirect>() == 1; }));
--- a/tests/system/controller/operator_api_test.cpp
+++ b/tests/system/controller/operator_api_test.cpp
@@ -78,7 +78,7 @@
     BOOST_TEST(machine.answer_to(request("POST", "/v1/configuration")).starts_with("HTTP/1.1 400"));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_leader_an_operator_is_told_to_retry) {
+BOOST_AUTO_TEST_CASE(without_a_leader_the_answer_is_503_with_retry_after) {
     Machine machine;
     const std::string answer = machine.answer_to(request("PUT", "/v1/configuration", configuration(1)));
     BOOST_TEST(answer.starts_with("HTTP/1.1 503"));
