--- a/src/cluster/base/events.cpp
+++ b/src/cluster/base/events.cpp
@@ -7,6 +7,7 @@
 
 #include <memory>
 #include <optional>
+#include <utility>
 
 namespace gannethold::cluster {
 namespace {
@@ -14,9 +15,6 @@
 constexpr bool kToStandardError = true;
 constexpr bool kFlushEachLine = true;
 
-// The logger once the log is open; never destroyed before the last event.
-log4cplus::Logger* open_logger = nullptr;
-
 log4cplus::LogLevel log4cplus_level(Level level) {
     switch (level) {
         case Level::debug:
@@ -39,22 +37,33 @@
     return std::nullopt;
 }
 
+// Set from open_log() to close_log().
+std::unique_ptr<log4cplus::Initializer> initializer;
+std::optional<log4cplus::Logger> open_logger;
+
 }  // namespace
 
 bool open_log(const std::string& level) {
     const auto min_level = level_named(level);
     if (!min_level) return false;
-    static log4cplus::Initializer initializer;
-    static log4cplus::Logger root = log4cplus::Logger::getRoot();
+    if (!initializer) initializer = std::make_unique<log4cplus::Initializer>();
+    log4cplus::Logger root = log4cplus::Logger::getRoot();
     log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(kToStandardError, kFlushEachLine));
     console->setLayout(std::make_unique<log4cplus::PatternLayout>("time=%d{%q} level=%p %m%n"));
     root.removeAllAppenders();
     root.addAppender(console);
     root.setLogLevel(log4cplus_level(*min_level));
-    open_logger = &root;
+    open_logger = std::move(root);
     return true;
 }
 
+void close_log() {
+    if (!open_logger) return;
+    open_logger->removeAllAppenders();
+    open_logger.reset();
+    initializer.reset();
+}
+
 Event::Event(std::string_view name, Level level)
     : level_(level), is_enabled_(open_logger && open_logger->isEnabledFor(log4cplus_level(level))) {
     if (is_enabled_) line_.append("event=").append(name);
--- a/src/cluster/base/events.hpp
+++ b/src/cluster/base/events.hpp
@@ -18,6 +18,10 @@
 // it are dropped.
 bool open_log(const std::string& level);
 
+// Writes out what was logged and ends the logger's threads; events after it are dropped. Call it before
+// main() returns.
+void close_log();
+
 // Collects one line and writes it when destroyed. Any number may exist at once; safe from several threads.
 class Event {
   public:
--- a/src/cluster/programs/proxy.cpp
+++ b/src/cluster/programs/proxy.cpp
@@ -1,6 +1,5 @@
 // gannethold-proxy: takes requests from clients, draws their runners, acquires slots from the coordinator,
 // and brings the responses back (proxy_server/proxy_server.hpp).
-#include <csignal>
 #include <utility>
 
 #include "cluster/programs/admin.hpp"
@@ -28,8 +27,7 @@
               loop,
               [this](const std::string& what) { return explain_proxy(server_, what, net::Loop::now()); }),
           sweep_timer_(loop, [this] { on_sweep_timer(); }),
-          terminate_(loop, SIGTERM, [this] { server_.begin_shutdown(); }),
-          interrupt_(loop, SIGINT, [this] { server_.begin_shutdown(); }) {
+          signals_(loop, [this] { server_.begin_shutdown(); }) {
         on_sweep_timer();
     }
 
@@ -39,7 +37,7 @@
         explain_.sweep(now);
         if (now >= next_settings_check_) {
             next_settings_check_ = now + kSettingsInterval;
-            settings_watch_.look(false);
+            settings_watch_.poll();
         }
         sweep_timer_.set(now + kSweepInterval);
     }
@@ -49,8 +47,7 @@
     ExplainResource explain_;
     Micros next_settings_check_ = 0;
     net::Timer sweep_timer_;
-    net::Signal terminate_;
-    net::Signal interrupt_;
+    ShutdownSignals signals_;
 };
 
 }  // namespace
@@ -58,12 +55,8 @@
 
 int main(int argc, char** argv) {
     using namespace gannethold;
-    const cluster::Settings settings =
-        cluster::begin_process(argc, argv,
-                               "gannethold-proxy takes requests from clients and brings them to runners.\n"
-                               "It takes its addresses and bounds from the settings file.");
-    net::Loop loop(cluster::blocks_for(settings));
-    cluster::ProxyProgram program(loop, settings);
-    loop.run([] {});
-    cluster::end_process();
+    return cluster::run_process<cluster::ProxyProgram>(
+        argc, argv,
+        "gannethold-proxy takes requests from clients and brings them to runners.\n"
+        "It takes its addresses and bounds from the settings file.");
 }
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/configuration/configuration.hpp"
-#include "cluster/programs/coordinator.hpp"
+#include "cluster/coordinator/coordinator.hpp"
 #include "scripted_peers.hpp"
 
 namespace gannethold::cluster {
@@ -103,9 +103,9 @@
         coordinator.emplace(loop, settings, term, [](Session, const Message&) {});
         LogEntry entry;
         entry.version = 1;
-        coordinator->committed(entry, configuration(true, 2));
-        coordinator->came(kSession, RegisterRequest{"front", "z0", 1, 1, {}, {}});
-        coordinator->said(kSession, AcquireRequest{1, 0, kService, 1500, 60'000, 1, 1, false});
+        coordinator->on_committed(entry, configuration(true, 2));
+        coordinator->on_registered(kSession, RegisterRequest{"front", "z0", 1, 1, {}, {}});
+        coordinator->on_message(kSession, AcquireRequest{1, 0, kService, 1500, 60'000, 1, 1, false});
     }
     bool run_until_starts(std::size_t count) {
         return run_loop_until(loop, [&] {
