--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-void Planner::workers(Micros, std::vector<Worker> all) {
+void Planner::update_workers(Micros, std::vector<Worker> all) {
     workers_.clear();
     for (Worker& w : all) workers_[w.name] = std::move(w);
 }
 
 bool Planner::spend(Micros now) {
     // Under the platform's rate, shared by all who could hold the duty one after the other.
-    tokens_ = std::min(std::max(4.0, options_.duty_per_s / 8),
-                       tokens_ + static_cast<double>(now - tokens_at_) / 1e6 * options_.duty_per_s * 0.8);
+    tokens_ = std::min(std::max(4.0, options_.requests_per_s / 8),
+                       tokens_ + static_cast<double>(now - tokens_at_) / 1e6 * options_.requests_per_s * 0.8);
     tokens_at_ = now;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
@@ -39,11 +39,10 @@
 
 // In the zone that needs it if there is room, then in its region, then anywhere; there on the worker that has
 // none of the function yet, so that one crash leaves some; then on the emptiest.
-const Worker* Planner::place(Micros now, const Function& f, const SlotTable& slot_table,
-                             const std::string& zone) const {
+const Worker* Planner::place(Micros now, const Function& f, const std::string& zone) const {
     std::map<std::string, int> there;
-    for (const std::uint32_t number : f.runners)
-        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) ++there[r.what.worker];
+    for (const RunnerSlots* const runner : f.runners)
+        if (const RunnerSlots& r = *runner; !r.draining) ++there[r.info.worker];
     std::map<std::string, std::int64_t> promised;
     for (const auto& [nonce, p] : starts_) {
         promised[p.begin.worker] += p.memory;
@@ -73,20 +72,20 @@
                             std::size_t starting) const {
     const Service& s = *f.service;
     const double slots = s.most;
-    const double load = std::max(f.load_fast, f.load_slow);
+    const double load = std::max(f.load.fast(), f.load.slow());
     Wish wish;
     wish.why = "idle";
     // Where one more is best: the zone with most requests for each runner there.
     std::map<std::string, double> there;
-    for (const std::uint32_t number : f.runners)
-        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) there[r.what.zone] += 1;
+    for (const RunnerSlots* const runner : f.runners)
+        if (const RunnerSlots& r = *runner; !r.draining) there[r.info.zone] += 1;
     if (const auto of = starts_of_.find(f.name); of != starts_of_.end())
         for (const std::string& nonce : of->second)
             if (const auto p = starts_.find(nonce); p != starts_.end())
                 there[zone_of(p->second.begin.worker)] += 1;
     double most = 0;
-    for (const auto& [zone, place] : f.places) {
-        const double need = place.rate / (0.2 + there[zone]);
+    for (const auto& [zone, place] : f.zones.by_zone()) {
+        const double need = place.requests_per_s / (0.2 + there[zone]);
         if (need > most) {
             most = need;
             wish.zone = zone;
@@ -100,9 +99,9 @@
         std::map<std::string, double> rates;
         std::map<std::string, double> has;
         std::size_t zones = 0;
-        for (const auto& [zone, place] : f.places) {
-            rates[region(zone)] += place.rate;
-            zones += place.rate > kNearRate * static_cast<double>(s.memory_mb) / 1024;
+        for (const auto& [zone, place] : f.zones.by_zone()) {
+            rates[region(zone)] += place.requests_per_s;
+            zones += place.requests_per_s > kNearRate * static_cast<double>(s.memory_mb) / 1024;
         }
         std::size_t regions = 0;
         for (const auto& [name, rate] : rates)
@@ -112,15 +111,16 @@
             wish.count = near;
             wish.why = "near";
         }
-    } else if (f.rate * kHold * static_cast<double>(s.boot) / 1e6 > 1 || f.load_slow > 0.5) {
+    } else if (f.zones.requests_per_s() * kHold * static_cast<double>(s.boot) / 1e6 > 1 ||
+               f.load.slow() > 0.5) {
         wish.count = std::max<std::size_t>(
-            1, static_cast<std::size_t>(std::ceil((f.load_slow + std::sqrt(f.load_slow)) / slots - 0.3)));
+            1, static_cast<std::size_t>(std::ceil((f.load.slow() + std::sqrt(f.load.slow())) / slots - 0.3)));
         wish.why = "load";
     }
     if (!f.waiting.empty()) {
         std::map<std::string, int> zones;
         for (const auto& [place, w] : f.waiting.all())
-            if (const std::string* zone = slot_table.zone_of(w.front)) ++zones[*zone];
+            if (const std::string* zone = slot_table.proxy_zone(w.session)) ++zones[*zone];
         int many = 0;
         for (const auto& [zone, count] : zones)
             if (count > many) {
@@ -144,7 +144,7 @@
     return wish;
 }
 
-void Planner::plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail) {
+void Planner::plan_for_waiting(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail) {
     // What one more in a long line changes is little, and to look at all of it for each costs more than there
     // is.
     if (f.waiting.size() > kShortLine && now < f.planned_at + kPlanEach) return;
@@ -153,33 +153,33 @@
 }
 
 // What starts on a worker that drains or is down never comes up: another start is planned for at once.
-void Planner::cancel_lost_starts(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) const {
+void Planner::cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& mail) const {
     std::vector<std::string> lost;
     for (const auto& [number, runner] : slot_table.runners()) {
-        const auto worker = workers_.find(runner.what.worker);
+        const auto worker = workers_.find(runner.info.worker);
         const bool up = worker != workers_.end() && worker->second.ready;
-        if (runner.state == RunnerState::starting && !up) lost.push_back(runner.what.runner);
+        if (runner.state == RunnerState::starting && !up) lost.push_back(runner.info.runner);
     }
-    for (const std::string& runner : lost) slot_table.gone(now, runner, "its worker drains or is down", mail);
+    for (const std::string& runner : lost) slot_table.on_runner_gone(now, runner, mail);
 }
 
-void Planner::plan(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail) {
+void Planner::plan(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail) {
     if (!committed(now)) return;
     // Nobody asks, nothing runs, none is to be warm.
-    if (f.service && f.runners.empty() && f.waiting.empty() && f.rate < 0.01 && !f.service->warm() &&
-        !starts_of_.contains(f.name))
+    if (f.service && f.runners.empty() && f.waiting.empty() && f.zones.requests_per_s() < 0.01 &&
+        !f.service->warm() && !starts_of_.contains(f.name))
         return;
     if (!f.service) {
-        for (const std::uint32_t number : std::vector<std::uint32_t>(f.runners)) {
-            slot_table.retire(now, number, mail);
-            leaving_.try_emplace(slot_table.runner(number).what.runner, Leaving{number, 0, false});
+        for (const RunnerSlots* const runner : f.runners) {
+            slot_table.drain_runner(now, runner->number, mail);
+            leaving_.try_emplace(runner->info.runner, Leaving{runner->number, 0, false});
         }
         return;
     }
     std::size_t have = 0;
     std::size_t starting = 0;
-    for (const std::uint32_t number : f.runners) {
-        const RunnerSlots& r = slot_table.runner(number);
+    for (const RunnerSlots* const runner : f.runners) {
+        const RunnerSlots& r = *runner;
         have += !r.draining;
         starting += !r.draining && r.state == RunnerState::starting;
     }
@@ -190,8 +190,8 @@
     const Wish want = wish(now, slot_table, f, have, starting);
     if (have < want.count) {
         surplus_since_.erase(f.name);
-        const Worker* const worker = place(now, f, slot_table, want.zone);
-        f.no_room = !worker;
+        const Worker* const worker = place(now, f, want.zone);
+        f.no_worker_has_room = !worker;
         if (!worker) return;
         const std::string nonce = options_.nonce_prefix + std::to_string(++count_);
         starts_[nonce] = {{f.name, worker->name, nonce, want.why}, f.service->memory_mb, now, false, 0};
@@ -208,16 +208,17 @@
     if (now < since + keep) return;
     const RunnerSlots* chosen = nullptr;
     std::map<std::string, int> there;
-    for (const std::uint32_t number : f.runners)
-        if (const RunnerSlots& r = slot_table.runner(number); !r.draining) ++there[r.what.zone];
+    for (const RunnerSlots* const runner : f.runners)
+        if (const RunnerSlots& r = *runner; !r.draining) ++there[r.info.zone];
     const auto spare = [&](const RunnerSlots& r) {
-        const auto place = f.places.find(r.what.zone);
-        return there[r.what.zone] / (0.01 + (place == f.places.end() ? 0 : place->second.rate));
+        const auto place = f.zones.by_zone().find(r.info.zone);
+        return there[r.info.zone] /
+               (0.01 + (place == f.zones.by_zone().end() ? 0 : place->second.requests_per_s));
     };
-    for (const std::uint32_t number : f.runners) {
-        const RunnerSlots& r = slot_table.runner(number);
+    for (const RunnerSlots* const runner : f.runners) {
+        const RunnerSlots& r = *runner;
         if (r.draining || r.state != RunnerState::ready ||
-            (!f.unrestricted && (r.out() > 0 || now < r.idle_since + keep / 2)))
+            (!f.unrestricted && (r.outstanding() > 0 || now < r.idle_since + keep / 2)))
             continue;
         if (!chosen || spare(r) > spare(*chosen) ||
             (spare(r) == spare(*chosen) && r.idle_since < chosen->idle_since))
@@ -225,22 +226,22 @@
     }
     if (!chosen) return;
     const std::uint32_t number = chosen->number;
-    leaving_.try_emplace(chosen->what.runner, Leaving{number, 0, false});
-    slot_table.retire(now, number, mail);
+    leaving_.try_emplace(chosen->info.runner, Leaving{number, 0, false});
+    slot_table.drain_runner(now, number, mail);
 }
 
-void Planner::plan_all(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) {
+void Planner::plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& mail) {
     used_.clear();
     for (const auto& [number, r] : slot_table.runners())
-        if (r.function->service) used_[r.what.worker] += r.function->service->memory_mb;
+        if (r.function->service) used_[r.info.worker] += r.function->service->memory_mb;
     for (Function* const f : std::vector<Function*>(slot_table.active().begin(), slot_table.active().end()))
         plan(now, slot_table, *f, mail);
     // What was retired is stopped once nothing is under way to it.
     for (auto& [runner, l] : leaving_)
-        if (l.next == 0 && slot_table.retire(now, l.number, mail)) l.next = now;
+        if (l.next == 0 && slot_table.drain_runner(now, l.number, mail)) l.next = now;
 }
 
-void Planner::due(Micros now, PlatformRequests& orders) {
+void Planner::take_due_requests(Micros now, PlatformRequests& orders) {
     for (auto& [nonce, p] : starts_) {
         if (p.out || now < p.next) continue;
         if (!spend(now)) return;
@@ -267,19 +268,19 @@
         starts_.erase(at);
     };
     switch (answer) {
-        case StartResult::begun:
+        case StartResult::started:
             used_[p.begin.worker] += p.memory;
             return drop();
-        case StartResult::no_room:
+        case StartResult::no_capacity:
             full_until_[p.begin.worker] = now + 1'000'000;
             return drop();
-        case StartResult::refused:
+        case StartResult::rejected:
             return drop();
         case StartResult::busy:
             p.out = false;
             p.next = now + 100'000;
             return;
-        case StartResult::silent:
+        case StartResult::timed_out:
             // It may have been done: the same nonce on the same worker finds it again.
             p.out = false;
             p.next = now + 50'000;
--- a/src/cluster/placement/planner.hpp
+++ b/src/cluster/placement/planner.hpp
@@ -33,36 +33,36 @@
     std::vector<StopRunner> stops;
 };
 
-enum class StartResult { begun, no_room, refused, busy, silent };
+enum class StartResult { started, no_capacity, rejected, busy, timed_out };
 
 class Planner {
   public:
     struct Options {
         std::string nonce_prefix;  // unique to this coordinator's term and life
-        double duty_per_s = 1;
-        Micros settle =
+        double requests_per_s = 1;
+        Micros takeover_delay =
             1'500'000;  // after coming into coordinator, before what is not listed is started anew
         std::map<std::string, std::string> region_of;  // by zone
     };
     Planner(Options options, Micros now) : options_(std::move(options)), since_(now), tokens_at_(now) {}
 
-    void workers(Micros now, std::vector<Worker> all);
+    void update_workers(Micros now, std::vector<Worker> all);
     // Call after workers(): ends the starts on workers that drain or stand there no more.
-    void cancel_lost_starts(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail) const;
-    void list_read(Micros now) { listed_ = now; }
+    void cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& mail) const;
+    void on_list_complete(Micros now) { listed_ = now; }
     bool committed(Micros now) const {
-        return listed_ > 0 && !workers_.empty() && now >= since_ + options_.settle;
+        return listed_ > 0 && !workers_.empty() && now >= since_ + options_.takeover_delay;
     }
     std::string zone_of(const std::string& worker) const {
         const auto at = workers_.find(worker);
         return at == workers_.end() ? std::string() : at->second.zone;
     }
     // For one function, where one more has come to wait.
-    void plan_waiting(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail);
-    void plan(Micros now, SlotTable& slot_table, Function& f, std::vector<ProxyMessage>& mail);
-    // For all that are active; then what is due is said. Call each SlotTable::kSample.
-    void plan_all(Micros now, SlotTable& slot_table, std::vector<ProxyMessage>& mail);
-    void due(Micros now, PlatformRequests& orders);
+    void plan_for_waiting(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail);
+    void plan(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail);
+    // For all that are active; then what is due is said. Call each SlotTable::kSampleInterval.
+    void plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& mail);
+    void take_due_requests(Micros now, PlatformRequests& orders);
     void on_start_result(Micros now, const std::string& nonce, StartResult answer);
     void on_stop_result(const std::string& runner, bool done);
 
@@ -86,8 +86,7 @@
     };
     Wish wish(Micros now, const SlotTable& slot_table, const Function& f, std::size_t have,
               std::size_t starting) const;
-    const Worker* place(Micros now, const Function& f, const SlotTable& slot_table,
-                        const std::string& zone) const;
+    const Worker* place(Micros now, const Function& f, const std::string& zone) const;
     std::string region(const std::string& zone) const;
     bool spend(Micros now);
 
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -23,20 +23,20 @@
 
 SlotTable::Options slot_table_options(const Settings& s) {
     SlotTable::Options t;
-    t.budget_slack = s.budget_slack;
-    t.budget_window = s.budget_window;
-    t.rejection_slack = s.rejection_slack;
-    t.late_turn = s.late_turn;
+    t.retry_budget = s.budget_slack;
+    t.retry_budget_window = s.budget_window;
+    t.max_rejections = s.rejection_slack;
+    t.late_turn_interval = s.late_turn;
     return t;
 }
 
 Planner::Options planner_options(const Settings& s, Number term) {
     Planner::Options t;
     t.nonce_prefix = nonce_prefix(s.node_name, term);
-    t.duty_per_s = s.duty_per_s;
+    t.requests_per_s = s.duty_per_s;
     t.region_of = s.region_of;
     // Fronts tell what they know to be starting as they come; what nobody knows costs one start too many.
-    t.settle = 300'000;
+    t.takeover_delay = 300'000;
     return t;
 }
 
@@ -116,7 +116,7 @@
     say_(session, Registered{term_, 0, static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size())),
                              members_});
     push(session, front);
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     slot_table_.on_proxy_registered(net::Loop::now(), session, registration, mail);
     post(mail);
     if (announce_at_ == 0) announce_at_ = net::Loop::now() + 300'000;
@@ -124,13 +124,13 @@
 
 void Coordinator::left(Session session) {
     if (proxies_.erase(session) == 0) return;
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     slot_table_.on_proxy_disconnected(net::Loop::now(), session, mail);
     post(mail);
     if (announce_at_ == 0) announce_at_ = net::Loop::now() + 2'000'000;
 }
 
-void Coordinator::post(std::vector<ProxyMessage>& mail) {
+void Coordinator::post(ProxyOutbox& mail) {
     for (const ProxyMessage& one : mail) say_(one.to, one.message);
     mail.clear();
 }
@@ -139,18 +139,21 @@
     const auto at = proxies_.find(session);
     if (at == proxies_.end()) return;
     const Micros now = net::Loop::now();
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     if (const auto* ask = std::get_if<AcquireRequest>(&message)) {
-        Function* const f = slot_table_.ask(now, session, *ask, mail);
+        Function* const f = slot_table_.on_acquire_request(now, session, *ask, mail);
         post(mail);
         if (f && !f->waiting.empty()) plan(now, f);
         return;
     }
     if (const auto* release = std::get_if<Release>(&message))
-        slot_table_.release(now, session, *release, mail);
-    if (const auto* up = std::get_if<RunnerReachable>(&message)) slot_table_.up(now, session, *up, mail);
-    if (const auto* loads = std::get_if<LoadReport>(&message)) slot_table_.loads(now, session, *loads);
-    if (const auto* outs = std::get_if<OutstandingReport>(&message)) slot_table_.outs(now, session, *outs);
+        slot_table_.on_release(now, session, *release, mail);
+    if (const auto* up = std::get_if<RunnerReachable>(&message))
+        slot_table_.on_runner_reachable(now, session, *up, mail);
+    if (const auto* loads = std::get_if<LoadReport>(&message))
+        slot_table_.on_load_report(now, session, *loads);
+    if (const auto* outs = std::get_if<OutstandingReport>(&message))
+        slot_table_.on_outstanding_report(now, session, *outs);
     if (std::holds_alternative<Heartbeat>(message)) say_(session, Heartbeat{});
     if (const auto* held = std::get_if<ConfigurationHeld>(&message)) {
         at->second.version = held->version;
@@ -177,7 +180,7 @@
     calls_.erase(at);
     const Micros now = net::Loop::now();
     const bool answered = how == CallEnd::answered;
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     switch (call.what) {
         case Call::What::list:
             leaf::try_handle_all(
@@ -188,10 +191,9 @@
                     std::vector<std::string> gone;
                     listing_.page(now, page, whole, gone);
                     for (const ListedRunner& one : page.runners)
-                        slot_table_.listed(now, one.what, one.draining, mail);
-                    for (const std::string& runner : gone)
-                        slot_table_.gone(now, runner, "not listed any more", mail);
-                    if (whole) planner_.list_read(now);
+                        slot_table_.on_runner_listed(now, one.what, one.draining, mail);
+                    for (const std::string& runner : gone) slot_table_.on_runner_gone(now, runner, mail);
+                    if (whole) planner_.on_list_complete(now);
                     return {};
                 },
                 [&](ErrorCode kind, const ErrorDetail& detail) {
@@ -208,7 +210,7 @@
                 [&]() -> leaf::result<void> {
                     if (!answered) return failure(ErrorCode::platform_silent, "workers");
                     BOOST_LEAF_AUTO(all, workers_.read(answer));
-                    planner_.workers(now, std::move(all));
+                    planner_.update_workers(now, std::move(all));
                     planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
                 },
@@ -222,14 +224,14 @@
             break;
         case Call::What::begin: {
             RunnerInfo begun;
-            const StartResult said = answered ? begin_.read(answer, begun) : StartResult::silent;
-            if (said == StartResult::begun) {
+            const StartResult said = answered ? begin_.read(answer, begun) : StartResult::timed_out;
+            if (said == StartResult::started) {
                 begun.service = call.begin.service;
                 begun.worker = call.begin.worker;
                 begun.zone = planner_.zone_of(call.begin.worker);
-                slot_table_.began(now, begun, mail);
+                slot_table_.on_runner_started(now, begun, mail);
             }
-            Event("start", said == StartResult::begun ? Level::info : Level::warning)
+            Event("start", said == StartResult::started ? Level::info : Level::warning)
                 .with("service", call.begin.service)
                 .with("worker", call.begin.worker)
                 .with("why", call.begin.why)
@@ -251,7 +253,7 @@
                                  call.stop.why,
                                  false});
             planner_.on_stop_result(call.stop.runner, done);
-            if (done) slot_table_.gone(now, call.stop.runner, "stopped", mail);
+            if (done) slot_table_.on_runner_gone(now, call.stop.runner, mail);
             break;
         }
     }
@@ -261,14 +263,14 @@
 
 // For one function, or with the sample for all.
 void Coordinator::plan(Micros now, Function* one) {
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     if (one)
-        planner_.plan_waiting(now, slot_table_, *one, mail);
+        planner_.plan_for_waiting(now, slot_table_, *one, mail);
     else
         planner_.plan_all(now, slot_table_, mail);
     post(mail);
     PlatformRequests orders;
-    planner_.due(now, orders);
+    planner_.take_due_requests(now, orders);
     const Fence fence{settings_.node_name, term_};
     for (const StartRunner& begin : orders.starts) {
         Call c;
@@ -302,25 +304,23 @@
                                              {"answer", told(d.answer)}});
     for (const auto& [name, f] : slot_table_.functions()) {
         if (asked("functions") && (f->active || !f->runners.empty())) {
-            double busy = 0;
-            for (const std::uint32_t number : f->runners) busy += slot_table_.runner(number).out();
             functions.emplace_back(
                 json::Object{{"function", told(name)},
                              {"mode", told(std::string(f->unrestricted ? "unrestricted" : "coordinated"))},
                              {"runners", told(static_cast<double>(f->runners.size()))},
-                             {"slots_out", told(busy)},
+                             {"slots_out", told(f->outstanding())},
                              {"waiting", told(static_cast<double>(f->waiting.size()))},
-                             {"overtaken", told(static_cast<double>(f->overtaken))},
-                             {"rate_per_s", told(f->rate)},
-                             {"load", told(f->load_slow)}});
+                             {"overtaken", told(static_cast<double>(f->inversions))},
+                             {"rate_per_s", told(f->zones.requests_per_s())},
+                             {"load", told(f->load.slow())}});
         }
         if (asked("waiting"))
             for (const auto& [place, w] : f->waiting.all())
                 waiting.emplace_back(json::Object{
                     {"function", told(name)},
-                    {"front",
-                     told(slot_table_.name_of(w.front) ? *slot_table_.name_of(w.front) : std::string())},
-                    {"priority", told(w.ask.priority)},
+                    {"front", told(slot_table_.proxy_name(w.session) ? *slot_table_.proxy_name(w.session)
+                                                                     : std::string())},
+                    {"priority", told(w.request.priority)},
                     {"waited_ms", told_ms(now - w.since)},
                     {"aim_left_ms", told_ms(w.target_at - now)},
                     {"deadline_left_ms", told_ms(w.deadline_at - now)}});
@@ -328,17 +328,17 @@
     if (asked("overtakings")) {
         json::List all;
         const auto name = [&](Session s) {
-            return told(slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string());
+            return told(slot_table_.proxy_name(s) ? *slot_table_.proxy_name(s) : std::string());
         };
         for (const PriorityInversion& o : slot_table_.priority_inversions().kept())
             all.emplace_back(json::Object{{"ago_ms", told_ms(now - o.at)},
                                           {"function", told(o.service)},
-                                          {"went", name(o.front)},
+                                          {"went", name(o.session)},
                                           {"priority", told(o.priority)},
-                                          {"aim_left_ms", told_ms(o.target_left)},
-                                          {"before", name(o.before_front)},
-                                          {"its_priority", told(o.before_priority)},
-                                          {"its_aim_left_ms", told_ms(o.before_target_left)},
+                                          {"aim_left_ms", told_ms(o.time_left)},
+                                          {"before", name(o.passed_session)},
+                                          {"its_priority", told(o.passed_priority)},
+                                          {"its_aim_left_ms", told_ms(o.passed_time_left)},
                                           {"why", told(std::string(o.why))}});
         into["overtakings"] = json::Value(std::move(all));
     }
@@ -355,7 +355,7 @@
 
 void Coordinator::tick(Micros now) {
     if (now < next_tick_) return;
-    next_tick_ = now + SlotTable::kSample;
+    next_tick_ = now + SlotTable::kSampleInterval;
     std::vector<HttpCaller::Call> late;
     for (const auto& [id, call] : calls_)
         if (now >= call.until) late.push_back(id);
@@ -385,17 +385,17 @@
          ++i) {
         const PriorityInversion& o = priority_inversions.kept()[i];
         const auto front = [&](Session s) {
-            return slot_table_.name_of(s) ? *slot_table_.name_of(s) : std::string();
+            return slot_table_.proxy_name(s) ? *slot_table_.proxy_name(s) : std::string();
         };
         Event("overtaken")
             .with("function", o.service)
-            .with("front", front(o.front))
-            .with("ask", o.ask)
-            .with("aim_left_ms", o.target_left / 1000)
+            .with("front", front(o.session))
+            .with("ask", o.request_id)
+            .with("aim_left_ms", o.time_left / 1000)
             .with("priority", o.priority)
-            .with("before_front", front(o.before_front))
-            .with("before_ask", o.before_ask)
-            .with("before_aim_left_ms", o.before_target_left / 1000)
+            .with("before_front", front(o.passed_session))
+            .with("before_ask", o.passed_request_id)
+            .with("before_aim_left_ms", o.passed_time_left / 1000)
             .with("why", o.why);
     }
     priority_inversions_logged_ = priority_inversions.all();
@@ -403,7 +403,7 @@
         announce_at_ = 0;
         announce_registered();
     }
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     slot_table_.tick(now, mail);
     post(mail);
     plan(now);
--- a/src/cluster/programs/coordinator.hpp
+++ b/src/cluster/programs/coordinator.hpp
@@ -51,7 +51,7 @@
 
     void push(Session session, ProxySession& front);
     void announce_registered();
-    void post(std::vector<ProxyMessage>& mail);
+    void post(ProxyOutbox& mail);
     void plan(Micros now, Function* one = nullptr);
     void call(Call call, const HttpMessage& request, Micros limit);
     void ended(HttpCaller::Call id, CallEnd how, const HttpMessage& answer);
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -116,7 +116,7 @@
             coordinator.turns + 1 >= options_.late_turn && std::any_of(held.begin(), held.end(), late);
         const auto place = [&](RequestId id) {
             const Request& r = requests_.at(id);
-            return std::pair(place_in_line({r.came, r.target_at, r.route->priority, late(id)}, turn), id);
+            return std::pair(urgency_key({r.came, r.target_at, r.route->priority, late(id)}, turn), id);
         };
         const auto first = std::min_element(held.begin(), held.end(),
                                             [&](RequestId a, RequestId b) { return place(a) < place(b); });
--- a/src/cluster/runners/resources.cpp
+++ b/src/cluster/runners/resources.cpp
@@ -119,15 +119,15 @@
 }
 
 StartResult StartRunnerResource::read(const HttpMessage& answer, RunnerInfo& begun) const {
-    if (answer.status == 409) return StartResult::no_room;
+    if (answer.status == 409) return StartResult::no_capacity;
     if (answer.status == 429 || answer.status >= 500) return StartResult::busy;
-    if (answer.status != 200) return StartResult::refused;
+    if (answer.status != 200) return StartResult::rejected;
     simdjson::dom::parser parser;
     object top;
-    if (parser.parse(answer.body).get(top)) return StartResult::silent;
+    if (parser.parse(answer.body).get(top)) return StartResult::timed_out;
     begun.runner = text(top, "runner_id");
     begun.address = text(top, "address");
-    return begun.runner.empty() || begun.address.empty() ? StartResult::silent : StartResult::begun;
+    return begun.runner.empty() || begun.address.empty() ? StartResult::timed_out : StartResult::started;
 }
 
 HttpMessage StopRunnerResource::post(const Fence& fence, const StopRunner& stop) const {
--- a/src/cluster/slots/demand.cpp
+++ b/src/cluster/slots/demand.cpp
@@ -1,22 +1,49 @@
-// Means of what requests ask for: the time of work of one shape, and the demand for slots.
-#include "cluster/slots/slot_table.hpp"
+#include "cluster/slots/demand.hpp"
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace gannethold::cluster {
 
-void SmoothedDuration::add(double took) {
-    weight_ = std::min(weight_ + 1, 32.0);
-    mean_ += (took - mean_) / weight_;
+void Demand::sample(double work_s, double span_s) {
+    const double keep = std::exp(-span_s / decay_s_);
+    work_s_ = work_s_ * keep + work_s;
+    observed_s_ = observed_s_ * keep + span_s;
 }
 
-void Demand::sample(double work, double span) {
-    const double keep = std::exp(-span / seconds_);
-    sum_ = sum_ * keep + work;
-    seen_ = seen_ * keep + span;
+double Demand::slots() const { return work_s_ / std::max(observed_s_, kMinObserved); }
+
+void FunctionLoad::sample(double reported, double occupied, double span_s) {
+    const double work_s = std::exchange(arrived_work_s_, 0) + reported * span_s;
+    fast_demand_.sample(work_s, span_s);
+    slow_demand_.sample(work_s, span_s);
+    fast_occupied_ += (occupied - fast_occupied_) * (span_s / kFastDecay);
+    slow_occupied_ += (occupied - slow_occupied_) * (span_s / kSlowDecay);
+    fast_ = std::max(fast_occupied_, fast_demand_.slots());
+    slow_ = std::max(slow_occupied_, slow_demand_.slots());
+}
+
+void FunctionLoad::restart_demand() {
+    fast_demand_ = Demand(kFastDecay);
+    slow_demand_ = Demand(kSlowDecay);
 }
 
-double Demand::slots() const { return sum_ / std::max(seen_, kLeast); }
+void ZoneDemands::sample(const std::map<std::string, double>& reported, double span_s) {
+    for (const auto& [zone, rate] : reported) by_zone_[zone];
+    requests_per_s_ = 0;
+    for (auto& [zone, demand] : by_zone_) {
+        const auto sent = reported.find(zone);
+        const double seen = demand.requests / span_s + (sent == reported.end() ? 0 : sent->second);
+        demand.requests = 0;
+        demand.requests_per_s += (seen - demand.requests_per_s) * std::min(1.0, span_s / kDecay);
+        requests_per_s_ += demand.requests_per_s;
+    }
+}
+
+double ZoneDemands::requests_per_s(const std::string& zone) const {
+    const auto at = by_zone_.find(zone);
+    return at == by_zone_.end() ? 0 : at->second.requests_per_s;
+}
 
 }  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/slots/function_table.hpp
@@ -0,0 +1,39 @@
+#pragma once
+
+#include <memory>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+
+#include "cluster/configuration/configuration.hpp"
+#include "cluster/slots/function.hpp"
+#include "cluster/slots/retry_budget.hpp"
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+// All functions that were ever configured or reported in this term; a function's address stays the same. The
+// active ones are sampled and planned for: those in use, and those that a new configuration may have changed.
+class FunctionTable {
+  public:
+    explicit FunctionTable(const RetryBudget::Options& retry_budget) : retry_budget_(retry_budget) {}
+
+    // Every function becomes active; those that are not in use are dropped by the next deactivate_idle().
+    void configure(std::shared_ptr<const Configuration> configuration);
+
+    Function& get_or_add(const std::string& name);
+    Function* find(const std::string& name) const;
+    void activate(Function& function);
+    void deactivate_idle(Micros now);
+
+    const std::unordered_set<Function*>& active() const { return active_; }
+    const std::unordered_map<std::string, std::unique_ptr<Function>>& all() const { return functions_; }
+
+  private:
+    RetryBudget::Options retry_budget_;
+    std::shared_ptr<const Configuration> configuration_;  // nullptr: none yet
+    std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
+    std::unordered_set<Function*> active_;
+};
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/slots/priority_inversion.hpp
@@ -0,0 +1,31 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "cluster/slots/session.hpp"
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+// A request that waited was served before one that came earlier: why, and how both stood.
+struct PriorityInversion {
+    // As operators and logs see them (docs/operators-system.md).
+    static constexpr const char* kLessTimeLeft = "less_time_left";
+    static constexpr const char* kPassedIsLate = "passed_is_late";
+    static constexpr const char* kLateTurn = "late_turn";
+
+    Micros at = 0;
+    std::string service;
+    Session session = 0;
+    Session passed_session = 0;
+    std::uint32_t request_id = 0;
+    std::uint32_t passed_request_id = 0;
+    int priority = 0;
+    int passed_priority = 0;
+    Micros time_left = 0;  // to the latency target; negative: over
+    Micros passed_time_left = 0;
+    const char* why = "";
+};
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/slots/request_scheduler.cpp
@@ -0,0 +1,138 @@
+#include "cluster/slots/request_scheduler.hpp"
+
+#include <algorithm>
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr std::uint32_t kOutOfReachRetryMs = 1000;
+constexpr double kMinRetryMs = 100;
+constexpr double kMaxRetryMs = 3000;
+// Of a request's deadline; the rest is left for another attempt.
+constexpr double kMaxWaitPart = 0.6;
+// Of the time that a turn in the queue is thought to take: work is not all of it.
+constexpr double kTurnMargin = 1.25;
+
+// Of a request at the end of a queue so long that it would be denied later: it is denied at once, and may be
+// sent again after this time, when the queue will be shorter. 0: it may wait.
+std::uint32_t queue_retry_ms(const Function& function, const AcquireRequest& request) {
+    const double slots = function.total_slots();
+    if (slots == 0) return 0;
+    const double wait_ms = function.waiting.total_work() / slots / 1e3;
+    const double max_wait_ms =
+        std::max<double>(request.latency_target_ms, request.deadline_ms * kMaxWaitPart);
+    if (wait_ms <= max_wait_ms) return 0;
+    return static_cast<std::uint32_t>(std::clamp(wait_ms - max_wait_ms / 2, kMinRetryMs, kMaxRetryMs));
+}
+
+}  // namespace
+
+void RequestScheduler::admit(Micros now, Session session, const AcquireRequest& request, Function& function,
+                             ProxyOutbox& out) {
+    ProxySession& proxy = *proxies_.find(session);
+    if (function.waiting.empty()) {
+        RunnerSlots* const runner = function.pick_runner(now, runners_.find(request.drawn), proxy.zone);
+        if (runner) {
+            grant(now, *runner, session, request, WaitReason::nothing, out);
+            return;
+        }
+    }
+    if (const std::uint32_t retry_ms = queue_retry_ms(function, request); retry_ms > 0) {
+        out.send(session, AcquireDenied{request.id, retry_ms, function.missing()});
+        return;
+    }
+    const WaitQueue::Waiting waiting{session,
+                                     request,
+                                     now,
+                                     now + request.latency_target_ms * 1000LL,
+                                     now + request.deadline_ms * 1000LL,
+                                     static_cast<Micros>(durations_.usual(request.shape)),
+                                     function.missing()};
+    proxy.waiting[request.id] = {&function, function.waiting.add(waiting)};
+    serve_waiting(now, function, out);
+}
+
+bool RequestScheduler::cancel_waiting(Session session, std::uint32_t request_id) {
+    ProxySession* const proxy = proxies_.find(session);
+    if (!proxy || request_id == 0) return false;
+    const auto waiting = proxy->waiting.find(request_id);
+    if (waiting == proxy->waiting.end()) return false;
+    waiting->second.function->waiting.remove(waiting->second.ticket);
+    proxy->waiting.erase(waiting);
+    return true;
+}
+
+void RequestScheduler::grant(Micros now, RunnerSlots& runner, Session session, const AcquireRequest& request,
+                             WaitReason waited_for, ProxyOutbox& out) {
+    runner.grants.push_back({session, request.id, request.shape, now});
+    if (!runner.notified.contains(session)) notifier_.notify(runner, session, out);
+    out.send(session, AcquireGranted{request.id, runner.number, waited_for});
+}
+
+void RequestScheduler::serve_waiting(Micros now, Function& function, ProxyOutbox& out) {
+    while (const auto next = function.waiting.next(now, is_late_turn(function))) {
+        ProxySession* const proxy = proxies_.find(next->waiting->session);
+        if (!proxy) {
+            function.waiting.remove(next->ticket);
+            continue;
+        }
+        RunnerSlots* const runner =
+            function.pick_runner(now, runners_.find(next->waiting->request.drawn), proxy->zone);
+        if (!runner) return;
+        const WaitQueue::Waiting served = *next->waiting;
+        const bool late = function.waiting.is_late(next->ticket);
+        const bool late_turn = late && is_late_turn(function);
+        function.waiting.remove(next->ticket);
+        function.grants_since_late_turn = late ? 0 : function.grants_since_late_turn + 1;
+        record_inversion(now, function, served, late_turn);
+        proxy->waiting.erase(served.request.id);
+        grant(now, *runner, served.session, served.request, served.waits_for, out);
+    }
+}
+
+void RequestScheduler::record_inversion(Micros now, Function& function, const WaitQueue::Waiting& served,
+                                        bool late_turn) {
+    const WaitQueue::Waiting* const oldest = function.waiting.oldest();
+    if (!oldest || oldest->since >= served.since) return;
+    ++function.inversions;
+    const bool oldest_is_late = now > oldest->target_at - oldest->work;
+    PriorityInversion inversion;
+    inversion.at = now;
+    inversion.service = function.name;
+    inversion.session = served.session;
+    inversion.passed_session = oldest->session;
+    inversion.request_id = served.request.id;
+    inversion.passed_request_id = oldest->request.id;
+    inversion.priority = served.request.priority;
+    inversion.passed_priority = oldest->request.priority;
+    inversion.time_left = served.target_at - now;
+    inversion.passed_time_left = oldest->target_at - now;
+    inversion.why = PriorityInversion::kLessTimeLeft;
+    if (oldest_is_late) inversion.why = PriorityInversion::kPassedIsLate;
+    if (late_turn) inversion.why = PriorityInversion::kLateTurn;
+    priority_inversions_.add(inversion);
+}
+
+void RequestScheduler::deny_hopeless(Micros now, Function& function, ProxyOutbox& out) {
+    while (const auto expired = function.waiting.expired(now)) deny_waiting(function, *expired, 0, out);
+    const double slots = function.total_slots();
+    while (slots > 0 && !function.waiting.empty()) {
+        const double work = function.waiting.total_work() / static_cast<double>(function.waiting.size());
+        const double slots_per_turn = function.waiting.has_on_target() ? options_.late_turn_interval : 1;
+        const double turn_interval = kTurnMargin * work / slots * slots_per_turn;
+        const auto last = function.waiting.last_out_of_reach(now, turn_interval);
+        if (!last) break;
+        deny_waiting(function, *last, kOutOfReachRetryMs, out);
+    }
+}
+
+void RequestScheduler::deny_waiting(Function& function, const WaitQueue::Entry& entry, std::uint32_t retry_ms,
+                                    ProxyOutbox& out) {
+    const Session session = entry.waiting->session;
+    const std::uint32_t request_id = entry.waiting->request.id;
+    out.send(session, AcquireDenied{request_id, retry_ms, entry.waiting->waits_for});
+    if (ProxySession* const proxy = proxies_.find(session)) proxy->waiting.erase(request_id);
+    function.waiting.remove(entry.ticket);
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/slots/request_scheduler.hpp
@@ -0,0 +1,71 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "cluster/base/bounded_history.hpp"
+#include "cluster/slots/function.hpp"
+#include "cluster/slots/priority_inversion.hpp"
+#include "cluster/slots/proxy_outbox.hpp"
+#include "cluster/slots/proxy_sessions.hpp"
+#include "cluster/slots/runner_notifier.hpp"
+#include "cluster/slots/runner_table.hpp"
+#include "cluster/slots/session.hpp"
+#include "cluster/slots/wait_queue.hpp"
+#include "cluster/slots/work_durations.hpp"
+#include "cluster/wire/messages.hpp"
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+// Grants slots to requests, lets them wait in their function's queue, or denies them.
+class RequestScheduler {
+  public:
+    struct Options {
+        // Of so many slots that come free one goes to a request that can not meet its latency target any
+        // more, while there are any: so every function's late requests get through, however many urgent ones
+        // come.
+        int late_turn_interval = 4;
+    };
+    // All outlive this object.
+    RequestScheduler(const Options& options, RunnerTable& runners, ProxySessions& proxies,
+                     RunnerNotifier& notifier, const WorkDurations& durations)
+        : options_(options),
+          runners_(runners),
+          proxies_(proxies),
+          notifier_(notifier),
+          durations_(durations) {}
+
+    // REQUIRES: the session is open.
+    void admit(Micros now, Session session, const AcquireRequest& request, Function& function,
+               ProxyOutbox& out);
+    // False: the session has no such request waiting.
+    bool cancel_waiting(Session session, std::uint32_t request_id);
+    // Gives the function's free slots to those that wait.
+    void serve_waiting(Micros now, Function& function, ProxyOutbox& out);
+    // Denies those that can no longer be served in time, and those whose turn would come too late.
+    void deny_hopeless(Micros now, Function& function, ProxyOutbox& out);
+
+    const BoundedHistory<PriorityInversion>& priority_inversions() const { return priority_inversions_; }
+
+  private:
+    static constexpr std::size_t kKeptInversions = 256;
+
+    void grant(Micros now, RunnerSlots& runner, Session session, const AcquireRequest& request,
+               WaitReason waited_for, ProxyOutbox& out);
+    void deny_waiting(Function& function, const WaitQueue::Entry& entry, std::uint32_t retry_ms,
+                      ProxyOutbox& out);
+    void record_inversion(Micros now, Function& function, const WaitQueue::Waiting& served, bool late_turn);
+    bool is_late_turn(const Function& function) const {
+        return function.grants_since_late_turn + 1 >= options_.late_turn_interval;
+    }
+
+    Options options_;
+    RunnerTable& runners_;
+    ProxySessions& proxies_;
+    RunnerNotifier& notifier_;
+    const WorkDurations& durations_;
+    BoundedHistory<PriorityInversion> priority_inversions_{kKeptInversions};
+};
+
+}  // namespace gannethold::cluster
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -1,60 +1,132 @@
+// The slot table's configuration, runners and samples. What proxies send: slot_table_proxies.cpp.
 #include "cluster/slots/slot_table.hpp"
 
+#include <map>
 #include <utility>
 
+#include "cluster/slots/expected_wait.hpp"
+
 namespace gannethold::cluster {
 namespace {
 
-constexpr double kGuess = 100'000;  // of work never seen, microseconds
+// What proxies sent without asking, before they heard that the runner drains, has arrived by then.
+constexpr Micros kMaxInFlight = 1'000'000;
+constexpr Micros kMaxReportAge = 3'000'000;  // of a proxy's load
 
 }  // namespace
 
-Function& SlotTable::function(const std::string& name) {
-    std::unique_ptr<Function>& f = functions_[name];
-    if (!f) {
-        f = std::make_unique<Function>();
-        f->name = name;
-        if (configuration_) f->service = configuration_->service(name);
-    }
-    return *f;
+SlotTable::SlotTable(const Options& options)
+    : functions_({options.retry_budget, options.retry_budget_window}),
+      runners_(options.first_runner_number),
+      notifier_(runners_, proxies_),
+      modes_({options.allow_unrestricted, options.max_rejections}),
+      scheduler_({options.late_turn_interval}, runners_, proxies_, notifier_, durations_) {}
+
+void SlotTable::configure(std::shared_ptr<const Configuration> configuration) {
+    functions_.configure(std::move(configuration));
+    runners_.update_slots();
 }
 
-void SlotTable::touch(Function& f) {
-    f.active = true;
-    active_.insert(&f);
+const std::string* SlotTable::proxy_zone(Session session) const {
+    const ProxySession* const proxy = proxies_.find(session);
+    return proxy ? &proxy->zone : nullptr;
 }
 
-void SlotTable::configure(std::shared_ptr<const Configuration> configuration) {
-    configuration_ = std::move(configuration);
-    for (const Service& s : configuration_->services()) function(s.name);
-    for (auto& [name, f] : functions_) {
-        f->service = configuration_->service(name);
-        touch(*f);  // the next tick lets go of those that are not used
+const std::string* SlotTable::proxy_name(Session session) const {
+    const ProxySession* const proxy = proxies_.find(session);
+    return proxy ? &proxy->name : nullptr;
+}
+
+double SlotTable::expected_wait(Micros now, const Function& function) const {
+    return cluster::expected_wait(now, function, durations_);
+}
+
+// ---- runners ----
+
+void SlotTable::on_runner_started(Micros now, const RunnerInfo& info, ProxyOutbox& out) {
+    if (runners_.find(info.runner) || runners_.has_ended(info.runner)) return;
+    Function& function = functions_.get_or_add(info.service);
+    RunnerSlots& runner = runners_.add(now, info, function);
+    functions_.activate(function);
+    notifier_.assign_prober(runner, out);
+}
+
+void SlotTable::on_runner_listed(Micros now, const RunnerInfo& info, bool draining, ProxyOutbox& out) {
+    RunnerSlots* runner = runners_.find(info.runner);
+    if (!runner) {
+        if (draining || runners_.has_ended(info.runner)) return;
+        Function& function = functions_.get_or_add(info.service);
+        runner = &runners_.add(now, info, function);
+        functions_.activate(function);
     }
-    for (auto& [number, r] : runners_)
-        if (r.function->service) r.what.slots = r.function->service->most;
+    if (runner->info.worker.empty()) runner->info.worker = info.worker;
+    const bool becomes_ready = runner->state == RunnerState::starting;
+    const bool becomes_draining = draining && !runner->draining;
+    if (becomes_ready) runners_.mark_ready(*runner);
+    if (becomes_draining) start_draining(now, *runner);
+    if (!becomes_ready && !becomes_draining) return;
+    functions_.activate(*runner->function);
+    notifier_.notify_all(*runner, out);
+    scheduler_.serve_waiting(now, *runner->function, out);
+}
+
+void SlotTable::on_runner_gone(Micros now, const std::string& id, ProxyOutbox& out) {
+    runners_.record_end(now, id);
+    if (RunnerSlots* const runner = runners_.find(id)) remove_runner(now, *runner, out);
+}
+
+void SlotTable::remove_runner(Micros now, RunnerSlots& runner, ProxyOutbox& out) {
+    Function& function = *runner.function;
+    runner.state = RunnerState::gone;
+    notifier_.notify_all(runner, out);
+    runners_.remove(now, runner);
+    functions_.activate(function);
 }
 
-std::int64_t SlotTable::used_mb(const std::string& worker) const {
-    std::int64_t used = 0;
-    for (const auto& [number, r] : runners_)
-        if (r.what.worker == worker) used += memory_of(r);
-    return used;
+void SlotTable::start_draining(Micros now, RunnerSlots& runner) {
+    runner.draining = true;
+    runner.draining_since = now;
 }
 
-const std::string* SlotTable::zone_of(Session front) const {
-    const auto at = proxies_.find(front);
-    return at == proxies_.end() ? nullptr : &at->second.zone;
+bool SlotTable::drain_runner(Micros now, std::uint32_t number, ProxyOutbox& out) {
+    RunnerSlots* const runner = runners_.find(number);
+    if (!runner) return true;
+    if (!runner->draining) {
+        start_draining(now, *runner);
+        notifier_.notify_all(*runner, out);
+    }
+    const Micros in_flight = runner->function->unrestricted ? kMaxInFlight : 0;
+    return runner->grants.empty() && now >= runner->draining_since + in_flight;
 }
 
-const std::string* SlotTable::name_of(Session front) const {
-    const auto at = proxies_.find(front);
-    return at == proxies_.end() ? nullptr : &at->second.name;
+void SlotTable::assign_probers(ProxyOutbox& out) {
+    for (const std::uint32_t number : runners_.starting())
+        notifier_.assign_prober(*runners_.find(number), out);
 }
 
-double SlotTable::usual(std::uint16_t shape) const {
-    const auto at = durations_.find(shape);
-    return at == durations_.end() ? kGuess : at->second.get(kGuess);
+// ---- samples ----
+
+void SlotTable::tick(Micros now, ProxyOutbox& out) {
+    assign_probers(out);
+    runners_.forget_ended(now);
+    for (Function* const function : functions_.active()) sample(now, *function, out);
+    functions_.deactivate_idle(now);
+}
+
+void SlotTable::sample(Micros now, Function& function, ProxyOutbox& out) {
+    constexpr double kSpan = static_cast<double>(kSampleInterval) / 1e6;
+    double reported_slots = 0;
+    std::map<std::string, double> reported_rates;  // by zone
+    for (const auto& [session, load] : function.proxy_loads) {
+        if (now > load.reported_at + kMaxReportAge) continue;
+        reported_slots += load.slots;
+        if (const std::string* const zone = proxy_zone(session)) reported_rates[*zone] += load.requests_per_s;
+    }
+    function.load.sample(reported_slots, function.outstanding(), kSpan);
+    function.zones.sample(reported_rates, kSpan);
+    scheduler_.deny_hopeless(now, function, out);
+    modes_.update(now, function, out);
+    if (!function.waiting.empty()) scheduler_.serve_waiting(now, function, out);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/wait_queue.cpp
+++ b/src/cluster/slots/wait_queue.cpp
@@ -4,69 +4,68 @@
 
 namespace gannethold::cluster {
 
-WaitQueue::Place WaitQueue::add(const Waiting& w) {
-    const Place place = ++last_;
-    all_.emplace(place, w);
-    in_aim_.emplace(in_aim(w), place);
-    late_at_.emplace(w.target_at - w.work, place);
-    ends_.emplace(end_of(w), place);
-    work_ += static_cast<double>(w.work);
-    return place;
+WaitQueue::Ticket WaitQueue::add(const Waiting& waiting) {
+    const Ticket ticket = ++last_ticket_;
+    all_.emplace(ticket, waiting);
+    on_target_.emplace(on_target_key(waiting), ticket);
+    becoming_late_.emplace(late_from(waiting), ticket);
+    ends_.emplace(latest_start(waiting), ticket);
+    total_work_ += static_cast<double>(waiting.work);
+    return ticket;
 }
 
-void WaitQueue::leave(Place place) {
-    const auto at = all_.find(place);
+void WaitQueue::remove(Ticket ticket) {
+    const auto at = all_.find(ticket);
     if (at == all_.end()) return;
-    const Waiting& w = at->second;
-    in_aim_.erase({in_aim(w), place});
-    late_at_.erase({w.target_at - w.work, place});
-    late_.erase({w.since, place});
-    ends_.erase({end_of(w), place});
-    work_ -= static_cast<double>(w.work);
+    const Waiting& waiting = at->second;
+    on_target_.erase({on_target_key(waiting), ticket});
+    becoming_late_.erase({late_from(waiting), ticket});
+    late_.erase({waiting.since, ticket});
+    ends_.erase({latest_start(waiting), ticket});
+    total_work_ -= static_cast<double>(waiting.work);
     all_.erase(at);
-    if (all_.empty()) work_ = 0;  // no error of sums grows over days
+    if (all_.empty()) total_work_ = 0;  // rounding errors do not add up over days
 }
 
-void WaitQueue::on_proxy_disconnected(Session front) {
-    std::vector<Place> left;
-    for (const auto& [place, w] : all_)
-        if (w.front == front) left.push_back(place);
-    for (const Place place : left) leave(place);
+void WaitQueue::on_proxy_disconnected(Session session) {
+    std::vector<Ticket> tickets;
+    for (const auto& [ticket, waiting] : all_)
+        if (waiting.session == session) tickets.push_back(ticket);
+    for (const Ticket ticket : tickets) remove(ticket);
 }
 
-void WaitQueue::grow_late(Micros now) {
-    while (!late_at_.empty() && late_at_.begin()->first < now) {
-        const Place place = late_at_.begin()->second;
-        const Waiting& w = all_.at(place);
-        late_at_.erase(late_at_.begin());
-        in_aim_.erase({in_aim(w), place});
-        late_.emplace(w.since, place);
+void WaitQueue::update_late(Micros now) {
+    while (!becoming_late_.empty() && becoming_late_.begin()->first < now) {
+        const Ticket ticket = becoming_late_.begin()->second;
+        const Waiting& waiting = all_.at(ticket);
+        becoming_late_.erase(becoming_late_.begin());
+        on_target_.erase({on_target_key(waiting), ticket});
+        late_.emplace(waiting.since, ticket);
     }
 }
 
-const WaitQueue::Waiting* WaitQueue::first(Micros now, bool turn, Place& place) {
-    grow_late(now);
-    if (all_.empty()) return nullptr;
-    const bool from_late = !late_.empty() && (turn || in_aim_.empty());
-    place = from_late ? late_.begin()->second : in_aim_.begin()->second;
-    return &all_.at(place);
+std::optional<WaitQueue::Entry> WaitQueue::next(Micros now, bool late_turn) {
+    update_late(now);
+    if (all_.empty()) return std::nullopt;
+    const bool from_late = !late_.empty() && (late_turn || on_target_.empty());
+    const Ticket ticket = from_late ? late_.begin()->second : on_target_.begin()->second;
+    return Entry{ticket, &all_.at(ticket)};
 }
 
-const WaitQueue::Waiting* WaitQueue::hopeless(Micros now, Place& place) const {
-    if (ends_.empty() || now <= ends_.begin()->first) return nullptr;
-    place = ends_.begin()->second;
-    return &all_.at(place);
+std::optional<WaitQueue::Entry> WaitQueue::expired(Micros now) const {
+    if (ends_.empty() || now <= ends_.begin()->first) return std::nullopt;
+    const Ticket ticket = ends_.begin()->second;
+    return Entry{ticket, &all_.at(ticket)};
 }
 
-const WaitQueue::Waiting* WaitQueue::out_of_reach(Micros now, double per_place, Place& place) {
-    grow_late(now);
-    if (late_.empty()) return nullptr;
-    const Waiting& last = all_.at(late_.rbegin()->second);
-    if (static_cast<double>(now) + per_place * static_cast<double>(late_.size()) <=
-        static_cast<double>(end_of(last)))
-        return nullptr;
-    place = late_.rbegin()->second;
-    return &last;
+std::optional<WaitQueue::Entry> WaitQueue::last_out_of_reach(Micros now, double turn_interval) {
+    update_late(now);
+    if (late_.empty()) return std::nullopt;
+    const Ticket ticket = late_.rbegin()->second;
+    const Waiting& last = all_.at(ticket);
+    const double turn_at = static_cast<double>(now) + turn_interval * static_cast<double>(late_.size());
+    if (turn_at <= static_cast<double>(latest_start(last))) return std::nullopt;
+    return Entry{ticket, &last};
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/wait_queue.hpp
+++ b/src/cluster/slots/wait_queue.hpp
@@ -1,71 +1,87 @@
-// The requests of all fronts that wait for slots of one function, in the order of slots/urgency.hpp. Adding,
-// taking and leaving cost the logarithm of its length: in an overload it is long, and whoever keeps it has a
-// small part of a core.
+// The requests of all proxies that wait for slots of one function, in the order of slots/urgency.hpp. Each
+// operation costs at most the logarithm of the length, as the queue grows long just when the coordinator is
+// short of time.
 //
 // Times are of the coordinator's steady clock, in microseconds. No I/O and no clock.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <set>
-#include <tuple>
+#include <utility>
 
+#include "cluster/slots/session.hpp"
 #include "cluster/slots/urgency.hpp"
 #include "cluster/wire/messages.hpp"
 
 namespace gannethold::cluster {
 
-using Session = std::uint64_t;  // one connection of one front
-
 class WaitQueue {
   public:
     struct Waiting {
-        Session front = 0;
-        AcquireRequest ask;
-        Micros since = 0, target_at = 0, deadline_at = 0;
-        Micros work = 0;  // usual time of its shape: from aim_at less that on it counts as late
+        Session session = 0;
+        AcquireRequest request;
+        Micros since = 0;
+        Micros target_at = 0;
+        Micros deadline_at = 0;
+        Micros work = 0;  // usual duration of its shape; from target_at less this on the request is late
         WaitReason waits_for = WaitReason::nothing;
     };
-    using Place = std::uint64_t;
+    // Names a request in this queue; later arrivals have larger ones.
+    using Ticket = std::uint64_t;
+    struct Entry {
+        Ticket ticket = 0;
+        const Waiting* waiting = nullptr;  // never null; valid until the entry is removed
+    };
 
-    Place add(const Waiting& w);
-    void leave(Place place);
-    void on_proxy_disconnected(Session front);
+    Ticket add(const Waiting& waiting);
+    // A ticket that is no longer in the queue changes nothing.
+    void remove(Ticket ticket);
+    void on_proxy_disconnected(Session session);
 
-    // Who goes first; nullptr: nobody waits. turn: whether one that is late has its turn; it has none if
-    // nobody is late.
-    const Waiting* first(Micros now, bool turn, Place& place);
-    bool is_late(Place place) const { return late_.contains({all_.at(place).since, place}); }
-    // Who came first of all; nullptr: nobody waits.
+    // The request to serve next; nullopt: the queue is empty. late_turn: a late request, if there is one,
+    // goes before those on target.
+    std::optional<Entry> next(Micros now, bool late_turn);
+    // REQUIRES: the ticket is in the queue. As of the last next() or last_out_of_reach().
+    bool is_late(Ticket ticket) const { return late_.contains({all_.at(ticket).since, ticket}); }
+    // The first and the last arrival; nullptr: the queue is empty.
     const Waiting* oldest() const { return all_.empty() ? nullptr : &all_.begin()->second; }
     const Waiting* newest() const { return all_.empty() ? nullptr : &all_.rbegin()->second; }
-    // One that would hardly end within its deadline any more; nullptr: none.
-    const Waiting* hopeless(Micros now, Place& place) const;
-
-    // The last of those who are late, if at per_place microseconds for each before it its turn would come too
-    // late; nullptr: it would not, or nobody is late.
-    const Waiting* out_of_reach(Micros now, double per_place, Place& place);
-    bool any_in_aim() const { return !in_aim_.empty(); }
+    // A request that can no longer be completed within its deadline; nullopt: none.
+    std::optional<Entry> expired(Micros now) const;
+    // The last of the late requests, if its turn would come too late for its deadline where each late request
+    // takes turn_interval microseconds; nullopt: it is in reach, or no request is late.
+    std::optional<Entry> last_out_of_reach(Micros now, double turn_interval);
+    bool has_on_target() const { return !on_target_.empty(); }
 
     bool empty() const { return all_.empty(); }
     std::size_t size() const { return all_.size(); }
-    double work() const { return work_; }  // of all together, microseconds
-    // In the order in which they came.
-    const std::map<Place, Waiting>& all() const { return all_; }
+    // Usual durations of all requests together, in microseconds.
+    double total_work() const { return total_work_; }
+    // In the order of arrival.
+    const std::map<Ticket, Waiting>& all() const { return all_; }
 
   private:
-    void grow_late(Micros now);
-    static Micros end_of(const Waiting& w) { return w.deadline_at - w.work; }
-    static std::tuple<bool, Micros, Micros> in_aim(const Waiting& w) {
-        return place_in_line({w.since, w.target_at, w.ask.priority, false}, false);
+    using TimedTicket = std::pair<Micros, Ticket>;
+
+    // Moves requests that have become late from on_target_ to late_.
+    void update_late(Micros now);
+    static Micros latest_start(const Waiting& waiting) { return waiting.deadline_at - waiting.work; }
+    static Micros late_from(const Waiting& waiting) { return waiting.target_at - waiting.work; }
+    static UrgencyKey on_target_key(const Waiting& waiting) {
+        return urgency_key({waiting.since, waiting.target_at, waiting.request.priority, false}, false);
     }
 
-    std::map<Place, Waiting> all_;
-    std::set<std::pair<std::tuple<bool, Micros, Micros>, Place>> in_aim_;
-    std::set<std::pair<Micros, Place>> late_at_, late_,
-        ends_;  // when it becomes late, of those in aim; by since; by end
-    double work_ = 0;
-    Place last_ = 0;
+    std::map<Ticket, Waiting> all_;
+    // Each request is either in on_target_ and becoming_late_ or in late_; all are in ends_.
+    std::set<std::pair<UrgencyKey, Ticket>> on_target_;
+    std::set<TimedTicket> becoming_late_;  // by late_from()
+    std::set<TimedTicket> late_;           // by arrival
+    std::set<TimedTicket> ends_;           // by latest_start()
+    double total_work_ = 0;
+    Ticket last_ticket_ = 0;
 };
 
 }  // namespace gannethold::cluster
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -561,19 +561,19 @@
         open_coordinator();
     }
     void open_coordinator() {
-        table = std::make_unique<SlotTable>(SlotTable::Options{.budget_slack = 100});
+        table = std::make_unique<SlotTable>(SlotTable::Options{.retry_budget = 100});
         table->configure(routes);
-        std::vector<ProxyMessage> mail;
-        for (const RunnerInfo& runner : runners) table->listed(now, runner, false, mail);
+        ProxyOutbox mail;
+        for (const RunnerInfo& runner : runners) table->on_runner_listed(now, runner, false, mail);
     }
     void add_runner(const std::string& name) {
         runners.push_back(
             {name, kService, "10.0.0.1:" + std::to_string(runners.size() + 1), "z0", "w", 1, 0, true});
-        std::vector<ProxyMessage> mail;
-        table->listed(now, runners.back(), false, mail);
+        ProxyOutbox mail;
+        table->on_runner_listed(now, runners.back(), false, mail);
         deliver(mail);
     }
-    void deliver(std::vector<ProxyMessage>& mail) {
+    void deliver(ProxyOutbox& mail) {
         for (const ProxyMessage& one : mail) handler.said(now, one.message, actions);
         mail.clear();
         carry();
@@ -581,15 +581,15 @@
     // What the front says reaches the coordinator, as long as there is one.
     void carry() {
         while (!actions.mails.empty()) {
-            std::vector<ProxyMessage> mail;
+            ProxyOutbox mail;
             for (const Message& message : std::exchange(actions.mails, {})) {
                 said.push_back(message);
                 if (const auto* ask = std::get_if<AcquireRequest>(&message))
-                    table->ask(now, kSession, *ask, mail);
+                    table->on_acquire_request(now, kSession, *ask, mail);
                 if (const auto* release = std::get_if<Release>(&message))
-                    table->release(now, kSession, *release, mail);
+                    table->on_release(now, kSession, *release, mail);
                 if (const auto* outs = std::get_if<OutstandingReport>(&message))
-                    table->outs(now, kSession, *outs);
+                    table->on_outstanding_report(now, kSession, *outs);
             }
             for (const ProxyMessage& one : mail) handler.said(now, one.message, actions);
         }
@@ -598,7 +598,7 @@
     void greet(const std::function<void()>& meanwhile = [] {}) {
         const Register registration = handler.registration();
         meanwhile();
-        std::vector<ProxyMessage> mail;
+        ProxyOutbox mail;
         table->on_proxy_registered(now, kSession, registration, mail);
         handler.said(now, Registered{1, 0, 1, {}}, actions);
         handler.on_coordinator_registered(now, actions);
@@ -618,7 +618,7 @@
     }
     std::uint32_t out() const {
         std::uint32_t all = 0;
-        for (const auto& [number, runner] : table->runners()) all += runner.out();
+        for (const auto& [number, runner] : table->runners()) all += runner.outstanding();
         return all;
     }
 
@@ -738,18 +738,18 @@
     together.request(1);
     BOOST_REQUIRE(together.out() == 1U);
     const std::uint32_t number = together.table->runners().begin()->first;
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     together.lose_coordinator();
     together.table->on_proxy_disconnected(together.now, kSession, mail);
-    together.table->retire(together.now, number, mail);
+    together.table->drain_runner(together.now, number, mail);
     mail.clear();
     together.greet();
     BOOST_TEST(together.out() == 1U);
-    BOOST_TEST(!together.table->retire(together.now, number, mail));
+    BOOST_TEST(!together.table->drain_runner(together.now, number, mail));
     together.end(1, AttemptResult::answered);
     // Nothing is under way there any more: it may be stopped.
     BOOST_TEST(together.out() == 0U);
-    BOOST_TEST(together.table->retire(together.now, number, mail));
+    BOOST_TEST(together.table->drain_runner(together.now, number, mail));
     together.request(2);
     BOOST_TEST(together.actions.forwards.size() == 1U);
 }
--- a/tests/system/slots_tests.cpp
+++ b/tests/system/slots_tests.cpp
@@ -34,7 +34,7 @@
 
 AcquireRequest request(std::uint32_t id) { return {id, 0, "f", 1000, 4000, 1, 1, false}; }
 
-bool granted(const std::vector<ProxyMessage>& mail, Session to) {
+bool granted(const ProxyOutbox& mail, Session to) {
     return std::any_of(mail.begin(), mail.end(), [&](const ProxyMessage& one) {
         return one.to == to && std::holds_alternative<AcquireGranted>(one.message);
     });
@@ -48,7 +48,7 @@
     }
     const Function& function() const { return *slots.functions().at("f"); }
 
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     SlotTable slots;
 };
 
@@ -56,59 +56,59 @@
 
 BOOST_AUTO_TEST_CASE(slots_of_a_proxy_that_left_come_free) {
     Table table;
-    table.slots.listed(0, instance("i-1"), false, table.mail);
-    table.slots.ask(0, kFirst, request(1), table.mail);
+    table.slots.on_runner_listed(0, instance("i-1"), false, table.mail);
+    table.slots.on_acquire_request(0, kFirst, request(1), table.mail);
     BOOST_TEST(granted(table.mail, kFirst));
     table.mail.clear();
-    table.slots.ask(0, kSecond, request(1), table.mail);
+    table.slots.on_acquire_request(0, kSecond, request(1), table.mail);
     BOOST_TEST(!granted(table.mail, kSecond));
     table.slots.on_proxy_disconnected(0, kFirst, table.mail);
-    BOOST_TEST(table.slots.runners().begin()->second.out() == 0U);
+    BOOST_TEST(table.slots.runners().begin()->second.outstanding() == 0U);
     table.slots.tick(400'000, table.mail);
     BOOST_TEST(granted(table.mail, kSecond));
 }
 
 BOOST_AUTO_TEST_CASE(what_a_proxy_that_left_was_out_with_is_forgotten_also_where_it_was_never_told) {
     Table table;
-    table.slots.listed(0, instance("i-1"), false, table.mail);
+    table.slots.on_runner_listed(0, instance("i-1"), false, table.mail);
     const std::uint32_t number = table.slots.runners().begin()->first;
-    table.slots.outs(0, kFirst, OutstandingReport{{{number, 1}}});
-    BOOST_TEST(table.slots.runner(number).out() == 1U);
+    table.slots.on_outstanding_report(0, kFirst, OutstandingReport{{{number, 1}}});
+    BOOST_TEST(table.slots.runner(number).outstanding() == 1U);
     table.slots.on_proxy_disconnected(0, kFirst, table.mail);
-    BOOST_TEST(table.slots.runner(number).out() == 0U);
+    BOOST_TEST(table.slots.runner(number).outstanding() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_proxy_that_left_waits_no_more_and_is_told_nothing) {
     Table table;
-    table.slots.ask(0, kFirst, request(1), table.mail);
+    table.slots.on_acquire_request(0, kFirst, request(1), table.mail);
     BOOST_TEST(table.function().waiting.size() == 1U);
     table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.function().waiting.empty());
-    BOOST_TEST(table.function().interested.empty());
+    BOOST_TEST(table.function().subscribers.empty());
     table.mail.clear();
-    table.slots.listed(0, instance("i-1"), false, table.mail);
+    table.slots.on_runner_listed(0, instance("i-1"), false, table.mail);
     for (const ProxyMessage& one : table.mail) BOOST_TEST(one.to != kFirst);
 }
 
 BOOST_AUTO_TEST_CASE(loads_of_a_proxy_that_left_count_no_more) {
     Table table;
-    table.slots.loads(0, kFirst, LoadReport{1000, {{"f", 3, 200}}});
-    table.slots.loads(0, kSecond, LoadReport{1000, {{"f", 3, 200}}});
-    BOOST_TEST(table.function().parts.size() == 2U);
+    table.slots.on_load_report(0, kFirst, LoadReport{1000, {{"f", 3, 200}}});
+    table.slots.on_load_report(0, kSecond, LoadReport{1000, {{"f", 3, 200}}});
+    BOOST_TEST(table.function().proxy_loads.size() == 2U);
     table.slots.on_proxy_disconnected(0, kFirst, table.mail);
-    BOOST_TEST(table.function().parts.size() == 1U);
-    BOOST_TEST(table.function().parts.count(kSecond) == 1U);
+    BOOST_TEST(table.function().proxy_loads.size() == 1U);
+    BOOST_TEST(table.function().proxy_loads.count(kSecond) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(another_proxy_watches_what_one_that_left_was_watching) {
     Table table;
-    table.slots.began(0, instance("i-1"), table.mail);
-    const Session watcher = table.slots.runners().begin()->second.watcher;
+    table.slots.on_runner_started(0, instance("i-1"), table.mail);
+    const Session watcher = table.slots.runners().begin()->second.prober;
     BOOST_TEST((watcher == kFirst || watcher == kSecond));
     table.mail.clear();
     table.slots.on_proxy_disconnected(0, watcher, table.mail);
     const Session other = watcher == kFirst ? kSecond : kFirst;
-    BOOST_TEST(table.slots.runners().begin()->second.watcher == other);
+    BOOST_TEST(table.slots.runners().begin()->second.prober == other);
     BOOST_REQUIRE(table.mail.size() == 1U);
     BOOST_TEST(table.mail.front().to == other);
 }
@@ -116,16 +116,16 @@
 BOOST_AUTO_TEST_CASE(many_instances_come_and_go_before_a_proxy_leaves) {
     Table table;
     constexpr int kMany = 500;
-    table.slots.ask(0, kFirst, request(1), table.mail);
+    table.slots.on_acquire_request(0, kFirst, request(1), table.mail);
     for (int n = 0; n < kMany; ++n) {
         const std::string name = "i-" + std::to_string(n);
-        table.slots.listed(0, instance(name), false, table.mail);
-        if (n % 2 == 0) table.slots.gone(0, name, "stopped", table.mail);
+        table.slots.on_runner_listed(0, instance(name), false, table.mail);
+        if (n % 2 == 0) table.slots.on_runner_gone(0, name, table.mail);
     }
     table.slots.on_proxy_disconnected(0, kFirst, table.mail);
     BOOST_TEST(table.slots.runners().size() == static_cast<std::size_t>(kMany / 2));
     for (const auto& [number, runner] : table.slots.runners()) {
-        BOOST_TEST(runner.told.empty());
-        BOOST_TEST(runner.given.empty());
+        BOOST_TEST(runner.notified.empty());
+        BOOST_TEST(runner.grants.empty());
     }
 }
--- a/tests/system/world.hpp
+++ b/tests/system/world.hpp
@@ -182,7 +182,7 @@
     void end_if_it_may(Core& core);
     void open_core(Core& core);
     void coordinator_step(Core& core);
-    void post(std::size_t core, std::vector<ProxyMessage>& mail);
+    void post(std::size_t core, ProxyOutbox& mail);
     void to_coordinator(std::size_t front, const Message& message);
     void take(std::size_t front, std::size_t core, Number life, Number term, Session session,
               const Message& message);
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -21,11 +21,11 @@
         close_coordinator(core);
     if (leads && !core.coordinator && !fronts_.empty()) {
         SlotTable::Options b;
-        b.budget_slack = 20;
+        b.retry_budget = 20;
         Planner::Options p;
         p.nonce_prefix = core.name + "-" + std::to_string(core.consensus->term()) + "-";
-        p.duty_per_s = 100;
-        p.settle = core.consensus->term() <= 1 ? 200'000 : 1'500'000;
+        p.requests_per_s = 100;
+        p.takeover_delay = core.consensus->term() <= 1 ? 200'000 : 1'500'000;
         for (const char* z : {"z0", "z1", "z2"}) p.region_of[z] = "r";
         core.coordinator = std::make_unique<Core::Coordinator>(core.consensus->term(), b, p, now_);
     }
@@ -65,8 +65,8 @@
         std::find_if(cores_.begin(), cores_.end(), [&](const auto& c) { return c.get() == &core; }) -
         cores_.begin());
     Core::Coordinator& k = *core.coordinator;
-    k.next = now_ + SlotTable::kSample;
-    std::vector<ProxyMessage> mail;
+    k.next = now_ + SlotTable::kSampleInterval;
+    ProxyOutbox mail;
     // The platform's lists, as it shows them late.
     std::vector<Worker> workers;
     for (std::size_t w = 0; w < shape_.workers; ++w) {
@@ -75,7 +75,7 @@
             workers.push_back(
                 {name, "z" + std::to_string(w % 3), shape_.worker_mb, 0, !workers_draining_.count(name)});
     }
-    k.planner.workers(now_, workers);
+    k.planner.update_workers(now_, workers);
     k.planner.cancel_lost_starts(now_, k.slot_table, mail);
     std::string token;
     if (k.listing.due(now_, token)) {
@@ -87,18 +87,19 @@
         bool whole = false;
         std::vector<std::string> gone;
         k.listing.page(now_, page, whole, gone);
-        for (const ListedRunner& one : page.runners) k.slot_table.listed(now_, one.what, one.draining, mail);
-        for (const std::string& id : gone) k.slot_table.gone(now_, id, "not listed", mail);
-        k.planner.list_read(now_);
+        for (const ListedRunner& one : page.runners)
+            k.slot_table.on_runner_listed(now_, one.what, one.draining, mail);
+        for (const std::string& id : gone) k.slot_table.on_runner_gone(now_, id, mail);
+        k.planner.on_list_complete(now_);
     }
     k.slot_table.tick(now_, mail);
     // What was granted by this coordinator itself, never more than there are slots.
     for (const auto& [number, r] : k.slot_table.runners()) {
         std::set<std::pair<Session, std::uint32_t>> granted;
-        for (const RunnerSlots::Given& g : r.given)
-            if (g.ask > 0 && !granted.insert({g.front, g.ask}).second)
-                breach("one ask has two slots of " + r.what.runner);
-        if (granted.size() > r.what.slots) breach("more granted than " + r.what.runner + " has slots");
+        for (const RunnerSlots::Grant& g : r.grants)
+            if (g.request_id > 0 && !granted.insert({g.session, g.request_id}).second)
+                breach("one ask has two slots of " + r.info.runner);
+        if (granted.size() > r.info.slots) breach("more granted than " + r.info.runner + " has slots");
     }
     // Nobody goes before one that came earlier but by having less time left, or where that one can not be in
     // aim, or as a late one in its turn.
@@ -109,17 +110,17 @@
     for (std::size_t n = priority_inversions.kept().size() - fresh; n < priority_inversions.kept().size();
          ++n) {
         const PriorityInversion& o = priority_inversions.kept()[n];
-        const bool urgent =
-            o.target_left + o.priority * kRank <= o.before_target_left + o.before_priority * kRank;
-        const bool past = std::string(o.why) != "less_time_left";
+        const bool urgent = o.time_left + o.priority * kPriorityStep <=
+                            o.passed_time_left + o.passed_priority * kPriorityStep;
+        const bool past = std::string(o.why) != PriorityInversion::kLessTimeLeft;
         if (!past && !urgent) breach("one with more time left went first in " + o.service);
-        if (std::string(o.why) == "it_can_be_in_aim" && o.target_left <= 0)
+        if (std::string(o.why) == PriorityInversion::kPassedIsLate && o.time_left <= 0)
             breach("one that is late itself went before a late one in " + o.service);
     }
     overtaken += fresh;
     k.planner.plan_all(now_, k.slot_table, mail);
     PlatformRequests orders;
-    k.planner.due(now_, orders);
+    k.planner.take_due_requests(now_, orders);
     post(i, mail);
     for (const StartRunner& b : orders.starts) begin(i, core.life, b, k.term);
     for (const StopRunner& s : orders.stops) {
@@ -134,8 +135,8 @@
             Core& c = *cores_[i];
             if (c.life != life || !c.coordinator || c.coordinator->term != term) return;
             c.coordinator->planner.on_stop_result(s.runner, true);
-            std::vector<ProxyMessage> mail;
-            c.coordinator->slot_table.gone(now_, s.runner, "stopped", mail);
+            ProxyOutbox mail;
+            c.coordinator->slot_table.on_runner_gone(now_, s.runner, mail);
             post(i, mail);
         });
     }
@@ -145,11 +146,11 @@
     digest_output(std::uint64_t{core}, fence, std::string_view(b.service), std::string_view(b.worker),
                   std::string_view(b.nonce));
     at(now_ + hop(), [this, core, life, b, fence] {
-        StartResult answer = StartResult::begun;
+        StartResult answer = StartResult::started;
         RunnerInfo begun;
         if (fence < fence_ || (fence == fence_ && fence_holder_ != cores_[core]->name)) {
             ++fence_refused;
-            answer = StartResult::refused;
+            answer = StartResult::rejected;
         } else {
             if (fence > fence_) fence_ = fence, fence_holder_ = cores_[core]->name;
             const std::string key = b.service + "/" + b.nonce;
@@ -165,7 +166,7 @@
                 if (made == services.end() || workers_down_.count(b.worker) ||
                     workers_draining_.count(b.worker) || used + made->memory_mb > shape_.worker_mb) {
                     nonces_.erase(key);
-                    answer = StartResult::no_room;
+                    answer = StartResult::no_capacity;
                 } else {
                     ++starts;
                     id = "i-" + std::to_string(++made_);
@@ -179,25 +180,26 @@
                     runners_[id] = std::move(r);
                 }
             }
-            if (answer == StartResult::begun) {
+            if (answer == StartResult::started) {
                 const Runner& r = *runners_[nonces_[key]];
                 begun = {r.id, r.service, r.address, r.zone, r.worker, r.slots, 0, false};
             }
         }
         const bool lost = chance(platform_answers_lost_);
-        if (lost) answer = StartResult::silent;
+        if (lost) answer = StartResult::timed_out;
         at(now_ + (lost ? kCallLimit : hop()), [this, core, life, b, answer, begun] {
             Core& c = *cores_[core];
             if (c.life != life || !c.coordinator || !c.consensus || !c.consensus->leads(now_)) return;
-            std::vector<ProxyMessage> mail;
-            if (answer == StartResult::begun) c.coordinator->slot_table.began(now_, begun, mail);
+            ProxyOutbox mail;
+            if (answer == StartResult::started)
+                c.coordinator->slot_table.on_runner_started(now_, begun, mail);
             c.coordinator->planner.on_start_result(now_, b.nonce, answer);
             post(core, mail);
         });
     });
 }
 
-void World::post(std::size_t core, std::vector<ProxyMessage>& mail) {
+void World::post(std::size_t core, ProxyOutbox& mail) {
     for (const ProxyMessage& one : mail) digest_message(core, one.to, one.message);
     for (const ProxyMessage& one : mail)
         for (std::size_t f = 0; f < fronts_.size(); ++f) {
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -26,21 +26,23 @@
            [=, this] { take(f, core, life, term, session, message); });
         return;
     }
-    std::vector<ProxyMessage> mail;
+    ProxyOutbox mail;
     SlotTable& slot_table = c.coordinator->slot_table;
     if (const auto* m = std::get_if<AcquireRequest>(&message)) {
-        Function* const fn = slot_table.ask(now_, session, *m, mail);
+        Function* const fn = slot_table.on_acquire_request(now_, session, *m, mail);
         if (fn && !fn->waiting.empty()) {
-            c.coordinator->planner.plan_waiting(now_, slot_table, *fn, mail);
+            c.coordinator->planner.plan_for_waiting(now_, slot_table, *fn, mail);
             PlatformRequests orders;
-            c.coordinator->planner.due(now_, orders);
+            c.coordinator->planner.take_due_requests(now_, orders);
             for (const StartRunner& b : orders.starts) begin(core, life, b, term);
         }
     }
-    if (const auto* m = std::get_if<Release>(&message)) slot_table.release(now_, session, *m, mail);
-    if (const auto* m = std::get_if<RunnerReachable>(&message)) slot_table.up(now_, session, *m, mail);
-    if (const auto* m = std::get_if<LoadReport>(&message)) slot_table.loads(now_, session, *m);
-    if (const auto* m = std::get_if<OutstandingReport>(&message)) slot_table.outs(now_, session, *m);
+    if (const auto* m = std::get_if<Release>(&message)) slot_table.on_release(now_, session, *m, mail);
+    if (const auto* m = std::get_if<RunnerReachable>(&message))
+        slot_table.on_runner_reachable(now_, session, *m, mail);
+    if (const auto* m = std::get_if<LoadReport>(&message)) slot_table.on_load_report(now_, session, *m);
+    if (const auto* m = std::get_if<OutstandingReport>(&message))
+        slot_table.on_outstanding_report(now_, session, *m);
     post(core, mail);
 }
 
@@ -55,7 +57,7 @@
             if (!front.off || now_ > front.heard + kReach) {
                 if (c->up && c->coordinator && c->coordinator->term == front.term &&
                     c->life == front.core_life) {
-                    std::vector<ProxyMessage> mail;
+                    ProxyOutbox mail;
                     cores_[*front.core]->coordinator->slot_table.on_proxy_disconnected(now_, front.session,
                                                                                        mail);
                     cores_[*front.core]->coordinator->fronts.erase(f);
@@ -73,12 +75,11 @@
                 front.session = ++session_;
                 front.heard = front.next = now_;
                 next.coordinator->fronts.insert(f);
-                std::vector<ProxyMessage> mail;
+                ProxyOutbox mail;
                 const auto rank = static_cast<std::uint32_t>(
                     std::distance(next.coordinator->fronts.begin(), next.coordinator->fronts.find(f)));
-                mail.push_back(
-                    {front.session,
-                     Registered{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}}});
+                mail.send(front.session,
+                          Registered{front.term, rank, static_cast<std::uint32_t>(fronts_.size()), {}});
                 next.coordinator->slot_table.on_proxy_registered(now_, front.session,
                                                                  front.handler->registration(), mail);
                 if (next.consensus && next.consensus->committed() &&
@@ -252,7 +253,7 @@
     Front& front = *fronts_[f];
     if (front.core && cores_[*front.core]->coordinator &&
         cores_[*front.core]->coordinator->term == front.term) {
-        std::vector<ProxyMessage> mail;
+        ProxyOutbox mail;
         cores_[*front.core]->coordinator->slot_table.on_proxy_disconnected(now_, front.session, mail);
         cores_[*front.core]->coordinator->fronts.erase(f);
         post(*front.core, mail);
