--- /dev/null
+++ b/src/cluster/placement/pending_starts.hpp
@@ -0,0 +1,43 @@
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "cluster/placement/platform_requests.hpp"
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+// A start that was decided and not answered yet.
+struct PendingStart {
+    StartRunner start;
+    std::int64_t memory_mb = 0;
+    Micros next_attempt_at = 0;
+    bool in_flight = false;
+    int attempts = 0;
+};
+
+// Starts by nonce, and by function.
+class PendingStarts {
+  public:
+    void add(PendingStart start);
+    void remove(const std::string& nonce);
+    // nullptr: there is none.
+    PendingStart* find(const std::string& nonce);
+    std::size_t count(const std::string& service) const;
+    // Workers on which runners of the function are to be started, one for each start.
+    std::vector<std::string> workers_of(const std::string& service) const;
+    // By nonce.
+    std::map<std::string, PendingStart>& all() { return by_nonce_; }
+    const std::map<std::string, PendingStart>& all() const { return by_nonce_; }
+
+  private:
+    std::map<std::string, PendingStart> by_nonce_;
+    std::unordered_map<std::string, std::vector<std::string>> nonces_;  // by function; never empty
+};
+
+}  // namespace gannethold::cluster
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -1,296 +1,221 @@
 #include "cluster/placement/planner.hpp"
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kSilent = 1'000'000;  // before a stop without an answer is said again
-// A runner that is started for each request costs its start each time; one that is kept, its idle time. It is
-// kept where more than one request is expected in so many starts' time.
-constexpr double kHold = 2;
-constexpr std::size_t kShortLine = 8;
-constexpr Micros kPlanEach = 20'000;
-constexpr double kStartPays = 0.8;  // of a start's time: a slot that comes free sooner is waited for
-constexpr double kNearRate = 12;    // requests a second of a zone that are worth a gigabyte near them
+// The platform's rate is shared by all that coordinate one after the other.
+constexpr double kRateShare = 0.8;
+constexpr double kMinBurst = 4;
+constexpr double kBurstSeconds = 0.125;
 
-}  // namespace
+constexpr Micros kStopRetryInterval = 1'000'000;
+constexpr Micros kBusyRetryInterval = 100'000;
+constexpr Micros kTimeoutRetryInterval = 50'000;
+constexpr int kMaxStartAttempts = 4;
+constexpr Micros kFullWorkerPause = 1'000'000;
 
-void Planner::update_workers(Micros, std::vector<Worker> all) {
-    workers_.clear();
-    for (Worker& w : all) workers_[w.name] = std::move(w);
-}
+// What one more in a long queue changes is little, and planning for each costs more time than there is.
+constexpr std::size_t kShortQueue = 8;
+constexpr Micros kLongQueueInterval = 20'000;
 
-bool Planner::spend(Micros now) {
-    // Under the platform's rate, shared by all who could hold the duty one after the other.
-    tokens_ = std::min(std::max(4.0, options_.requests_per_s / 8),
-                       tokens_ + static_cast<double>(now - tokens_at_) / 1e6 * options_.requests_per_s * 0.8);
-    tokens_at_ = now;
-    if (tokens_ < 1) return false;
-    tokens_ -= 1;
-    return true;
-}
+constexpr double kMinRequestsPerS = 0.01;  // below, nobody asks
+constexpr Micros kSurplusMargin = 500'000;
 
-std::string Planner::region(const std::string& zone) const {
-    const auto at = options_.region_of.find(zone);
-    return at == options_.region_of.end() ? zone : at->second;
+// How long one runner too many is kept: what starting it again would cost.
+Micros surplus_time(const Service& service, std::size_t target) {
+    return target == 0 ? service.boot : 2 * service.boot + kSurplusMargin;
 }
 
-// In the zone that needs it if there is room, then in its region, then anywhere; there on the worker that has
-// none of the function yet, so that one crash leaves some; then on the emptiest.
-const Worker* Planner::place(Micros now, const Function& f, const std::string& zone) const {
-    std::map<std::string, int> there;
-    for (const RunnerSlots* const runner : f.runners)
-        if (const RunnerSlots& r = *runner; !r.draining) ++there[r.info.worker];
-    std::map<std::string, std::int64_t> promised;
-    for (const auto& [nonce, p] : starts_) {
-        promised[p.begin.worker] += p.memory;
-        if (p.begin.service == f.name) ++there[p.begin.worker];
-    }
-    const Worker* best = nullptr;
-    double best_rank = 0;
-    for (const auto& [name, w] : workers_) {
-        const auto used = used_.find(name);
-        const std::int64_t left = w.memory_mb - (used == used_.end() ? 0 : used->second) - promised[name];
-        if (!w.ready || left < f.service->memory_mb) continue;
-        if (const auto full = full_until_.find(name); full != full_until_.end() && now < full->second)
-            continue;
-        const double near = zone.empty() ? 0 : w.zone == zone ? 2 : region(w.zone) == region(zone) ? 1 : 0;
-        const double rank =
-            100 * near - 16 * there[name] +
-            static_cast<double>(left) / static_cast<double>(std::max<std::int64_t>(1, w.memory_mb));
-        if (!best || rank > best_rank) {
-            best = &w;
-            best_rank = rank;
-        }
+// Of the runners that may be stopped, one of the zone with most runners for its requests, and of those the
+// one that has been idle longest; nullptr: none may be.
+const RunnerSlots* choose_surplus(Micros now, const Function& function, Micros min_idle) {
+    std::map<std::string, int> by_zone;
+    for (const RunnerSlots* const runner : function.runners)
+        if (!runner->draining) ++by_zone[runner->info.zone];
+    const auto surplus = [&](const RunnerSlots& runner) {
+        return by_zone[runner.info.zone] /
+               (kMinRequestsPerS + function.zones.requests_per_s(runner.info.zone));
+    };
+    const RunnerSlots* chosen = nullptr;
+    for (const RunnerSlots* const runner : function.runners) {
+        if (runner->draining || runner->state != RunnerState::ready) continue;
+        // What is outstanding of an unrestricted function is not known here.
+        const bool idle = runner->outstanding() == 0 && now >= runner->idle_since + min_idle;
+        if (!function.unrestricted && !idle) continue;
+        if (!chosen || surplus(*runner) > surplus(*chosen) ||
+            (surplus(*runner) == surplus(*chosen) && runner->idle_since < chosen->idle_since))
+            chosen = runner;
     }
-    return best;
+    return chosen;
 }
 
-Planner::Wish Planner::wish(Micros now, const SlotTable& slot_table, const Function& f, std::size_t have,
-                            std::size_t starting) const {
-    const Service& s = *f.service;
-    const double slots = s.most;
-    const double load = std::max(f.load.fast(), f.load.slow());
-    Wish wish;
-    wish.why = "idle";
-    // Where one more is best: the zone with most requests for each runner there.
-    std::map<std::string, double> there;
-    for (const RunnerSlots* const runner : f.runners)
-        if (const RunnerSlots& r = *runner; !r.draining) there[r.info.zone] += 1;
-    if (const auto of = starts_of_.find(f.name); of != starts_of_.end())
-        for (const std::string& nonce : of->second)
-            if (const auto p = starts_.find(nonce); p != starts_.end())
-                there[zone_of(p->second.begin.worker)] += 1;
-    double most = 0;
-    for (const auto& [zone, place] : f.zones.by_zone()) {
-        const double need = place.requests_per_s / (0.2 + there[zone]);
-        if (need > most) {
-            most = need;
-            wish.zone = zone;
-        }
-    }
-    if (s.warm()) {
-        const double wanted = load + 2 * std::sqrt(load);
-        wish.count = std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(wanted / (slots * 0.8))));
-        wish.why = wish.count > 1 ? "load" : "warm";
-        // Near those who ask: a region of its own for each region, a zone where enough comes from it.
-        std::map<std::string, double> rates;
-        std::map<std::string, double> has;
-        std::size_t zones = 0;
-        for (const auto& [zone, place] : f.zones.by_zone()) {
-            rates[region(zone)] += place.requests_per_s;
-            zones += place.requests_per_s > kNearRate * static_cast<double>(s.memory_mb) / 1024;
-        }
-        std::size_t regions = 0;
-        for (const auto& [name, rate] : rates)
-            regions += rate > kNearRate / 4 * static_cast<double>(s.memory_mb) / 1024;
-        const std::size_t near = std::max(zones, regions);
-        if (near > wish.count) {
-            wish.count = near;
-            wish.why = "near";
-        }
-    } else if (f.zones.requests_per_s() * kHold * static_cast<double>(s.boot) / 1e6 > 1 ||
-               f.load.slow() > 0.5) {
-        wish.count = std::max<std::size_t>(
-            1, static_cast<std::size_t>(std::ceil((f.load.slow() + std::sqrt(f.load.slow())) / slots - 0.3)));
-        wish.why = "load";
-    }
-    if (!f.waiting.empty()) {
-        std::map<std::string, int> zones;
-        for (const auto& [place, w] : f.waiting.all())
-            if (const std::string* zone = slot_table.proxy_zone(w.session)) ++zones[*zone];
-        int many = 0;
-        for (const auto& [zone, count] : zones)
-            if (count > many) {
-                many = count;
-                wish.zone = zone;
-            }
-        // One more where a start is over before a slot comes free, and what is coming up already would be too
-        // late for the aim.
-        const double wait = slot_table.expected_wait(now, f);
-        const WaitQueue::Waiting& last = *f.waiting.newest();
-        const bool late = static_cast<double>(now) + wait + static_cast<double>(last.work) >
-                          static_cast<double>(last.target_at);
-        if (starting * s.most < f.waiting.size() && wait > kStartPays * static_cast<double>(s.boot) &&
-            (have == 0 || late)) {
-            if (have + 1 > wish.count) {
-                wish.why = "waiting";
-                wish.count = have + 1;
-            }
-        }
-    }
-    return wish;
-}
+}  // namespace
+
+Planner::Planner(const Options& options, Micros now)
+    : nonce_prefix_(options.nonce_prefix),
+      ready_at_(now + options.takeover_delay),
+      tokens_(
+          {options.requests_per_s, kRateShare, std::max(kMinBurst, options.requests_per_s * kBurstSeconds)},
+          now),
+      workers_(options.region_of) {}
 
-void Planner::plan_for_waiting(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail) {
-    // What one more in a long line changes is little, and to look at all of it for each costs more than there
-    // is.
-    if (f.waiting.size() > kShortLine && now < f.planned_at + kPlanEach) return;
-    f.planned_at = now;
-    plan(now, slot_table, f, mail);
+bool Planner::is_ready(Micros now) const {
+    return list_complete_at_ > 0 && !workers_.empty() && now >= ready_at_;
 }
 
-// What starts on a worker that drains or is down never comes up: another start is planned for at once.
-void Planner::cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& mail) const {
+void Planner::cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& out) const {
     std::vector<std::string> lost;
-    for (const auto& [number, runner] : slot_table.runners()) {
-        const auto worker = workers_.find(runner.info.worker);
-        const bool up = worker != workers_.end() && worker->second.ready;
-        if (runner.state == RunnerState::starting && !up) lost.push_back(runner.info.runner);
+    for (const auto& [number, runner] : slot_table.runners())
+        if (runner.state == RunnerState::starting && !workers_.is_ready(runner.info.worker))
+            lost.push_back(runner.info.runner);
+    for (const std::string& runner : lost) slot_table.on_runner_gone(now, runner, out);
+}
+
+// ---- plans ----
+
+void Planner::plan_for_waiting(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out) {
+    if (function.waiting.size() > kShortQueue && now < function.planned_at + kLongQueueInterval) return;
+    function.planned_at = now;
+    plan(now, slot_table, function, out);
+}
+
+void Planner::plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& out) {
+    workers_.clear_used();
+    for (const auto& [number, runner] : slot_table.runners())
+        if (runner.function->service)
+            workers_.add_used(runner.info.worker, runner.function->service->memory_mb);
+    const std::vector<Function*> active(slot_table.active().begin(), slot_table.active().end());
+    for (Function* const function : active) plan(now, slot_table, *function, out);
+    for (auto& [runner, stop] : stops_) {
+        if (stop.drained || !slot_table.drain_runner(now, stop.number, out)) continue;
+        stop.drained = true;
+        stop.next_attempt_at = now;
     }
-    for (const std::string& runner : lost) slot_table.on_runner_gone(now, runner, mail);
 }
 
-void Planner::plan(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail) {
-    if (!committed(now)) return;
-    // Nobody asks, nothing runs, none is to be warm.
-    if (f.service && f.runners.empty() && f.waiting.empty() && f.zones.requests_per_s() < 0.01 &&
-        !f.service->warm() && !starts_of_.contains(f.name))
-        return;
-    if (!f.service) {
-        for (const RunnerSlots* const runner : f.runners) {
-            slot_table.drain_runner(now, runner->number, mail);
-            leaving_.try_emplace(runner->info.runner, Leaving{runner->number, 0, false});
-        }
+void Planner::plan(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out) {
+    if (!is_ready(now)) return;
+    if (!function.service) {
+        for (const RunnerSlots* const runner : function.runners) stop(now, slot_table, *runner, out);
         return;
     }
-    std::size_t have = 0;
-    std::size_t starting = 0;
-    for (const RunnerSlots* const runner : f.runners) {
-        const RunnerSlots& r = *runner;
-        have += !r.draining;
-        starting += !r.draining && r.state == RunnerState::starting;
+    const bool unused = function.runners.empty() && function.waiting.empty() &&
+                        function.zones.requests_per_s() < kMinRequestsPerS;
+    if (unused && !function.service->warm() && starts_.count(function.name) == 0) return;
+    const RunnerCounts runners = count_runners(function);
+    const RunnerTarget target = runner_target(now, function, runners, slot_table, workers_);
+    if (runners.total > target.count && runners.starting == 0) {
+        stop_surplus(now, slot_table, function, target.count, out);
+        return;
     }
-    if (const auto of = starts_of_.find(f.name); of != starts_of_.end()) {
-        have += of->second.size();
-        starting += of->second.size();
+    surplus_since_.erase(function.name);
+    if (runners.total < target.count) start_one(now, function, target);
+}
+
+RunnerCounts Planner::count_runners(const Function& function) const {
+    RunnerCounts counts;
+    for (const RunnerSlots* const runner : function.runners) {
+        if (runner->draining) continue;
+        ++counts.total;
+        counts.starting += runner->state == RunnerState::starting;
+        counts.by_zone[runner->info.zone] += 1;
     }
-    const Wish want = wish(now, slot_table, f, have, starting);
-    if (have < want.count) {
-        surplus_since_.erase(f.name);
-        const Worker* const worker = place(now, f, want.zone);
-        f.no_worker_has_room = !worker;
-        if (!worker) return;
-        const std::string nonce = options_.nonce_prefix + std::to_string(++count_);
-        starts_[nonce] = {{f.name, worker->name, nonce, want.why}, f.service->memory_mb, now, false, 0};
-        starts_of_[f.name].push_back(nonce);
-        return;
+    for (const std::string& worker : starts_.workers_of(function.name)) {
+        ++counts.total;
+        ++counts.starting;
+        counts.by_zone[workers_.zone_of(worker)] += 1;
     }
-    if (have == want.count || starting > 0) {
-        surplus_since_.erase(f.name);
-        return;
+    return counts;
+}
+
+void Planner::start_one(Micros now, Function& function, const RunnerTarget& target) {
+    WorkerTable::Demand demand;
+    demand.memory_mb = function.service->memory_mb;
+    demand.zone = target.zone;
+    for (const RunnerSlots* const runner : function.runners)
+        if (!runner->draining) ++demand.runners[runner->info.worker];
+    for (const auto& [nonce, pending] : starts_.all()) {
+        demand.pending_mb[pending.start.worker] += pending.memory_mb;
+        if (pending.start.service == function.name) ++demand.runners[pending.start.worker];
     }
-    // Stopped once it has been too many for as long as a start is worth.
-    const Micros since = surplus_since_.try_emplace(f.name, now).first->second;
-    const Micros keep = want.count == 0 ? f.service->boot : 2 * f.service->boot + 500'000;
+    const Worker* const worker = workers_.choose(now, std::move(demand));
+    function.no_worker_has_room = !worker;
+    if (!worker) return;
+    PendingStart pending;
+    const std::string nonce = nonce_prefix_ + std::to_string(++last_nonce_);
+    pending.start = {function.name, worker->name, nonce, target.why};
+    pending.memory_mb = function.service->memory_mb;
+    pending.next_attempt_at = now;
+    starts_.add(std::move(pending));
+}
+
+void Planner::stop_surplus(Micros now, SlotTable& slot_table, Function& function, std::size_t target,
+                           ProxyOutbox& out) {
+    const Micros since = surplus_since_.try_emplace(function.name, now).first->second;
+    const Micros keep = surplus_time(*function.service, target);
     if (now < since + keep) return;
-    const RunnerSlots* chosen = nullptr;
-    std::map<std::string, int> there;
-    for (const RunnerSlots* const runner : f.runners)
-        if (const RunnerSlots& r = *runner; !r.draining) ++there[r.info.zone];
-    const auto spare = [&](const RunnerSlots& r) {
-        const auto place = f.zones.by_zone().find(r.info.zone);
-        return there[r.info.zone] /
-               (0.01 + (place == f.zones.by_zone().end() ? 0 : place->second.requests_per_s));
-    };
-    for (const RunnerSlots* const runner : f.runners) {
-        const RunnerSlots& r = *runner;
-        if (r.draining || r.state != RunnerState::ready ||
-            (!f.unrestricted && (r.outstanding() > 0 || now < r.idle_since + keep / 2)))
-            continue;
-        if (!chosen || spare(r) > spare(*chosen) ||
-            (spare(r) == spare(*chosen) && r.idle_since < chosen->idle_since))
-            chosen = &r;
-    }
-    if (!chosen) return;
-    const std::uint32_t number = chosen->number;
-    leaving_.try_emplace(chosen->info.runner, Leaving{number, 0, false});
-    slot_table.drain_runner(now, number, mail);
+    if (const RunnerSlots* const runner = choose_surplus(now, function, keep / 2))
+        stop(now, slot_table, *runner, out);
 }
 
-void Planner::plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& mail) {
-    used_.clear();
-    for (const auto& [number, r] : slot_table.runners())
-        if (r.function->service) used_[r.info.worker] += r.function->service->memory_mb;
-    for (Function* const f : std::vector<Function*>(slot_table.active().begin(), slot_table.active().end()))
-        plan(now, slot_table, *f, mail);
-    // What was retired is stopped once nothing is under way to it.
-    for (auto& [runner, l] : leaving_)
-        if (l.next == 0 && slot_table.drain_runner(now, l.number, mail)) l.next = now;
+void Planner::stop(Micros now, SlotTable& slot_table, const RunnerSlots& runner, ProxyOutbox& out) {
+    slot_table.drain_runner(now, runner.number, out);
+    stops_.try_emplace(runner.info.runner, PendingStop{runner.number, false, 0});
 }
 
-void Planner::take_due_requests(Micros now, PlatformRequests& orders) {
-    for (auto& [nonce, p] : starts_) {
-        if (p.out || now < p.next) continue;
-        if (!spend(now)) return;
-        p.out = true;
-        ++p.times;
-        orders.starts.push_back(p.begin);
+// ---- the platform ----
+
+PlatformRequests Planner::take_due_requests(Micros now) {
+    PlatformRequests due;
+    for (auto& [nonce, pending] : starts_.all()) {
+        if (pending.in_flight || now < pending.next_attempt_at) continue;
+        if (!tokens_.try_spend(now)) return due;
+        pending.in_flight = true;
+        ++pending.attempts;
+        due.starts.push_back(pending.start);
     }
-    for (auto& [runner, l] : leaving_) {
-        if (l.next == 0 || now < l.next) continue;
-        if (!spend(now)) return;
-        l.next = now + kSilent;
-        orders.stops.push_back({runner, "surplus"});
+    for (auto& [runner, stop] : stops_) {
+        if (!stop.drained || now < stop.next_attempt_at) continue;
+        if (!tokens_.try_spend(now)) return due;
+        stop.next_attempt_at = now + kStopRetryInterval;
+        due.stops.push_back({runner, "surplus"});
     }
+    return due;
 }
 
-void Planner::on_start_result(Micros now, const std::string& nonce, StartResult answer) {
-    const auto at = starts_.find(nonce);
-    if (at == starts_.end()) return;
-    Pending& p = at->second;
-    const auto drop = [&] {
-        auto& all = starts_of_[p.begin.service];
-        std::erase(all, nonce);
-        if (all.empty()) starts_of_.erase(p.begin.service);
-        starts_.erase(at);
-    };
-    switch (answer) {
+void Planner::on_start_result(Micros now, const std::string& nonce, StartResult result) {
+    PendingStart* const pending = starts_.find(nonce);
+    if (!pending) return;
+    switch (result) {
         case StartResult::started:
-            used_[p.begin.worker] += p.memory;
-            return drop();
+            workers_.add_used(pending->start.worker, pending->memory_mb);
+            starts_.remove(nonce);
+            break;
         case StartResult::no_capacity:
-            full_until_[p.begin.worker] = now + 1'000'000;
-            return drop();
+            workers_.set_full(pending->start.worker, now + kFullWorkerPause);
+            starts_.remove(nonce);
+            break;
         case StartResult::rejected:
-            return drop();
+            starts_.remove(nonce);
+            break;
         case StartResult::busy:
-            p.out = false;
-            p.next = now + 100'000;
-            return;
+            pending->in_flight = false;
+            pending->next_attempt_at = now + kBusyRetryInterval;
+            break;
         case StartResult::timed_out:
             // It may have been done: the same nonce on the same worker finds it again.
-            p.out = false;
-            p.next = now + 50'000;
-            if (p.times >= 4) drop();
-            return;
+            pending->in_flight = false;
+            pending->next_attempt_at = now + kTimeoutRetryInterval;
+            if (pending->attempts >= kMaxStartAttempts) starts_.remove(nonce);
+            break;
     }
 }
 
-void Planner::on_stop_result(const std::string& runner, bool done) {
-    if (done) leaving_.erase(runner);
+void Planner::on_stop_result(const std::string& runner, bool stopped) {
+    if (stopped) stops_.erase(runner);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/placement/planner.hpp
+++ b/src/cluster/placement/planner.hpp
@@ -1,107 +1,81 @@
 // How many runners each function has, and on which worker each is started. One planner acts at a time: the
-// leader of the core, under its term as the fence. It reads the slot table and says what to start and stop;
-// no I/O and no clock.
+// coordinator's, under its term as the fencing token. It reads the slot table and says what to start and
+// stop. No I/O and no clock: `now` is of a steady clock and never goes back. Not thread-safe.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
+#include "cluster/placement/pending_starts.hpp"
+#include "cluster/placement/platform_requests.hpp"
+#include "cluster/placement/runner_target.hpp"
+#include "cluster/placement/token_bucket.hpp"
+#include "cluster/placement/worker_table.hpp"
 #include "cluster/slots/slot_table.hpp"
 
 namespace gannethold::cluster {
 
-struct Worker {
-    std::string name, zone;
-    std::int64_t memory_mb = 0, free_mb = 0;
-    bool ready = true;
-};
-
-struct StartRunner {
-    std::string service, worker, nonce;
-    const char* why = "";
-};
-struct StopRunner {
-    std::string runner;
-    const char* why = "";
-};
-
-struct PlatformRequests {
-    std::vector<StartRunner> starts;
-    std::vector<StopRunner> stops;
-};
-
-enum class StartResult { started, no_capacity, rejected, busy, timed_out };
-
 class Planner {
   public:
     struct Options {
-        std::string nonce_prefix;  // unique to this coordinator's term and life
-        double requests_per_s = 1;
-        Micros takeover_delay =
-            1'500'000;  // after coming into coordinator, before what is not listed is started anew
+        std::string nonce_prefix;   // unique to this coordinator's term and incarnation
+        double requests_per_s = 1;  // to the platform, by all coordinators together
+        // After this coordinator has taken over, before a runner that is not listed is started anew.
+        Micros takeover_delay = 1'500'000;
         std::map<std::string, std::string> region_of;  // by zone
     };
-    Planner(Options options, Micros now) : options_(std::move(options)), since_(now), tokens_at_(now) {}
+    Planner(const Options& options, Micros now);
+
+    // The platform's lists: all workers; and that the list of runners has been read from end to end.
+    void update_workers(std::vector<Worker> workers) { workers_.update(std::move(workers)); }
+    void on_list_complete(Micros now) { list_complete_at_ = now; }
+    // Whether enough is known to plan; nothing is planned before.
+    bool is_ready(Micros now) const;
+
+    // What starts on a worker that drains or is down never accepts connections: its runners are ended, so
+    // that another start is planned for at once. Call after update_workers().
+    void cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& out) const;
+    // For one function, after one more request has come to wait.
+    void plan_for_waiting(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out);
+    // For all that are active. Call each SlotTable::kSampleInterval.
+    void plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& out);
+    // What is to be sent to the platform now, within its rate: new requests, and those to be repeated.
+    PlatformRequests take_due_requests(Micros now);
+
+    void on_start_result(Micros now, const std::string& nonce, StartResult result);
+    void on_stop_result(const std::string& runner, bool stopped);
 
-    void update_workers(Micros now, std::vector<Worker> all);
-    // Call after workers(): ends the starts on workers that drain or stand there no more.
-    void cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& mail) const;
-    void on_list_complete(Micros now) { listed_ = now; }
-    bool committed(Micros now) const {
-        return listed_ > 0 && !workers_.empty() && now >= since_ + options_.takeover_delay;
-    }
-    std::string zone_of(const std::string& worker) const {
-        const auto at = workers_.find(worker);
-        return at == workers_.end() ? std::string() : at->second.zone;
-    }
-    // For one function, where one more has come to wait.
-    void plan_for_waiting(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail);
-    void plan(Micros now, SlotTable& slot_table, Function& f, ProxyOutbox& mail);
-    // For all that are active; then what is due is said. Call each SlotTable::kSampleInterval.
-    void plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& mail);
-    void take_due_requests(Micros now, PlatformRequests& orders);
-    void on_start_result(Micros now, const std::string& nonce, StartResult answer);
-    void on_stop_result(const std::string& runner, bool done);
+    // Empty: no such worker is listed.
+    std::string zone_of(const std::string& worker) const { return workers_.zone_of(worker); }
 
   private:
-    struct Pending {
-        StartRunner begin;
-        std::int64_t memory = 0;
-        Micros next = 0;  // when it is said (again)
-        bool out = false;
-        int times = 0;
-    };
-    struct Leaving {
+    struct PendingStop {
         std::uint32_t number = 0;
-        Micros next = 0;
-        bool out = false;
-    };
-    struct Wish {
-        std::size_t count = 0;
-        const char* why = "";
-        std::string zone;  // where one more is best; empty: wherever there is room
+        bool drained = false;  // nothing is outstanding there: it may be stopped
+        Micros next_attempt_at = 0;
     };
-    Wish wish(Micros now, const SlotTable& slot_table, const Function& f, std::size_t have,
-              std::size_t starting) const;
-    const Worker* place(Micros now, const Function& f, const std::string& zone) const;
-    std::string region(const std::string& zone) const;
-    bool spend(Micros now);
 
-    Options options_;
-    Micros since_, listed_ = 0, tokens_at_;
-    double tokens_ = 0;
-    std::map<std::string, Worker> workers_;
-    std::map<std::string, std::int64_t>
-        used_;  // by worker, of runners that the slot table knows; counted anew each plan_all
-    std::map<std::string, Micros> full_until_;
-    std::map<std::string, Pending> starts_;                                // by nonce
-    std::unordered_map<std::string, std::vector<std::string>> starts_of_;  // nonces, by function
-    std::map<std::string, Leaving> leaving_;                               // by runner
-    std::unordered_map<std::string, Micros> surplus_since_;
-    std::uint64_t count_ = 0;
+    void plan(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out);
+    void start_one(Micros now, Function& function, const RunnerTarget& target);
+    // Stops a runner once there have been too many for as long as a start is worth.
+    void stop_surplus(Micros now, SlotTable& slot_table, Function& function, std::size_t target,
+                      ProxyOutbox& out);
+    void stop(Micros now, SlotTable& slot_table, const RunnerSlots& runner, ProxyOutbox& out);
+    RunnerCounts count_runners(const Function& function) const;
+
+    std::string nonce_prefix_;
+    Micros ready_at_;              // not before, as of the takeover delay
+    Micros list_complete_at_ = 0;  // 0: not yet
+    TokenBucket tokens_;
+    WorkerTable workers_;
+    PendingStarts starts_;
+    std::map<std::string, PendingStop> stops_;               // by runner
+    std::unordered_map<std::string, Micros> surplus_since_;  // by function
+    std::uint64_t last_nonce_ = 0;
 };
 
 }  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/placement/runner_target.hpp
@@ -0,0 +1,31 @@
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <string>
+
+#include "cluster/placement/worker_table.hpp"
+#include "cluster/slots/slot_table.hpp"
+#include "types.hpp"
+
+namespace gannethold::cluster {
+
+// How many runners a function should have.
+struct RunnerTarget {
+    std::size_t count = 0;
+    const char* why = "";
+    std::string zone;  // where one more is best; empty: wherever there is room
+};
+
+// A function's runners, and the starts that are pending, without those that drain.
+struct RunnerCounts {
+    std::size_t total = 0;
+    std::size_t starting = 0;
+    std::map<std::string, double> by_zone;
+};
+
+// REQUIRES: the function is configured.
+RunnerTarget runner_target(Micros now, const Function& function, const RunnerCounts& runners,
+                           const SlotTable& slot_table, const WorkerTable& workers);
+
+}  // namespace gannethold::cluster
--- a/src/cluster/programs/coordinator.cpp
+++ b/src/cluster/programs/coordinator.cpp
@@ -210,7 +210,7 @@
                 [&]() -> leaf::result<void> {
                     if (!answered) return failure(ErrorCode::platform_silent, "workers");
                     BOOST_LEAF_AUTO(all, workers_.read(answer));
-                    planner_.update_workers(now, std::move(all));
+                    planner_.update_workers(std::move(all));
                     planner_.cancel_lost_starts(now, slot_table_, mail);
                     return {};
                 },
@@ -269,16 +269,15 @@
     else
         planner_.plan_all(now, slot_table_, mail);
     post(mail);
-    PlatformRequests orders;
-    planner_.take_due_requests(now, orders);
+    const PlatformRequests requests = planner_.take_due_requests(now);
     const Fence fence{settings_.node_name, term_};
-    for (const StartRunner& begin : orders.starts) {
+    for (const StartRunner& begin : requests.starts) {
         Call c;
         c.what = Call::What::begin;
         c.begin = begin;
         call(std::move(c), begin_.post(fence, begin), kCallLimit);
     }
-    for (const StopRunner& stop : orders.stops) {
+    for (const StopRunner& stop : requests.stops) {
         Call c;
         c.what = Call::What::stop;
         c.stop = stop;
--- a/src/cluster/runners/resources.hpp
+++ b/src/cluster/runners/resources.hpp
@@ -5,7 +5,8 @@
 #include <vector>
 
 #include "cluster/base/error.hpp"
-#include "cluster/placement/planner.hpp"
+#include "cluster/placement/platform_requests.hpp"
+#include "cluster/placement/worker_table.hpp"
 #include "cluster/runners/listing.hpp"
 #include "cluster/transport/http_message.hpp"
 
--- a/src/cluster/slots/slot_table.hpp
+++ b/src/cluster/slots/slot_table.hpp
@@ -48,6 +48,7 @@
     // Its parts refer to each other.
     SlotTable(const SlotTable&) = delete;
     SlotTable& operator=(const SlotTable&) = delete;
+    ~SlotTable() = default;
 
     void configure(std::shared_ptr<const Configuration> configuration);
 
--- a/tests/system/world_coordinator.cpp
+++ b/tests/system/world_coordinator.cpp
@@ -75,7 +75,7 @@
             workers.push_back(
                 {name, "z" + std::to_string(w % 3), shape_.worker_mb, 0, !workers_draining_.count(name)});
     }
-    k.planner.update_workers(now_, workers);
+    k.planner.update_workers(workers);
     k.planner.cancel_lost_starts(now_, k.slot_table, mail);
     std::string token;
     if (k.listing.due(now_, token)) {
@@ -119,11 +119,10 @@
     }
     overtaken += fresh;
     k.planner.plan_all(now_, k.slot_table, mail);
-    PlatformRequests orders;
-    k.planner.take_due_requests(now_, orders);
+    const PlatformRequests requests = k.planner.take_due_requests(now_);
     post(i, mail);
-    for (const StartRunner& b : orders.starts) begin(i, core.life, b, k.term);
-    for (const StopRunner& s : orders.stops) {
+    for (const StartRunner& b : requests.starts) begin(i, core.life, b, k.term);
+    for (const StopRunner& s : requests.stops) {
         digest_output(std::uint64_t{i}, std::string_view(s.runner));
         ++stops;
         const Number life = core.life, term = k.term;
--- a/tests/system/world_fronts.cpp
+++ b/tests/system/world_fronts.cpp
@@ -32,9 +32,8 @@
         Function* const fn = slot_table.on_acquire_request(now_, session, *m, mail);
         if (fn && !fn->waiting.empty()) {
             c.coordinator->planner.plan_for_waiting(now_, slot_table, *fn, mail);
-            PlatformRequests orders;
-            c.coordinator->planner.take_due_requests(now_, orders);
-            for (const StartRunner& b : orders.starts) begin(core, life, b, term);
+            const PlatformRequests requests = c.coordinator->planner.take_due_requests(now_);
+            for (const StartRunner& b : requests.starts) begin(core, life, b, term);
         }
     }
     if (const auto* m = std::get_if<Release>(&message)) slot_table.on_release(now_, session, *m, mail);
