--- /dev/null
+++ b/tests/system/slots/wait_queue_test.cpp
@@ -0,0 +1,117 @@
+#include "cluster/slots/wait_queue.hpp"
+
+#include <boost/test/unit_test.hpp>
+
+#include <vector>
+
+namespace gannethold::cluster {
+
+namespace {
+
+WaitQueue::Waiting waiting(std::uint32_t id, Micros since, Micros target_at, int priority = 0,
+                           Micros deadline_at = 10'000'000, Micros work = 100'000) {
+    WaitQueue::Waiting waiting;
+    waiting.session = 1;
+    waiting.request.id = id;
+    waiting.request.priority = static_cast<std::uint8_t>(priority);
+    waiting.since = since;
+    waiting.target_at = target_at;
+    waiting.deadline_at = deadline_at;
+    waiting.work = work;
+    return waiting;
+}
+
+std::vector<std::uint32_t> serve_all(WaitQueue& queue, Micros now, bool late_turn) {
+    std::vector<std::uint32_t> served;
+    while (const auto next = queue.next(now, late_turn)) {
+        served.push_back(next->waiting->request.id);
+        queue.remove(next->ticket);
+    }
+    return served;
+}
+
+}  // namespace
+
+BOOST_AUTO_TEST_CASE(the_request_with_least_time_left_is_served_first) {
+    WaitQueue queue;
+    queue.add(waiting(1, 0, 3'000'000));
+    queue.add(waiting(2, 1, 1'000'000));
+    queue.add(waiting(3, 2, 2'000'000));
+    BOOST_TEST((serve_all(queue, 10, false) == std::vector<std::uint32_t>{2, 3, 1}));
+    BOOST_TEST(queue.empty());
+    BOOST_TEST(queue.total_work() == 0.0);
+}
+
+BOOST_AUTO_TEST_CASE(a_step_of_priority_counts_as_time_left) {
+    WaitQueue queue;
+    queue.add(waiting(1, 0, 1'000'000, 2));
+    queue.add(waiting(2, 1, 1'000'000 + 2 * kPriorityStep - 1, 0));
+    BOOST_TEST((serve_all(queue, 10, false) == std::vector<std::uint32_t>{2, 1}));
+    queue.add(waiting(1, 0, 1'000'000, 2));
+    queue.add(waiting(2, 1, 1'000'000 + 2 * kPriorityStep + 1, 0));
+    BOOST_TEST((serve_all(queue, 10, false) == std::vector<std::uint32_t>{1, 2}));
+}
+
+BOOST_AUTO_TEST_CASE(late_requests_go_last_in_order_of_arrival_unless_it_is_their_turn) {
+    WaitQueue queue;
+    const WaitQueue::Ticket first = queue.add(waiting(1, 0, 500'000));
+    queue.add(waiting(2, 1, 200'000));
+    const WaitQueue::Ticket on_target = queue.add(waiting(3, 2, 5'000'000));
+    const auto next = queue.next(600'000, false);
+    BOOST_REQUIRE(next.has_value());
+    BOOST_TEST(next->ticket == on_target);
+    BOOST_TEST(!queue.is_late(on_target));
+    BOOST_TEST(queue.is_late(first));
+    BOOST_TEST(queue.has_on_target());
+    BOOST_TEST(queue.next(600'000, true)->ticket == first);
+    BOOST_TEST((serve_all(queue, 600'000, false) == std::vector<std::uint32_t>{3, 1, 2}));
+}
+
+BOOST_AUTO_TEST_CASE(a_request_is_late_once_its_work_does_not_fit_before_the_target) {
+    WaitQueue queue;
+    const WaitQueue::Ticket ticket = queue.add(waiting(1, 0, 1'000'000));
+    queue.next(900'000, false);
+    BOOST_TEST(!queue.is_late(ticket));
+    queue.next(900'001, false);
+    BOOST_TEST(queue.is_late(ticket));
+    BOOST_TEST(!queue.has_on_target());
+}
+
+BOOST_AUTO_TEST_CASE(a_request_has_expired_once_its_work_does_not_fit_before_the_deadline) {
+    WaitQueue queue;
+    queue.add(waiting(1, 0, 1'000'000, 0, 4'000'000));
+    queue.add(waiting(2, 1, 1'000'000, 0, 2'000'000));
+    BOOST_TEST(!queue.expired(1'900'000).has_value());
+    const auto expired = queue.expired(1'900'001);
+    BOOST_REQUIRE(expired.has_value());
+    BOOST_TEST(expired->waiting->request.id == 2U);
+}
+
+BOOST_AUTO_TEST_CASE(the_last_late_request_is_out_of_reach_where_its_turn_comes_after_its_deadline) {
+    WaitQueue queue;
+    for (std::uint32_t id = 1; id <= 3; ++id) queue.add(waiting(id, id, 100'000, 0, 1'100'000));
+    BOOST_TEST(!queue.last_out_of_reach(0, 1e9).has_value());  // nobody is late
+    BOOST_TEST(!queue.last_out_of_reach(100'000, 300'000).has_value());
+    const auto last = queue.last_out_of_reach(100'000, 300'001);
+    BOOST_REQUIRE(last.has_value());
+    BOOST_TEST(last->waiting->request.id == 3U);
+}
+
+BOOST_AUTO_TEST_CASE(requests_of_a_disconnected_proxy_leave_the_queue) {
+    WaitQueue queue;
+    queue.add(waiting(1, 0, 1'000'000));
+    WaitQueue::Waiting other = waiting(2, 1, 1'000'000);
+    other.session = 2;
+    queue.add(other);
+    queue.on_proxy_disconnected(1);
+    BOOST_TEST(queue.size() == 1U);
+    BOOST_TEST(queue.total_work() == 100'000.0);
+    BOOST_TEST(queue.oldest()->request.id == 2U);
+    BOOST_TEST(queue.newest()->request.id == 2U);
+    queue.on_proxy_disconnected(2);
+    BOOST_TEST((queue.oldest() == nullptr));
+    BOOST_TEST((queue.newest() == nullptr));
+    BOOST_TEST(!queue.next(0, false).has_value());
+}
+
+}  // namespace gannethold::cluster
