--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -342,12 +342,12 @@
     const StartRunnerResource begin;
     RunnerInfo begun;
     const std::string body = R"({"runner_id":"i-7","address":"10.1.64.9:8080","no_such_field":1})";
-    BOOST_TEST((begin.read(answer(200, body), begun) == StartResult::begun));
+    BOOST_TEST((begin.read(answer(200, body), begun) == StartResult::started));
     BOOST_TEST(begun.runner == "i-7");
     BOOST_TEST(begun.address == "10.1.64.9:8080");
-    BOOST_TEST((begin.read(answer(409, ""), begun) == StartResult::no_room));
+    BOOST_TEST((begin.read(answer(409, ""), begun) == StartResult::no_capacity));
     BOOST_TEST((begin.read(answer(429, ""), begun) == StartResult::busy));
-    BOOST_TEST((begin.read(answer(400, ""), begun) == StartResult::refused));
+    BOOST_TEST((begin.read(answer(400, ""), begun) == StartResult::rejected));
     BOOST_TEST(StopRunnerResource{}.done(answer(404, "")));
     BOOST_TEST(!StopRunnerResource{}.done(answer(429, "")));
 }
--- a/tests/system/slots/function_test.cpp
+++ b/tests/system/slots/function_test.cpp
@@ -14,13 +14,17 @@
 struct TwoRunners {
     TwoRunners()
         : configuration(one_function(2)),
-          function("f", RetryBudget::Options{}),
-          in_a((function.service = configuration->service("f"),
-                runners.add(0, runner_info("i-a", "a"), function))),
+          function(configured(*configuration)),
+          in_a(runners.add(0, runner_info("i-a", "a"), function)),
           in_b(runners.add(0, runner_info("i-b", "b"), function)) {
         runners.mark_ready(in_a);
         runners.mark_ready(in_b);
     }
+    static Function configured(const Configuration& configuration) {
+        Function function("f", RetryBudget::Options{});
+        function.service = configuration.service("f");
+        return function;
+    }
     std::shared_ptr<const Configuration> configuration;
     Function function;
     RunnerTable runners{1};
