--- a/src/cluster/slots/function_table.cpp
+++ b/src/cluster/slots/function_registry.cpp
@@ -1,10 +1,10 @@
-#include "cluster/slots/function_table.hpp"
+#include "cluster/slots/function_registry.hpp"
 
 #include <utility>
 
 namespace gannethold::cluster {
 
-void FunctionTable::configure(std::shared_ptr<const Configuration> configuration) {
+void FunctionRegistry::configure(std::shared_ptr<const Configuration> configuration) {
     configuration_ = std::move(configuration);
     for (const Service& service : configuration_->services()) get_or_add(service.name);
     for (auto& [name, function] : functions_) {
@@ -13,7 +13,7 @@
     }
 }
 
-Function& FunctionTable::get_or_add(const std::string& name) {
+Function& FunctionRegistry::get_or_add(const std::string& name) {
     std::unique_ptr<Function>& function = functions_[name];
     if (!function) {
         function = std::make_unique<Function>(name, retry_budget_);
@@ -22,17 +22,17 @@
     return *function;
 }
 
-Function* FunctionTable::find(const std::string& name) const {
+Function* FunctionRegistry::find(const std::string& name) const {
     const auto at = functions_.find(name);
     return at == functions_.end() ? nullptr : at->second.get();
 }
 
-void FunctionTable::activate(Function& function) {
+void FunctionRegistry::activate(Function& function) {
     function.active = true;
     active_.insert(&function);
 }
 
-void FunctionTable::deactivate_idle(Micros now) {
+void FunctionRegistry::deactivate_idle(Micros now) {
     std::erase_if(active_, [&](Function* function) {
         if (!function->is_idle(now)) return false;
         function->active = false;
--- a/src/cluster/slots/function_table.hpp
+++ b/src/cluster/slots/function_registry.hpp
@@ -14,9 +14,9 @@
 
 // All functions that were ever configured or reported in this term; a function's address stays the same. The
 // active ones are sampled and planned for: those in use, and those that a new configuration may have changed.
-class FunctionTable {
+class FunctionRegistry {
   public:
-    explicit FunctionTable(const RetryBudget::Options& retry_budget) : retry_budget_(retry_budget) {}
+    explicit FunctionRegistry(const RetryBudget::Options& retry_budget) : retry_budget_(retry_budget) {}
 
     // Every function becomes active; those that are not in use are dropped by the next deactivate_idle().
     void configure(std::shared_ptr<const Configuration> configuration);
--- a/src/cluster/slots/slot_table.hpp
+++ b/src/cluster/slots/slot_table.hpp
@@ -20,7 +20,7 @@
 #include "cluster/base/bounded_history.hpp"
 #include "cluster/configuration/configuration.hpp"
 #include "cluster/slots/function.hpp"
-#include "cluster/slots/function_table.hpp"
+#include "cluster/slots/function_registry.hpp"
 #include "cluster/slots/mode_controller.hpp"
 #include "cluster/slots/priority_inversion.hpp"
 #include "cluster/slots/proxy_outbox.hpp"
@@ -106,7 +106,7 @@
     void assign_probers(ProxyOutbox& out);
     void sample(Micros now, Function& function, ProxyOutbox& out);
 
-    FunctionTable functions_;
+    FunctionRegistry functions_;
     RunnerTable runners_;
     ProxySessions proxies_;
     WorkDurations durations_;
--- a/tests/system/slots/runner_table_test.cpp
+++ b/tests/system/slots/runner_table_test.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "cluster/slots/function_table.hpp"
+#include "cluster/slots/function_registry.hpp"
 #include "slots/fixture.hpp"
 
 namespace gannethold::cluster {
@@ -13,7 +13,7 @@
     explicit Tables(int slots = 4) { functions.configure(one_function(slots, 1000, 5000)); }  // not warm
     Function& function() { return functions.get_or_add("f"); }
 
-    FunctionTable functions{RetryBudget::Options{}};
+    FunctionRegistry functions{RetryBudget::Options{}};
     RunnerTable runners{7};
 };
 
