--- a/tests/system/placement/planner_test.cpp
+++ b/tests/system/placement/planner_test.cpp
@@ -88,7 +88,7 @@
     BOOST_TEST(planned.first_start(50).nonce.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_function_that_nobody_asks_for_has_no_runner) {
+BOOST_AUTO_TEST_CASE(an_unused_function_has_no_runner) {
     Planned planned;
     BOOST_TEST(planned.first_start(50).nonce.empty());
 }
@@ -137,7 +137,7 @@
     BOOST_TEST(!planned.first_start(10).nonce.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_busy_platform_is_asked_again_later) {
+BOOST_AUTO_TEST_CASE(a_start_at_a_busy_platform_is_repeated_later) {
     Planned planned(100);
     const StartRunner first = planned.first_start(5);
     planned.planner.on_start_result(planned.now, first.nonce, StartResult::busy);
--- a/tests/system/slots/fixture.hpp
+++ b/tests/system/slots/fixture.hpp
@@ -49,7 +49,7 @@
 template <class Type>
 std::ptrdiff_t count_of(const ProxyOutbox& outbox, Session to) {
     return std::count_if(outbox.begin(), outbox.end(), [&](const ProxyMessage& message) {
-        return message.to == to && std::holds_alternative<Type>(message.message);
+        return message.to == to && std::get_if<Type>(&message.message) != nullptr;
     });
 }
 
