--- a/src/cluster/coordinator/coordinator.cpp
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -27,20 +27,20 @@
 
 SlotTable::Options slot_table_options(const Settings& settings) {
     SlotTable::Options options;
-    options.budget_slack = settings.retry_budget_slack;
-    options.budget_window = settings.retry_budget_window;
-    options.rejection_slack = settings.rejection_slack;
-    options.late_turn = settings.late_turn;
+    options.retry_budget = settings.retry_budget_slack;
+    options.retry_budget_window = settings.retry_budget_window;
+    options.max_rejections = settings.rejection_slack;
+    options.late_turn_interval = settings.late_turn;
     return options;
 }
 
 Planner::Options planner_options(const Settings& settings, Number term) {
     Planner::Options options;
     options.nonce_prefix = nonce_prefix(settings.node_name, term);
-    options.duty_per_s = settings.platform_actions_per_s;
+    options.requests_per_s = settings.platform_actions_per_s;
     options.region_of = settings.region_of_zone;
     // Proxies register what they know to be starting; what nobody knows costs one start too many.
-    options.settle = 300'000;
+    options.takeover_delay = 300'000;
     return options;
 }
 
@@ -83,7 +83,7 @@
     plan_all(net::Loop::now());
 }
 
-void Coordinator::send_update(Session session, ProxySession& proxy) {
+void Coordinator::send_update(Session session, RegisteredProxy& proxy) {
     if (const auto update = publisher_.next_update(proxy.configuration)) send_(session, *update);
 }
 
@@ -103,12 +103,12 @@
 }
 
 void Coordinator::on_registered(Session session, const RegisterRequest& registration) {
-    ProxySession& proxy = proxies_[session];
+    RegisteredProxy& proxy = proxies_[session];
     proxy.name = registration.name;
     proxy.configuration.held = registration.configuration_version;
     send_(session, RegisterResponse{term_, 0, static_cast<std::uint32_t>(proxies_.size()), members_});
     send_update(session, proxy);
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     slot_table_.on_proxy_registered(net::Loop::now(), session, registration, messages);
     send_all(messages);
     announce_ranks_by(net::Loop::now() + kRanksDelayAfterRegistration);
@@ -116,13 +116,13 @@
 
 void Coordinator::on_disconnected(Session session) {
     if (proxies_.erase(session) == 0) return;
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     slot_table_.on_proxy_disconnected(net::Loop::now(), session, messages);
     send_all(messages);
     announce_ranks_by(net::Loop::now() + kRanksDelayAfterDisconnect);
 }
 
-void Coordinator::send_all(std::vector<ProxyMessage>& messages) {
+void Coordinator::send_all(ProxyOutbox& messages) {
     for (const ProxyMessage& one : messages) send_(one.to, one.message);
     messages.clear();
 }
@@ -142,22 +142,22 @@
 }
 
 void Coordinator::on_acquire(Micros now, Session session, const AcquireRequest& request) {
-    std::vector<ProxyMessage> messages;
-    Function* const function = slot_table_.ask(now, session, request, messages);
+    ProxyOutbox messages;
+    Function* const function = slot_table_.on_acquire_request(now, session, request, messages);
     send_all(messages);
     if (function && !function->waiting.empty()) plan_waiting(now, *function);
 }
 
 void Coordinator::update_slots(Micros now, Session session, const Message& message) {
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     if (const auto* release = std::get_if<Release>(&message))
-        slot_table_.release(now, session, *release, messages);
+        slot_table_.on_release(now, session, *release, messages);
     else if (const auto* reachable = std::get_if<RunnerReachable>(&message))
-        slot_table_.up(now, session, *reachable, messages);
+        slot_table_.on_runner_reachable(now, session, *reachable, messages);
     else if (const auto* load = std::get_if<LoadReport>(&message))
-        slot_table_.loads(now, session, *load);
+        slot_table_.on_load_report(now, session, *load);
     else if (const auto* outstanding = std::get_if<OutstandingReport>(&message))
-        slot_table_.outs(now, session, *outstanding);
+        slot_table_.on_outstanding_report(now, session, *outstanding);
     send_all(messages);
 }
 
@@ -165,12 +165,11 @@
 
 void Coordinator::on_runner_page(Micros now, const RunnerListPage& page) {
     const RunnerListPoller::Update update = list_poller_.on_page(now, page);
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     for (const ListedRunner& listed : page.runners)
-        slot_table_.listed(now, listed.info, listed.draining, messages);
-    for (const std::string& runner : update.removed)
-        slot_table_.gone(now, runner, "not listed any more", messages);
-    if (update.is_complete) planner_.list_read(now);
+        slot_table_.on_runner_listed(now, listed.info, listed.draining, messages);
+    for (const std::string& runner : update.removed) slot_table_.on_runner_gone(now, runner, messages);
+    if (update.is_complete) planner_.on_list_complete(now);
     send_all(messages);
 }
 
@@ -178,8 +177,8 @@
 
 void Coordinator::on_worker_list(Micros now, std::vector<Worker> workers) {
     worker_list_pending_ = false;
-    std::vector<ProxyMessage> messages;
-    planner_.workers(now, std::move(workers));
+    ProxyOutbox messages;
+    planner_.update_workers(std::move(workers));
     planner_.cancel_lost_starts(now, slot_table_, messages);
     send_all(messages);
 }
@@ -191,8 +190,8 @@
 
 void Coordinator::on_start_completed(Micros now, const StartRunner& start,
                                      const PlatformClient::StartReply& reply) {
-    const bool started = reply.result == StartResult::begun;
-    std::vector<ProxyMessage> messages;
+    const bool started = reply.result == StartResult::started;
+    ProxyOutbox messages;
     if (started) {
         RunnerInfo runner;
         runner.runner_id = reply.runner_id;
@@ -200,7 +199,7 @@
         runner.service = start.service;
         runner.worker = start.worker;
         runner.zone = planner_.zone_of(start.worker);
-        slot_table_.began(now, runner, messages);
+        slot_table_.on_runner_started(now, runner, messages);
     }
     Event("runner_start_completed", started ? Level::info : Level::warning)
         .with("service", start.service)
@@ -223,28 +222,27 @@
         .with("done", reply.done);
     recent_actions_.add({now, PlatformAction::Kind::stop, {}, {}, stop.runner, reply.status, stop.why});
     planner_.on_stop_result(stop.runner, reply.done);
-    std::vector<ProxyMessage> messages;
-    if (reply.done) slot_table_.gone(now, stop.runner, "stopped", messages);
+    ProxyOutbox messages;
+    if (reply.done) slot_table_.on_runner_gone(now, stop.runner, messages);
     send_all(messages);
 }
 
 void Coordinator::plan_waiting(Micros now, Function& function) {
-    std::vector<ProxyMessage> messages;
-    planner_.plan_waiting(now, slot_table_, function, messages);
+    ProxyOutbox messages;
+    planner_.plan_for_waiting(now, slot_table_, function, messages);
     send_all(messages);
     request_due(now);
 }
 
 void Coordinator::plan_all(Micros now) {
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     planner_.plan_all(now, slot_table_, messages);
     send_all(messages);
     request_due(now);
 }
 
 void Coordinator::request_due(Micros now) {
-    PlatformRequests requests;
-    planner_.due(now, requests);
+    const PlatformRequests requests = planner_.take_due_requests(now);
     for (const StartRunner& start : requests.starts) platform_.start(start);
     for (const StopRunner& stop : requests.stops) platform_.stop(stop);
 }
@@ -263,11 +261,11 @@
 
 void Coordinator::tick(Micros now) {
     if (now < next_tick_) return;
-    next_tick_ = now + SlotTable::kSample;
+    next_tick_ = now + SlotTable::kSampleInterval;
     poll_platform(now);
     log_priority_inversions();
     if (announce_ranks_at_ > 0 && now >= announce_ranks_at_) announce_ranks();
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     slot_table_.tick(now, messages);
     send_all(messages);
     plan_all(now);
@@ -286,18 +284,18 @@
 void Coordinator::log_priority_inversion(const PriorityInversion& inversion) const {
     Event("priority_inversion")
         .with("function", inversion.service)
-        .with("proxy", proxy_name(inversion.front))
-        .with("request_id", inversion.ask)
-        .with("target_left_ms", inversion.target_left / 1000)
+        .with("proxy", proxy_name(inversion.session))
+        .with("request_id", inversion.request_id)
+        .with("target_left_ms", inversion.time_left / 1000)
         .with("priority", inversion.priority)
-        .with("before_proxy", proxy_name(inversion.before_front))
-        .with("before_request_id", inversion.before_ask)
-        .with("before_target_left_ms", inversion.before_target_left / 1000)
+        .with("before_proxy", proxy_name(inversion.passed_session))
+        .with("before_request_id", inversion.passed_request_id)
+        .with("before_target_left_ms", inversion.passed_time_left / 1000)
         .with("reason", inversion.why);
 }
 
 std::string Coordinator::proxy_name(Session session) const {
-    const std::string* const name = slot_table_.name_of(session);
+    const std::string* const name = slot_table_.proxy_name(session);
     return name ? *name : std::string();
 }
 
--- a/src/cluster/coordinator/coordinator.hpp
+++ b/src/cluster/coordinator/coordinator.hpp
@@ -34,7 +34,7 @@
 };
 
 /// A proxy that has registered.
-struct ProxySession {
+struct RegisteredProxy {
     std::string name;
     ProxyConfiguration configuration;
 };
@@ -78,8 +78,8 @@
 
     void on_acquire(Micros now, Session session, const AcquireRequest& request);
     void update_slots(Micros now, Session session, const Message& message);
-    void send_update(Session session, ProxySession& proxy);
-    void send_all(std::vector<ProxyMessage>& messages);
+    void send_update(Session session, RegisteredProxy& proxy);
+    void send_all(ProxyOutbox& messages);
     void announce_ranks_by(Micros at);
     void announce_ranks();
     void poll_platform(Micros now);
@@ -97,7 +97,7 @@
     RunnerListPoller list_poller_;
     PlatformClient platform_;
     ConfigurationPublisher publisher_;
-    std::map<Session, ProxySession> proxies_;
+    std::map<Session, RegisteredProxy> proxies_;
     std::vector<std::string> members_;  // of the core
     Micros next_tick_ = 0;
     Micros announce_ranks_at_ = 0;  // 0: nothing to announce
--- a/src/cluster/coordinator/coordinator_status.cpp
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -10,7 +10,7 @@
 json::Value json_number(Number number) { return json_value(static_cast<double>(number)); }
 
 json::Value json_proxy(const SlotTable& slot_table, Session session) {
-    const std::string* const name = slot_table.name_of(session);
+    const std::string* const name = slot_table.proxy_name(session);
     return json_value(name ? *name : std::string());
 }
 
@@ -29,25 +29,22 @@
     return rows;
 }
 
-json::Value function_row(const SlotTable& slot_table, const Function& function) {
-    double busy_slots = 0;
-    for (const std::uint32_t number : function.runners) busy_slots += slot_table.runner(number).out();
+json::Value function_row(const Function& function) {
     return json::Value(json::Object{
         {"function", json_value(function.name)},
         {"mode", json_value(std::string(function.unrestricted ? "unrestricted" : "coordinated"))},
         {"runners", json_number(function.runners.size())},
-        {"slots_out", json_value(busy_slots)},
+        {"slots_out", json_value(function.outstanding())},
         {"waiting", json_number(function.waiting.size())},
-        {"overtaken", json_number(function.overtaken)},
-        {"rate_per_s", json_value(function.rate)},
-        {"load", json_value(function.load_slow)}});
+        {"overtaken", json_number(function.inversions)},
+        {"rate_per_s", json_value(function.zones.requests_per_s())},
+        {"load", json_value(function.load.slow())}});
 }
 
 json::List function_rows(const SlotTable& slot_table) {
     json::List rows;
     for (const auto& [name, function] : slot_table.functions())
-        if (function->active || !function->runners.empty())
-            rows.push_back(function_row(slot_table, *function));
+        if (function->active || !function->runners.empty()) rows.push_back(function_row(*function));
     return rows;
 }
 
@@ -56,8 +53,8 @@
     for (const auto& [name, function] : slot_table.functions())
         for (const auto& [place, waiting] : function->waiting.all())
             rows.emplace_back(json::Object{{"function", json_value(name)},
-                                           {"front", json_proxy(slot_table, waiting.front)},
-                                           {"priority", json_value(waiting.ask.priority)},
+                                           {"front", json_proxy(slot_table, waiting.session)},
+                                           {"priority", json_value(waiting.request.priority)},
                                            {"waited_ms", json_ms(now - waiting.since)},
                                            {"aim_left_ms", json_ms(waiting.target_at - now)},
                                            {"deadline_left_ms", json_ms(waiting.deadline_at - now)}});
@@ -69,17 +66,17 @@
     for (const PriorityInversion& inversion : slot_table.priority_inversions().entries())
         rows.emplace_back(json::Object{{"ago_ms", json_ms(now - inversion.at)},
                                        {"function", json_value(inversion.service)},
-                                       {"went", json_proxy(slot_table, inversion.front)},
+                                       {"went", json_proxy(slot_table, inversion.session)},
                                        {"priority", json_value(inversion.priority)},
-                                       {"aim_left_ms", json_ms(inversion.target_left)},
-                                       {"before", json_proxy(slot_table, inversion.before_front)},
-                                       {"its_priority", json_value(inversion.before_priority)},
-                                       {"its_aim_left_ms", json_ms(inversion.before_target_left)},
+                                       {"aim_left_ms", json_ms(inversion.time_left)},
+                                       {"before", json_proxy(slot_table, inversion.passed_session)},
+                                       {"its_priority", json_value(inversion.passed_priority)},
+                                       {"its_aim_left_ms", json_ms(inversion.passed_time_left)},
                                        {"why", json_value(std::string(inversion.why))}});
     return rows;
 }
 
-json::List proxy_rows(const std::map<Session, ProxySession>& proxies) {
+json::List proxy_rows(const std::map<Session, RegisteredProxy>& proxies) {
     json::List rows;
     for (const auto& [session, proxy] : proxies)
         rows.emplace_back(json::Object{{"front", json_value(proxy.name)},
--- a/src/cluster/coordinator/coordinator_status.hpp
+++ b/src/cluster/coordinator/coordinator_status.hpp
@@ -14,7 +14,7 @@
 struct CoordinatorView {
     const SlotTable& slot_table;
     const BoundedHistory<PlatformAction>& recent_actions;
-    const std::map<Session, ProxySession>& proxies;
+    const std::map<Session, RegisteredProxy>& proxies;
 };
 
 /// Adds the part to `status`: starts, functions, waiting, overtakings or fronts; empty: all of them.
--- a/src/cluster/coordinator/platform_client.hpp
+++ b/src/cluster/coordinator/platform_client.hpp
@@ -16,7 +16,7 @@
 class PlatformClient {
   public:
     struct StartReply {
-        StartResult result = StartResult::silent;
+        StartResult result = StartResult::timed_out;
         std::string runner_id;  // where one was started
         std::string address;    // where one was started
         std::string status;     // of HTTP; "none" without an answer
--- a/src/cluster/proxy/local_queue.cpp
+++ b/src/cluster/proxy/local_queue.cpp
@@ -10,7 +10,7 @@
         std::any_of(queue.begin(), queue.end(), [](const QueuedRequest& one) { return one.urgency.late; });
     const bool turn = served_since_late_ + 1 >= late_turn && any_late;
     const auto key = [turn](const QueuedRequest& one) {
-        return std::pair(place_in_line(one.urgency, turn), one.id);
+        return std::pair(urgency_key(one.urgency, turn), one.id);
     };
     const auto first =
         std::min_element(queue.begin(), queue.end(),
--- a/src/cluster/runners/platform_api.cpp
+++ b/src/cluster/runners/platform_api.cpp
@@ -142,17 +142,17 @@
 }
 
 StartRunnerResponse PlatformApi::read_start(const HttpMessage& response) const {
-    if (response.status == kConflict) return {StartResult::no_room, {}, {}};
+    if (response.status == kConflict) return {StartResult::no_capacity, {}, {}};
     if (response.status == kTooManyRequests || response.status >= kInternalServerError)
         return {StartResult::busy, {}, {}};
-    if (response.status != kOk) return {StartResult::refused, {}, {}};
+    if (response.status != kOk) return {StartResult::rejected, {}, {}};
     simdjson::dom::parser parser;
     object document;
     StartRunnerResponse start;
     if (parser.parse(response.body).get(document)) return start;
     start.runner_id = string_member(document, "runner_id");
     start.address = string_member(document, "address");
-    if (!start.runner_id.empty() && !start.address.empty()) start.result = StartResult::begun;
+    if (!start.runner_id.empty() && !start.address.empty()) start.result = StartResult::started;
     return start;
 }
 
--- a/src/cluster/runners/platform_api.hpp
+++ b/src/cluster/runners/platform_api.hpp
@@ -20,7 +20,7 @@
 };
 
 struct StartRunnerResponse {
-    StartResult result = StartResult::silent;
+    StartResult result = StartResult::timed_out;
     // If it has begun:
     std::string runner_id;
     std::string address;  // "ip:port"
--- a/tests/system/proxy/request_handler_test.cpp
+++ b/tests/system/proxy/request_handler_test.cpp
@@ -41,19 +41,19 @@
         start_coordinator();
     }
     void start_coordinator() {
-        table = std::make_unique<SlotTable>(SlotTable::Options{.budget_slack = 100});
+        table = std::make_unique<SlotTable>(SlotTable::Options{.retry_budget = 100});
         table->configure(routes);
-        std::vector<ProxyMessage> messages;
-        for (const RunnerInfo& runner : runners) table->listed(now, runner, false, messages);
+        ProxyOutbox messages;
+        for (const RunnerInfo& runner : runners) table->on_runner_listed(now, runner, false, messages);
     }
     void add_runner(const std::string& name) {
         runners.push_back(
             {name, kService, "10.0.0.1:" + std::to_string(runners.size() + 1), "z0", "w", 1, 0, true});
-        std::vector<ProxyMessage> messages;
-        table->listed(now, runners.back(), false, messages);
+        ProxyOutbox messages;
+        table->on_runner_listed(now, runners.back(), false, messages);
         deliver_to_proxy(messages);
     }
-    void deliver_to_proxy(std::vector<ProxyMessage>& messages) {
+    void deliver_to_proxy(ProxyOutbox& messages) {
         for (const ProxyMessage& one : messages) handler.on_message(now, one.message, actions);
         messages.clear();
         deliver_actions();
@@ -61,15 +61,15 @@
     // Delivers what the proxy sends to the coordinator, and its answers.
     void deliver_actions() {
         while (!actions.messages.empty()) {
-            std::vector<ProxyMessage> messages;
+            ProxyOutbox messages;
             for (const Message& message : std::exchange(actions.messages, {})) {
                 sent_messages.push_back(message);
                 if (const auto* ask = std::get_if<AcquireRequest>(&message))
-                    table->ask(now, kSession, *ask, messages);
+                    table->on_acquire_request(now, kSession, *ask, messages);
                 if (const auto* release = std::get_if<Release>(&message))
-                    table->release(now, kSession, *release, messages);
+                    table->on_release(now, kSession, *release, messages);
                 if (const auto* outs = std::get_if<OutstandingReport>(&message))
-                    table->outs(now, kSession, *outs);
+                    table->on_outstanding_report(now, kSession, *outs);
             }
             for (const ProxyMessage& one : messages) handler.on_message(now, one.message, actions);
         }
@@ -78,7 +78,7 @@
     void register_proxy(const std::function<void()>& meanwhile = [] {}) {
         const RegisterRequest registration = handler.make_registration();
         meanwhile();
-        std::vector<ProxyMessage> messages;
+        ProxyOutbox messages;
         table->on_proxy_registered(now, kSession, registration, messages);
         handler.on_message(now, RegisterResponse{1, 0, 1, {}}, actions);
         handler.on_coordinator_registered(now, actions);
@@ -98,7 +98,7 @@
     }
     std::uint32_t slots_in_use() const {
         std::uint32_t in_use = 0;
-        for (const auto& [number, runner] : table->runners()) in_use += runner.out();
+        for (const auto& [number, runner] : table->runners()) in_use += runner.outstanding();
         return in_use;
     }
 
@@ -219,18 +219,18 @@
     fixture.request(1);
     BOOST_REQUIRE(fixture.slots_in_use() == 1U);
     const std::uint32_t number = fixture.table->runners().begin()->first;
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     fixture.disconnect_coordinator();
     fixture.table->on_proxy_disconnected(fixture.now, kSession, messages);
-    fixture.table->retire(fixture.now, number, messages);
+    fixture.table->drain_runner(fixture.now, number, messages);
     messages.clear();
     fixture.register_proxy();
     BOOST_TEST(fixture.slots_in_use() == 1U);
-    BOOST_TEST(!fixture.table->retire(fixture.now, number, messages));
+    BOOST_TEST(!fixture.table->drain_runner(fixture.now, number, messages));
     fixture.complete_attempt(1, AttemptResult::succeeded);
     // Nothing is in flight there any more: it may be stopped.
     BOOST_TEST(fixture.slots_in_use() == 0U);
-    BOOST_TEST(fixture.table->retire(fixture.now, number, messages));
+    BOOST_TEST(fixture.table->drain_runner(fixture.now, number, messages));
     fixture.request(2);
     BOOST_TEST(fixture.actions.forwards.size() == 1U);
 }
--- a/tests/system/runners/platform_api_test.cpp
+++ b/tests/system/runners/platform_api_test.cpp
@@ -77,7 +77,7 @@
 
 BOOST_AUTO_TEST_CASE(a_start_whose_response_names_no_runner_may_have_been_carried_out) {
     for (const char* const body : {"", "[]", "{}", R"({"runner_id":"i-1"})", R"({"address":"10.0.0.1:80"})"})
-        BOOST_TEST((api().read_start(response(200, body)).result == StartResult::silent), body);
+        BOOST_TEST((api().read_start(response(200, body)).result == StartResult::timed_out), body);
     for (const int status : {500, 503})
         BOOST_TEST((api().read_start(response(status)).result == StartResult::busy));
 }
--- a/tests/system/setting_names.cpp
+++ b/tests/system/setting_names.cpp
@@ -65,12 +65,12 @@
 BOOST_AUTO_TEST_CASE(the_answer_to_a_start_arrives) {
     const std::string body = R"({"runner_id":"i-7","address":"10.1.64.9:8080","no_such_field":1})";
     const StartRunnerResponse started = kPlatform.read_start(answer(200, body));
-    BOOST_TEST((started.result == StartResult::begun));
+    BOOST_TEST((started.result == StartResult::started));
     BOOST_TEST(started.runner_id == "i-7");
     BOOST_TEST(started.address == "10.1.64.9:8080");
-    BOOST_TEST((kPlatform.read_start(answer(409, "")).result == StartResult::no_room));
+    BOOST_TEST((kPlatform.read_start(answer(409, "")).result == StartResult::no_capacity));
     BOOST_TEST((kPlatform.read_start(answer(429, "")).result == StartResult::busy));
-    BOOST_TEST((kPlatform.read_start(answer(400, "")).result == StartResult::refused));
+    BOOST_TEST((kPlatform.read_start(answer(400, "")).result == StartResult::rejected));
     BOOST_TEST(kPlatform.read_stop(answer(404, "")));
     BOOST_TEST(!kPlatform.read_stop(answer(429, "")));
 }
--- a/tests/system/simulation/coordinators.cpp
+++ b/tests/system/simulation/coordinators.cpp
@@ -46,11 +46,11 @@
 void Coordinators::open(std::size_t core) {
     const Number term = cores_.at(core).consensus->current_term();
     SlotTable::Options slots;
-    slots.budget_slack = kBudgetSlack;
+    slots.retry_budget = kBudgetSlack;
     Planner::Options placement;
     placement.nonce_prefix = cores_.at(core).address + "-" + std::to_string(term) + "-";
-    placement.duty_per_s = kStartsPerSecond;
-    placement.settle = term <= 1 ? kSettleFirstTerm : kSettleLaterTerm;
+    placement.requests_per_s = kStartsPerSecond;
+    placement.takeover_delay = term <= 1 ? kSettleFirstTerm : kSettleLaterTerm;
     for (const char* zone : {"z0", "z1", "z2"}) placement.region_of[zone] = "r";
     coordinators_[core] = std::make_unique<Coordinator>(term, slots, placement, environment_.now());
 }
@@ -85,29 +85,29 @@
     Coordinator& coordinator = *find(core);
     SlotTable& slot_table = coordinator.slot_table;
     const Micros now = environment_.now();
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     if (const auto* const acquire = std::get_if<AcquireRequest>(&message)) {
-        Function* const function = slot_table.ask(now, session, *acquire, messages);
+        Function* const function = slot_table.on_acquire_request(now, session, *acquire, messages);
         if (function && !function->waiting.empty()) {
-            coordinator.planner.plan_waiting(now, slot_table, *function, messages);
-            PlatformRequests requests;
-            coordinator.planner.due(now, requests);
+            coordinator.planner.plan_for_waiting(now, slot_table, *function, messages);
+            const PlatformRequests requests = coordinator.planner.take_due_requests(now);
             for (const StartRunner& request : requests.starts) request_start(core, coordinator.term, request);
         }
     }
     if (const auto* const release = std::get_if<Release>(&message))
-        slot_table.release(now, session, *release, messages);
+        slot_table.on_release(now, session, *release, messages);
     if (const auto* const reachable = std::get_if<RunnerReachable>(&message))
-        slot_table.up(now, session, *reachable, messages);
-    if (const auto* const load = std::get_if<LoadReport>(&message)) slot_table.loads(now, session, *load);
+        slot_table.on_runner_reachable(now, session, *reachable, messages);
+    if (const auto* const load = std::get_if<LoadReport>(&message))
+        slot_table.on_load_report(now, session, *load);
     if (const auto* const outstanding = std::get_if<OutstandingReport>(&message))
-        slot_table.outs(now, session, *outstanding);
+        slot_table.on_outstanding_report(now, session, *outstanding);
     channel_->send(core, messages);
 }
 
 void Coordinators::on_disconnected(std::size_t core, std::size_t proxy, Session session) {
     Coordinator& coordinator = *find(core);
-    std::vector<ProxyMessage> messages;
+    ProxyOutbox messages;
     coordinator.slot_table.on_proxy_disconnected(environment_.now(), session, messages);
     coordinator.proxies.erase(proxy);
     channel_->send(core, messages);
@@ -119,43 +119,42 @@
     Coordinator* const coordinator = find(core);
     const Micros now = environment_.now();
     if (!coordinator || now < coordinator->next_step || !cores_.is_leading(core)) return;
-    coordinator->next_step = now + SlotTable::kSample;
-    std::vector<ProxyMessage> messages;
-    coordinator->planner.workers(now, platform_.list_workers());
+    coordinator->next_step = now + SlotTable::kSampleInterval;
+    ProxyOutbox messages;
+    coordinator->planner.update_workers(platform_.list_workers());
     coordinator->planner.cancel_lost_starts(now, coordinator->slot_table, messages);
     read_runner_list(*coordinator, messages);
     coordinator->slot_table.tick(now, messages);
     check_grants(coordinator->slot_table);
     check_priority_inversions(*coordinator);
     coordinator->planner.plan_all(now, coordinator->slot_table, messages);
-    PlatformRequests requests;
-    coordinator->planner.due(now, requests);
+    const PlatformRequests requests = coordinator->planner.take_due_requests(now);
     channel_->send(core, messages);
     for (const StartRunner& request : requests.starts) request_start(core, coordinator->term, request);
     for (const StopRunner& request : requests.stops) request_stop(core, coordinator->term, request);
 }
 
-void Coordinators::read_runner_list(Coordinator& coordinator, std::vector<ProxyMessage>& messages) {
+void Coordinators::read_runner_list(Coordinator& coordinator, ProxyOutbox& messages) {
     const Micros now = environment_.now();
     if (!coordinator.list_poller.take_due_request(now)) return;
     const RunnerListPage page = platform_.list_runners();
     const RunnerListPoller::Update update = coordinator.list_poller.on_page(now, page);
     for (const ListedRunner& listed : page.runners)
-        coordinator.slot_table.listed(now, listed.info, listed.draining, messages);
+        coordinator.slot_table.on_runner_listed(now, listed.info, listed.draining, messages);
     for (const std::string& runner : update.removed)
-        coordinator.slot_table.gone(now, runner, "not listed", messages);
-    coordinator.planner.list_read(now);
+        coordinator.slot_table.on_runner_gone(now, runner, messages);
+    coordinator.planner.on_list_complete(now);
 }
 
 // A request has one slot of a runner at most, and no more are granted than there are.
 void Coordinators::check_grants(const SlotTable& slot_table) {
     for (const auto& [number, runner] : slot_table.runners()) {
         std::set<std::pair<Session, std::uint32_t>> granted;
-        for (const RunnerSlots::Given& grant : runner.given)
-            if (grant.ask > 0 && !granted.insert({grant.front, grant.ask}).second)
-                environment_.violations.report("one request has two slots of " + runner.what.runner_id);
-        if (granted.size() > runner.what.slots)
-            environment_.violations.report("more granted than " + runner.what.runner_id + " has slots");
+        for (const RunnerSlots::Grant& grant : runner.grants)
+            if (grant.request_id > 0 && !granted.insert({grant.session, grant.request_id}).second)
+                environment_.violations.report("one request has two slots of " + runner.info.runner_id);
+        if (granted.size() > runner.info.slots)
+            environment_.violations.report("more granted than " + runner.info.runner_id + " has slots");
     }
 }
 
@@ -170,12 +169,12 @@
     for (std::size_t n = kept.size() - unchecked; n < kept.size(); ++n) {
         const PriorityInversion& inversion = kept[n];
         const std::string why = inversion.why;
-        const bool is_more_urgent = inversion.target_left + inversion.priority * kRank <=
-                                    inversion.before_target_left + inversion.before_priority * kRank;
+        const bool is_more_urgent = inversion.time_left + inversion.priority * kPriorityStep <=
+                                    inversion.passed_time_left + inversion.passed_priority * kPriorityStep;
         if (why == "less_time_left" && !is_more_urgent)
             environment_.violations.report("one with more time left was served first in " +
                                            inversion.service);
-        if (why == "it_can_be_in_aim" && inversion.target_left <= 0)
+        if (why == "passed_is_late" && inversion.time_left <= 0)
             environment_.violations.report("one that is late itself was served before a late one in " +
                                            inversion.service);
     }
@@ -193,8 +192,8 @@
         // A stalled machine takes the answer all the same.
         const bool leads = machine.consensus && machine.consensus->has_lease(now);
         if (machine.incarnation != incarnation || !coordinator || !leads) return;
-        std::vector<ProxyMessage> messages;
-        if (result == StartResult::begun) coordinator->slot_table.began(now, runner, messages);
+        ProxyOutbox messages;
+        if (result == StartResult::started) coordinator->slot_table.on_runner_started(now, runner, messages);
         coordinator->planner.on_start_result(now, nonce, result);
         channel_->send(core, messages);
     };
@@ -208,8 +207,8 @@
         Coordinator* const coordinator = find(core, incarnation, term);
         if (!coordinator) return;
         coordinator->planner.on_stop_result(runner, true);
-        std::vector<ProxyMessage> messages;
-        coordinator->slot_table.gone(environment_.now(), runner, "stopped", messages);
+        ProxyOutbox messages;
+        coordinator->slot_table.on_runner_gone(environment_.now(), runner, messages);
         channel_->send(core, messages);
     };
     platform_.stop(request.runner, on_answer);
--- a/tests/system/simulation/coordinators.hpp
+++ b/tests/system/simulation/coordinators.hpp
@@ -45,7 +45,7 @@
     ProxyChannel& operator=(const ProxyChannel&) = delete;
     virtual ~ProxyChannel() = default;
 
-    virtual void send(std::size_t core, const std::vector<ProxyMessage>& messages) = 0;
+    virtual void send(std::size_t core, const ProxyOutbox& messages) = 0;
     virtual void configure(std::size_t proxy, const std::shared_ptr<const Configuration>& configuration) = 0;
 };
 
@@ -74,7 +74,7 @@
   private:
     void open(std::size_t core);
     void configure(std::size_t core, const LogEntry& entry);
-    void read_runner_list(Coordinator& coordinator, std::vector<ProxyMessage>& messages);
+    void read_runner_list(Coordinator& coordinator, ProxyOutbox& messages);
     void check_grants(const SlotTable& slot_table);
     void check_priority_inversions(Coordinator& coordinator);
     void request_start(std::size_t core, Number term, const StartRunner& request);
--- a/tests/system/simulation/platform.cpp
+++ b/tests/system/simulation/platform.cpp
@@ -24,20 +24,20 @@
 void Platform::start(const StartRunner& request, Number fence, const std::string& caller,
                      StartCallback on_answer) {
     environment_.after_hop([this, request, fence, caller, on_answer = std::move(on_answer)] {
-        StartResult result = StartResult::begun;
+        StartResult result = StartResult::started;
         RunnerInfo info;
         if (!accept_fence(fence, caller)) {
             ++counts_.fenced_starts;
-            result = StartResult::refused;
+            result = StartResult::rejected;
         } else if (const std::string id = runner_for(request); id.empty()) {
-            result = StartResult::no_room;
+            result = StartResult::no_capacity;
         } else {
             const Runner& runner = *runners_[id];
             info = {runner.id, runner.service, runner.address, runner.zone, runner.worker, runner.slots,
                     0,         false};
         }
         const bool lost = environment_.random.happens(answer_loss_);
-        if (lost) result = StartResult::silent;
+        if (lost) result = StartResult::timed_out;
         const Micros delay = lost ? kCallTimeout : environment_.random.hop(environment_.shape.delay);
         environment_.events.after(delay, [on_answer, result, info] { on_answer(result, info); });
     });
--- a/tests/system/simulation/platform.hpp
+++ b/tests/system/simulation/platform.hpp
@@ -44,7 +44,7 @@
 
     /// Starts a runner, or returns the one that this nonce started before. `fence` is the fencing token of
     /// the caller: a lower one than any before is rejected. The answer comes after a delay, and as
-    /// StartResult::silent if it is lost.
+    /// StartResult::timed_out if it is lost.
     void start(const StartRunner& request, Number fence, const std::string& caller, StartCallback on_answer);
     /// Calls on_answer unless the answer is lost.
     void stop(const std::string& runner, EventQueue::Action on_answer);
--- a/tests/system/simulation/platform_test.cpp
+++ b/tests/system/simulation/platform_test.cpp
@@ -41,24 +41,24 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(a_start_is_repeated_by_its_nonce_and_bounded_by_memory, PlatformFixture) {
-    BOOST_TEST((start("n-1", 1) == StartResult::begun));
-    BOOST_TEST((start("n-1", 1) == StartResult::begun));
+    BOOST_TEST((start("n-1", 1) == StartResult::started));
+    BOOST_TEST((start("n-1", 1) == StartResult::started));
     BOOST_TEST(platform.counts().starts == 1);
-    BOOST_TEST((start("n-2", 1) == StartResult::no_room));
+    BOOST_TEST((start("n-2", 1) == StartResult::no_capacity));
     BOOST_TEST(platform.count_running("a") == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_lower_fencing_token_or_another_caller_with_the_same_one_is_rejected,
                         PlatformFixture) {
-    BOOST_TEST((start("n-1", 2) == StartResult::begun));
-    BOOST_TEST((start("n-2", 1) == StartResult::refused));
-    BOOST_TEST((start("n-3", 2, "other") == StartResult::refused));
+    BOOST_TEST((start("n-1", 2) == StartResult::started));
+    BOOST_TEST((start("n-2", 1) == StartResult::rejected));
+    BOOST_TEST((start("n-3", 2, "other") == StartResult::rejected));
     BOOST_TEST(platform.counts().fenced_starts == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_lost_answer_is_a_time_out_though_the_runner_starts, PlatformFixture) {
     platform.set_answer_loss(1);
-    BOOST_TEST((start("n-1", 1) == StartResult::silent));
+    BOOST_TEST((start("n-1", 1) == StartResult::timed_out));
     BOOST_TEST(platform.count_running("a") == 1U);
 }
 
--- a/tests/system/simulation/proxies.hpp
+++ b/tests/system/simulation/proxies.hpp
@@ -39,7 +39,7 @@
     void shut_down(std::size_t proxy, Micros grace);
 
     // ---- ProxyChannel
-    void send(std::size_t core, const std::vector<ProxyMessage>& messages) override;
+    void send(std::size_t core, const ProxyOutbox& messages) override;
     void configure(std::size_t proxy, const std::shared_ptr<const Configuration>& configuration) override;
 
     // ---- state
--- a/tests/system/simulation/proxy_sessions.cpp
+++ b/tests/system/simulation/proxy_sessions.cpp
@@ -47,8 +47,8 @@
     const auto rank = static_cast<std::uint32_t>(
         std::distance(coordinator->proxies.begin(), coordinator->proxies.find(proxy)));
     const auto count = static_cast<std::uint32_t>(proxies_.size());
-    std::vector<ProxyMessage> messages;
-    messages.push_back({registering.session, RegisterResponse{registering.term, rank, count, {}}});
+    ProxyOutbox messages;
+    messages.send(registering.session, RegisterResponse{registering.term, rank, count, {}});
     coordinator->slot_table.on_proxy_registered(now, registering.session,
                                                 registering.handler->make_registration(), messages);
     configure_from(machine, registering);
@@ -87,7 +87,7 @@
         environment_.violations.report("a proxy went back to an older configuration");
 }
 
-void Proxies::send(std::size_t core, const std::vector<ProxyMessage>& messages) {
+void Proxies::send(std::size_t core, const ProxyOutbox& messages) {
     for (const ProxyMessage& sent : messages) environment_.recorder.add_message(core, sent.to, sent.message);
     for (const ProxyMessage& sent : messages)
         for (std::size_t proxy = 0; proxy < proxies_.size(); ++proxy) {
