--- a/tests/system/controller/controller_process_test.cpp
+++ b/tests/system/controller/controller_process_test.cpp
@@ -56,7 +56,7 @@
         // Reset as soon as it is written, or once a part of it is: taken or not, the same may come again.
         ScriptedConnection lost = ScriptedConnection::connect_to(core.control);
         const std::string words = put(configuration(version));
-        lost.send(std::string_view(words).substr(0, version % 2 == 0 ? words.size() : words.size() / 2));
+        lost.send(words.substr(0, version % 2 == 0 ? words.size() : words.size() / 2));
         lost.reset();
         BOOST_TEST(core.call(put(configuration(version))).starts_with("HTTP/1.1 200"));
         BOOST_TEST(core.call(put(configuration(version))).starts_with("HTTP/1.1 200"));
--- a/tests/system/formats.hpp
+++ b/tests/system/formats.hpp
@@ -10,7 +10,7 @@
 namespace gannethold::cluster::tests {
 
 void write_encoded_examples(const std::filesystem::path& folder);
-void write_store_examples(const std::filesystem::path& folder);
+void write_store_examples(const std::filesystem::path& fixtures);
 
 inline std::filesystem::path fixtures() { return FIXTURES; }
 
--- a/tests/system/program.hpp
+++ b/tests/system/program.hpp
@@ -4,18 +4,16 @@
 #include <boost/test/unit_test.hpp>
 
 #include <fcntl.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <optional>
 #include <string>
 
-extern char** environ;
-
 namespace gannethold::cluster {
 
 class Program {
@@ -28,12 +26,13 @@
         std::filesystem::create_directories(folder_);
         const std::string file = folder_ / "settings.conf";
         std::ofstream(file) << settings << "data_directory=" << (folder_ / "disk").string() << "\n";
-        const std::string flag = "--settings=" + file;
-        char* const words[] = {const_cast<char*>(path), const_cast<char*>(flag.c_str()), nullptr};
+        std::string program = path;
+        std::string settings_flag = "--settings=" + file;
+        char* const arguments[] = {program.data(), settings_flag.data(), nullptr};
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
         posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, "/dev/null", O_WRONLY, 0);
-        BOOST_REQUIRE(posix_spawn(&process_, path, &actions, nullptr, words, environ) == 0);
+        BOOST_REQUIRE(posix_spawn(&process_, path, &actions, nullptr, arguments, environ) == 0);
         posix_spawn_file_actions_destroy(&actions);
     }
     Program(const Program&) = delete;
