--- /dev/null
+++ b/tests/system/proxy_server/classify_attempt_test.cpp
@@ -0,0 +1,98 @@
+// What the end of a call promises about the request, judged from real connections and from single answers.
+#define BOOST_TEST_DYN_LINK
+#include <boost/test/unit_test.hpp>
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "../peers.hpp"
+#include "cluster/programs/run_end.hpp"
+#include "cluster/transport/http_caller.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+HttpMessage request(const std::string& id) {
+    HttpMessage message;
+    message.method = "GET";
+    message.target = "/work/" + id;
+    message.fields.emplace_back(kAttemptIdField, id);
+    return message;
+}
+
+std::string answer(const std::string& id, const std::string& body) {
+    return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nContent-Length: " + std::to_string(body.size()) +
+           "\r\n\r\n" + body;
+}
+
+// Calls to a scripted runner, and what each one's end is judged to be.
+struct ScriptedRunner {
+    ScriptedRunner()
+        : caller(loop, {500'000, 8'000'000, 6, 16U << 20, kAttemptIdField},
+                 {[this](HttpCaller::Call, CallEnd how, HttpMessage&& message, bool fresh) {
+                     results.push_back(judge(how, message, fresh));
+                 }}) {}
+
+    // What a new call is judged to be after the runner has written that.
+    AttemptResult after(const std::string& response) {
+        const std::string id = "id" + std::to_string(results.size() + 1);
+        const std::size_t expected = results.size() + 1;
+        caller.call(expected, listener.address(), request(id));
+        Wire* connection = nullptr;
+        BOOST_REQUIRE(turn_until(loop, [&] {
+            for (Wire& wire : listener.guests())
+                if (wire.has("/work/" + id + " HTTP/1.1\r\n") && wire.got.ends_with("\r\n\r\n"))
+                    connection = &wire;
+            return connection != nullptr;
+        }));
+        connection->say(response);
+        BOOST_REQUIRE(turn_until(loop, [&] { return results.size() == expected; }));
+        return results.back();
+    }
+
+    net::Loop loop{8192};
+    Door listener;
+    std::vector<AttemptResult> results;
+    HttpCaller caller;
+};
+
+BOOST_AUTO_TEST_CASE(an_answer_without_an_id_counts_as_no_promise_on_a_connection_that_served_others) {
+    const std::string not_run = "HTTP/1.1 503 x\r\nX-Request-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+    ScriptedRunner fresh;
+    BOOST_TEST((fresh.after(not_run) == AttemptResult::not_run));
+    ScriptedRunner kept;
+    BOOST_REQUIRE((kept.after(answer("id1", "first")) == AttemptResult::answered));
+    BOOST_TEST((kept.after(not_run) == AttemptResult::may_have_run));
+    BOOST_TEST(kept.listener.guests().size() == 1U);
+    // Nor on one where another's answer came first.
+    ScriptedRunner strange;
+    BOOST_TEST((strange.after(answer("another", "x") + not_run) == AttemptResult::may_have_run));
+}
+
+BOOST_AUTO_TEST_CASE(only_what_the_runner_states_is_a_promise) {
+    const auto judged = [](int status, std::vector<std::pair<std::string, std::string>> fields) {
+        HttpMessage message;
+        message.status = status;
+        message.fields = std::move(fields);
+        return judge(CallEnd::answered, message, false);
+    };
+    const std::pair<std::string, std::string> id{"X-Attempt-Id", "a"}, not_run{"X-Request-Not-Run", "full"};
+    BOOST_TEST((judged(200, {id}) == AttemptResult::answered));
+    BOOST_TEST((judged(404, {id}) == AttemptResult::answered));
+    BOOST_TEST((judged(200, {}) == AttemptResult::may_have_run));
+    BOOST_TEST((judged(200, {id, {"Content-Encoding", "gzip"}}) == AttemptResult::may_have_run));
+    BOOST_TEST((judged(500, {id}) == AttemptResult::failed));
+    for (const int status : {408, 429, 503})
+        BOOST_TEST((judged(status, {id}) == AttemptResult::may_have_run));
+    for (const int status : {400, 429, 503})
+        BOOST_TEST((judged(status, {id, not_run}) == AttemptResult::not_run));
+    BOOST_TEST((judged(421, {id}) == AttemptResult::misdirected));
+    BOOST_TEST((judge(CallEnd::broken, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallEnd::malformed, {}, true) == AttemptResult::may_have_run));
+    BOOST_TEST((judge(CallEnd::unsent, {}, true) == AttemptResult::unsent));
+    BOOST_TEST((judge(CallEnd::unreachable, {}, true) == AttemptResult::unreachable));
+}
+
+}  // namespace
+}  // namespace gannethold::cluster
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -12,8 +12,8 @@
 #include "cluster/configuration/delta.hpp"
 #include "cluster/transport/message_connection.hpp"
 #include "net/listener.hpp"
-#include "peers.hpp"
-#include "program.hpp"
+#include "../peers.hpp"
+#include "../program.hpp"
 
 namespace gannethold::cluster {
 namespace {
