--- /dev/null
+++ b/src/cluster/proxy/endpoint_table.cpp
@@ -0,0 +1,122 @@
+#include "cluster/proxy/endpoint_table.hpp"
+
+#include <utility>
+
+namespace gannethold::cluster {
+
+Endpoint* EndpointTable::find(const std::string& runner) {
+    const auto endpoint = endpoints_.find(runner);
+    return endpoint == endpoints_.end() ? nullptr : &endpoint->second;
+}
+
+Endpoint* EndpointTable::find_by_number(std::uint32_t number) {
+    const auto runner = runner_by_number_.find(number);
+    return runner == runner_by_number_.end() ? nullptr : find(runner->second);
+}
+
+Endpoint* EndpointTable::select(const Split& split, std::string_view zone, double draw,
+                                const IsEligible& is_eligible) {
+    const auto drawn_among = [&](bool only_in_zone) {
+        return split.draw(draw, [&](const Split::Share& share) {
+            const Endpoint* const endpoint = find(share.runner);
+            return endpoint && is_eligible(*endpoint, share) &&
+                   (!only_in_zone || endpoint->info.zone == zone);
+        });
+    };
+    const Split::Share* drawn = drawn_among(true);
+    if (!drawn) drawn = drawn_among(false);
+    return drawn ? find(drawn->runner) : nullptr;
+}
+
+void EndpointTable::begin_session() {
+    runner_by_number_.clear();
+    for (auto& [runner, endpoint] : endpoints_) endpoint.number = 0;
+}
+
+std::vector<RunnerInfo> EndpointTable::make_registration() {
+    std::vector<RunnerInfo> runners;
+    for (auto& [runner, endpoint] : endpoints_) {
+        endpoint.registered_in_flight = 0;
+        if (endpoint.state == RunnerState::gone && endpoint.in_flight == 0) continue;
+        RunnerInfo info = endpoint.info;
+        // The end of what was sent without a slot is not reported, so it is not counted either.
+        info.out = functions_.is_unrestricted(info.service) ? 0 : endpoint.in_flight;
+        info.up = endpoint.state == RunnerState::ready;
+        endpoint.registered_in_flight = info.out;
+        runners.push_back(std::move(info));
+    }
+    return runners;
+}
+
+void EndpointTable::on_update(const RunnerUpdate& update, Actions& actions) {
+    if (update.state == RunnerState::gone) return on_gone(update, actions);
+    const std::string& runner = update.runner.runner;
+    Endpoint& endpoint = endpoints_[runner];
+    const bool first_of_session = endpoint.number == 0;
+    if (endpoint.number != update.number) runner_by_number_.erase(endpoint.number);
+    endpoint.info = update.runner;
+    endpoint.number = update.number;
+    endpoint.state = update.state;
+    runner_by_number_[update.number] = runner;
+    if (first_of_session) correct_registration(endpoint, actions);
+    if (update.state == RunnerState::ready)
+        functions_.state_of(update.runner.service).split.add_runner(runner, update.runner.slots);
+    if (update.watch && update.state == RunnerState::starting) {
+        probed_runners_[update.runner.address].push_back(runner);
+        actions.probed_addresses.push_back(update.runner.address);
+    }
+}
+
+// A runner that is gone may still have attempts of ours in flight, whose ends the coordinator counts under
+// the number that it gives here.
+void EndpointTable::on_gone(const RunnerUpdate& update, Actions& actions) {
+    if (Endpoint* const endpoint = find(update.runner.runner); endpoint && endpoint->number == 0) {
+        endpoint->number = update.number;
+        runner_by_number_[update.number] = update.runner.runner;
+        correct_registration(*endpoint, actions);
+    }
+    if (const auto runner = runner_by_number_.find(update.number); runner != runner_by_number_.end())
+        remove(std::string(runner->second), actions);
+}
+
+// What ended between the registration and the coordinator's answer is released, and what was sent then is
+// reported: else a slot would be taken, or granted twice, for as long as the session lasts.
+void EndpointTable::correct_registration(Endpoint& endpoint, Actions& actions) {
+    const std::uint32_t registered = std::exchange(endpoint.registered_in_flight, 0);
+    if (functions_.state_of(endpoint.info.service).unrestricted) return;
+    if (endpoint.in_flight > registered)
+        actions.messages.emplace_back(
+            OutstandingReport{{{endpoint.number, endpoint.in_flight - registered}}});
+    for (std::uint32_t ended = endpoint.in_flight; ended < registered; ++ended)
+        actions.messages.emplace_back(Release{0, endpoint.number, ReleaseReason::unused, 0});
+}
+
+void EndpointTable::remove(const std::string& runner, Actions& actions) {
+    const auto at = endpoints_.find(runner);
+    if (at == endpoints_.end()) return;
+    Endpoint& endpoint = at->second;
+    functions_.state_of(endpoint.info.service).split.remove_runner(runner);
+    actions.evicted_addresses.push_back(endpoint.info.address);
+    endpoint.state = RunnerState::gone;
+    if (endpoint.in_flight > 0) return;
+    runner_by_number_.erase(endpoint.number);
+    endpoints_.erase(at);
+}
+
+void EndpointTable::eject(const std::string& runner, Micros until) {
+    if (Endpoint* const endpoint = find(runner)) endpoint->ejected_until = until;
+}
+
+void EndpointTable::on_probe_completed(const std::string& address, bool reachable, bool has_coordinator,
+                                       Actions& actions) {
+    const auto probed = probed_runners_.find(address);
+    if (probed == probed_runners_.end()) return;
+    for (const std::string& runner : probed->second) {
+        const Endpoint* const endpoint = find(runner);
+        if (endpoint && endpoint->number > 0 && has_coordinator)
+            actions.messages.emplace_back(RunnerReachable{endpoint->number, reachable});
+    }
+    probed_runners_.erase(probed);
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy/request_handler_coordinator.cpp
@@ -0,0 +1,151 @@
+// What the request handler does when its coordinator registers it, disconnects or sends a message.
+#include <algorithm>
+#include <map>
+#include <variant>
+
+#include "cluster/proxy/request_handler.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Micros kMinTimeToSend = 5'000;           // before the deadline: less is too late for a runner
+constexpr Micros kMinTimeToAcquireAgain = 20'000;  // likewise, for another slot
+
+void set_delay_cause(ValueLoss::Cause& cause, WaitReason waited) {
+    switch (waited) {
+        case WaitReason::nothing:
+            return;
+        case WaitReason::start:
+            cause = ValueLoss::Cause::cold_start;
+            return;
+        case WaitReason::slot:
+            cause = ValueLoss::Cause::slot;
+            return;
+        case WaitReason::memory:
+            cause = ValueLoss::Cause::memory;
+            return;
+    }
+}
+
+}  // namespace
+
+Register RequestHandler::make_registration() {
+    Register registration;
+    registration.name = options_.name;
+    registration.zone = options_.zone;
+    registration.incarnation = options_.incarnation;
+    registration.version = version();
+    registration.runners = endpoints_.make_registration();
+    registration.unrestricted = functions_.unrestricted_loads();
+    return registration;
+}
+
+// A function that was unrestricted stays so until this coordinator sends another mode: the registration has
+// stated it. All functions restricted at once, after a change of coordinators, would be more acquire requests
+// than one coordinator can answer.
+void RequestHandler::on_coordinator_registered(Micros now, Actions& actions) {
+    has_coordinator_ = true;
+    acquires_.clear();
+    endpoints_.begin_session();
+    std::vector<RequestId> unsent;
+    for (auto& [id, request] : requests_) {
+        if (request.phase == Phase::sent)
+            request.acquire_id = 0;  // counted with the registration
+        else
+            unsent.push_back(id);
+    }
+    for (const RequestId id : unsent) start_attempt(now, requests_.at(id), actions);
+}
+
+void RequestHandler::on_coordinator_disconnected(Micros now, Actions& actions) {
+    if (!has_coordinator_) return;
+    has_coordinator_ = false;
+    acquires_.clear();
+    for (auto& [id, request] : requests_)
+        if (request.phase == Phase::acquiring) {
+            request.acquire_id = 0;
+            request.phase = Phase::queued;
+        }
+    serve_all_queued(now, actions);
+}
+
+void RequestHandler::on_probe_completed(const std::string& address, bool reachable, Actions& actions) {
+    endpoints_.on_probe_completed(address, reachable, has_coordinator_, actions);
+}
+
+void RequestHandler::on_message(Micros now, const Message& message, Actions& actions) {
+    if (const auto* registered = std::get_if<Registered>(&message))
+        slot_share_ = {registered->rank, std::max(1U, registered->fronts)};
+    else if (const auto* update = std::get_if<RunnerUpdate>(&message))
+        endpoints_.on_update(*update, actions);
+    else if (const auto* granted = std::get_if<AcquireGranted>(&message))
+        on_granted(now, *granted, actions);
+    else if (const auto* mode = std::get_if<FunctionMode>(&message))
+        on_function_mode(*mode, actions);
+    else if (const auto* denied = std::get_if<AcquireDenied>(&message))
+        on_denied(now, *denied, actions);
+}
+
+void RequestHandler::on_granted(Micros now, const AcquireGranted& granted, Actions& actions) {
+    const std::optional<RequestId> id = acquires_.find(granted.id);
+    if (!id) {
+        // The client has disconnected meanwhile, or the deadline has passed.
+        actions.messages.emplace_back(Release{granted.id, granted.runner, ReleaseReason::unused, 0});
+        return;
+    }
+    Request& request = requests_.at(*id);
+    Endpoint* const endpoint = endpoints_.find_by_number(granted.runner);
+    const bool is_usable = endpoint && endpoint->state != RunnerState::gone;
+    if (!is_usable || !can_finish_before_shutdown(now, request) || now + kMinTimeToSend > request.deadline_at)
+        return reject_grant(now, granted, request, is_usable, actions);
+    set_delay_cause(request.delay_cause, granted.waited);
+    const bool as_drawn = request.drawn_number == granted.runner;
+    record_decision(now, request, endpoint->info.runner,
+                    request.retry.is_retry()    ? "granted_again"
+                    : as_drawn                  ? "granted_as_drawn"
+                    : request.drawn_number == 0 ? "granted_none_known"
+                                                : "granted_another_drawn_is_full");
+    send(now, request, *endpoint, actions);
+}
+
+void RequestHandler::reject_grant(Micros now, const AcquireGranted& granted, Request& request, bool is_usable,
+                                  Actions& actions) {
+    acquires_.remove(granted.id);
+    actions.messages.emplace_back(Release{granted.id, granted.runner, ReleaseReason::unused, 0});
+    request.acquire_id = 0;
+    if (!can_finish_before_shutdown(now, request))
+        return reply(now, request, ErrorCode::leaving, kRetryOtherProxyMs, actions);
+    if (!is_usable && now + kMinTimeToAcquireAgain < request.deadline_at)
+        return start_attempt(now, request, actions);
+    reply(now, request, ErrorCode::not_offered, 0, actions);
+}
+
+void RequestHandler::on_denied(Micros now, const AcquireDenied& denied, Actions& actions) {
+    const std::optional<RequestId> id = acquires_.find(denied.id);
+    if (!id) return;
+    Request& request = requests_.at(*id);
+    if (request.retry.is_retry() && denied.waited == WaitReason::nothing)
+        request.delay_cause = ValueLoss::Cause::budget;
+    set_delay_cause(request.delay_cause, denied.waited);
+    reply(now, request, ErrorCode::no_slot, denied.retry_ms, actions);
+}
+
+// What was sent without a slot is counted by the coordinator from the change of mode on, and released to it.
+void RequestHandler::on_function_mode(const FunctionMode& mode, Actions& actions) {
+    FunctionState& function = functions_.state_of(mode.service);
+    if (function.unrestricted == mode.unrestricted) return;
+    function.unrestricted = mode.unrestricted;
+    if (mode.unrestricted) return;
+    std::map<std::uint32_t, std::uint32_t> in_flight;  // by the runner's number
+    for (auto& [id, request] : requests_) {
+        if (request.phase != Phase::sent || !request.unrestricted || request.service != mode.service)
+            continue;
+        request.unrestricted = false;
+        const Endpoint* const endpoint = endpoints_.find(request.runner);
+        if (endpoint && endpoint->number > 0) ++in_flight[endpoint->number];
+    }
+    if (!in_flight.empty())
+        actions.messages.emplace_back(OutstandingReport{{in_flight.begin(), in_flight.end()}});
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy/retry_state.cpp
@@ -0,0 +1,22 @@
+#include "cluster/proxy/retry_state.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+bool may_have_run_after(AttemptResult result) {
+    return result == AttemptResult::runner_error || result == AttemptResult::outcome_unknown;
+}
+
+}  // namespace
+
+void RetryState::on_attempt_completed(AttemptResult result) {
+    if (result == AttemptResult::connect_failed) --attempts_;
+    if (may_have_run_after(result)) may_have_run_ = true;
+}
+
+bool RetryState::may_retry(const Route& route, AttemptResult result, Micros now, Micros deadline) const {
+    if (may_have_run_after(result) && !route.idempotent) return false;
+    return attempts_ < route.attempts && now + kMinTimeForRetry < deadline;
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy_server/classify_attempt.cpp
@@ -0,0 +1,49 @@
+#include "cluster/proxy_server/classify_attempt.hpp"
+
+#include "cluster/proxy_server/forwarding.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr int kMisdirectedRequest = 421;
+constexpr int kRequestTimeout = 408;
+constexpr int kTooManyRequests = 429;
+constexpr int kServiceUnavailable = 503;
+constexpr int kFirstServerError = 500;
+
+// Clients take these for a statement that the request has not run, which the runner has not made.
+bool suggests_not_run(int status) {
+    return status == kRequestTimeout || status == kTooManyRequests || status == kServiceUnavailable;
+}
+
+AttemptResult classify_response(const HttpMessage& response, bool is_first_response) {
+    const bool bears_id = !response.field(kAttemptIdHeader).empty();
+    const bool is_misdirected = response.status == kMisdirectedRequest;
+    if (is_misdirected || !response.field(kNotRunHeader).empty()) {
+        // Without an id, on a connection that served others, it may be a surplus response to one of those.
+        if (!bears_id && !is_first_response) return AttemptResult::outcome_unknown;
+        return is_misdirected ? AttemptResult::misdirected : AttemptResult::rejected;
+    }
+    if (!bears_id || !response.field("Content-Encoding").empty()) return AttemptResult::outcome_unknown;
+    if (suggests_not_run(response.status)) return AttemptResult::outcome_unknown;
+    return response.status >= kFirstServerError ? AttemptResult::runner_error : AttemptResult::succeeded;
+}
+
+}  // namespace
+
+AttemptResult classify_attempt(CallEnd end, const HttpMessage& response, bool is_first_response) {
+    switch (end) {
+        case CallEnd::unreachable:
+            return AttemptResult::connect_failed;
+        case CallEnd::unsent:
+            return AttemptResult::not_sent;
+        case CallEnd::answered:
+            return classify_response(response, is_first_response);
+        case CallEnd::broken:
+        case CallEnd::malformed:
+            break;
+    }
+    return AttemptResult::outcome_unknown;
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy_server/downstream_server.cpp
@@ -0,0 +1,42 @@
+#include "cluster/proxy_server/downstream_server.hpp"
+
+#include "cluster/proxy_server/forwarding.hpp"
+
+namespace gannethold::cluster {
+
+DownstreamServer::DownstreamServer(net::Loop& loop, const net::Address& address, std::size_t max_connections,
+                                   Events events)
+    : events_(std::move(events)),
+      service_(
+          loop, address,
+          {[this](HttpService::Exchange id, HttpMessage&& message) { on_request(id, std::move(message)); },
+           [this](HttpService::Exchange id) {
+               requests_.erase(id);  // so it is not sent again
+               events_.client_disconnected(id);
+           }},
+          max_connections) {}
+
+void DownstreamServer::on_request(RequestId id, HttpMessage&& message) {
+    const std::uint32_t deadline_ms = parse_deadline_ms(message.field(kDeadlineHeader));
+    const std::string host(message.field("Host"));
+    const std::string target = message.target;
+    requests_[id].message = std::move(message);
+    events_.request_received(id, host, target, deadline_ms);
+}
+
+DownstreamRequest* DownstreamServer::find(RequestId id) {
+    const auto request = requests_.find(id);
+    return request == requests_.end() ? nullptr : &request->second;
+}
+
+void DownstreamServer::reply(const Actions::LocalReply& local_reply) {
+    service_.answer(local_reply.request, local_reply.error, {}, local_reply.retry_after_ms);
+    requests_.erase(local_reply.request);
+}
+
+void DownstreamServer::relay(RequestId id, HttpMessage&& upstream_response) {
+    service_.answer(id, make_downstream_response(std::move(upstream_response)));
+    requests_.erase(id);
+}
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy_server/readiness_server.hpp
@@ -0,0 +1,29 @@
+// Answers the platform's probes of whether this process takes requests.
+#pragma once
+
+#include <functional>
+
+#include "cluster/transport/http_service.hpp"
+
+namespace gannethold::cluster {
+
+enum class Readiness {
+    ready,
+    no_configuration,  ///< none was received yet
+    shutting_down,
+};
+
+class ReadinessServer {
+  public:
+    ReadinessServer(net::Loop& loop, const net::Address& address, std::function<Readiness()> readiness);
+
+    void sweep(Micros now) { service_.sweep(now); }
+
+  private:
+    void on_probe(HttpService::Exchange exchange);
+
+    std::function<Readiness()> readiness_;
+    HttpService service_;
+};
+
+}  // namespace gannethold::cluster
--- /dev/null
+++ b/src/cluster/proxy_server/upstream_runners.cpp
@@ -0,0 +1,64 @@
+#include "cluster/proxy_server/upstream_runners.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "cluster/proxy_server/classify_attempt.hpp"
+#include "cluster/proxy_server/forwarding.hpp"
+
+namespace gannethold::cluster {
+namespace {
+
+constexpr Micros kConnectTimeout = 500'000;
+constexpr Micros kIdleTimeout = 8'000'000;
+constexpr std::size_t kMaxIdlePerRunner = 6;
+constexpr std::size_t kMaxResponseBytes = 16U << 20;
+
+}  // namespace
+
+UpstreamRunners::UpstreamRunners(net::Loop& loop, Events events)
+    : events_(std::move(events)),
+      caller_(loop, {kConnectTimeout, kIdleTimeout, kMaxIdlePerRunner, kMaxResponseBytes, kAttemptIdHeader},
+              {[this](HttpCaller::Call id, CallEnd end, HttpMessage&& response, bool is_first_response) {
+                   on_call_completed(id, end, std::move(response), is_first_response);
+               },
+               [this](const std::string& address) {
+                   if (probes_.on_connected(address)) events_.probe_completed(address, true);
+               },
+               [this](const std::string& address) {
+                   if (probes_.on_connect_failed(net::Loop::now(), address)) events_.probe_rescheduled();
+               }}) {}
+
+// A response to an earlier attempt at the same address would bear the same id: each attempt there has its own
+// connection.
+void UpstreamRunners::forward(const Actions::Forward& forward, DownstreamRequest& request) {
+    std::vector<std::string>& addresses = request.attempted_addresses;
+    const bool is_attempted =
+        std::find(addresses.begin(), addresses.end(), forward.address) != addresses.end();
+    if (!is_attempted) addresses.push_back(forward.address);
+    caller_.call(forward.request, forward.address, make_upstream_request(request.message, forward),
+                 is_attempted);
+}
+
+void UpstreamRunners::on_call_completed(HttpCaller::Call id, CallEnd end, HttpMessage&& response,
+                                        bool is_first_response) {
+    const AttemptResult result = classify_attempt(end, response, is_first_response);
+    completed_ = CompletedResponse{id, std::move(response)};
+    events_.attempt_completed(id, result);
+    completed_.reset();
+}
+
+std::optional<HttpMessage> UpstreamRunners::take_response(RequestId id) {
+    if (!completed_ || completed_->request != id) return std::nullopt;
+    std::optional<HttpMessage> response = std::move(completed_->message);
+    completed_.reset();
+    return response;
+}
+
+void UpstreamRunners::tick(Micros now) {
+    const ProbeSchedule::Due due = probes_.take_due(now);
+    for (const std::string& address : due.probed) caller_.preconnect(address);
+    for (const std::string& address : due.expired) events_.probe_completed(address, false);
+}
+
+}  // namespace gannethold::cluster
--- a/src/cluster/split/split.cpp
+++ b/src/cluster/split/split.cpp
@@ -8,118 +8,142 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr double kFewRequests = 3;  // the floor of the rate
-constexpr double kSmoothing = 0.125;
-constexpr double kMostBusy = 0.95;
+constexpr double kMinRate = 3;            // floor of x, the own rate of requests (section 4.1)
+constexpr double kLatencyGain = 0.125;    // of a sample in the smoothed latency
+constexpr double kRateDecay = 0.75;       // of the smoothed rate, per period
+constexpr double kMaxUtilization = 0.95;  // rho, so that 1/(1 - rho) stays finite
+constexpr int kFirstStepsPerRunner = 2;   // so many steps per runner are shortened
 
 }  // namespace
 
 Split::Share* Split::find(const std::string& runner) {
-    const auto at =
-        std::find_if(shares_.begin(), shares_.end(), [&](const Share& s) { return s.runner == runner; });
+    const auto at = std::find_if(shares_.begin(), shares_.end(),
+                                 [&](const Share& share) { return share.runner == runner; });
     return at == shares_.end() ? nullptr : &*at;
 }
 
-void Split::rescale() {
+void Split::normalize() {
     double sum = 0;
-    for (const Share& s : shares_) sum += s.fraction;
-    for (Share& s : shares_)
-        s.fraction = sum > 0 ? s.fraction / sum : 1.0 / static_cast<double>(shares_.size());
+    for (const Share& share : shares_) sum += share.fraction;
+    for (Share& share : shares_)
+        share.fraction = sum > 0 ? share.fraction / sum : 1.0 / static_cast<double>(shares_.size());
 }
 
-void Split::enter(const std::string& runner, std::uint32_t slots) {
+void Split::add_runner(const std::string& runner, std::uint32_t slots) {
     if (find(runner)) return;
-    Share fresh{
-        runner, shares_.empty() ? 1.0 : 1.0 / static_cast<double>(shares_.size()), 0, 0, std::max(1U, slots),
-        0};
+    Share added;
+    added.runner = runner;
+    added.fraction = shares_.empty() ? 1.0 : 1.0 / static_cast<double>(shares_.size());
+    added.slots = std::max(1U, slots);
     double latency = 0;
-    double least = 0;
-    int known = 0;
-    for (const Share& s : shares_)
-        if (s.latency > 0) {
-            latency += s.latency;
-            least += s.least;
-            ++known;
+    double min_latency = 0;
+    int sampled = 0;
+    for (const Share& share : shares_)
+        if (share.latency > 0) {
+            latency += share.latency;
+            min_latency += share.min_latency;
+            ++sampled;
         }
-    if (known > 0) {
-        fresh.latency = latency / known;
-        fresh.least = least / known;
+    if (sampled > 0) {
+        added.latency = latency / sampled;
+        added.min_latency = min_latency / sampled;
     }
-    shares_.push_back(std::move(fresh));
-    rescale();
+    shares_.push_back(std::move(added));
+    normalize();
 }
 
-void Split::leave(const std::string& runner) {
-    std::erase_if(shares_, [&](const Share& s) { return s.runner == runner; });
-    rescale();
+void Split::remove_runner(const std::string& runner) {
+    std::erase_if(shares_, [&](const Share& share) { return share.runner == runner; });
+    normalize();
 }
 
-const Split::Share* Split::draw(double unit, const std::function<bool(const Share&)>& may) const {
+const Split::Share* Split::draw(double draw, const std::function<bool(const Share&)>& is_eligible) const {
     double sum = 0;
-    for (const Share& s : shares_)
-        if (may(s)) sum += s.fraction;
-    double at = unit * sum;
-    const Share* last = nullptr;
-    for (const Share& s : shares_) {
-        if (!may(s)) continue;
-        last = &s;
-        if ((at -= s.fraction) < 0) break;
+    for (const Share& share : shares_)
+        if (is_eligible(share)) sum += share.fraction;
+    double remaining = draw * sum;
+    const Share* drawn = nullptr;
+    for (const Share& share : shares_) {
+        if (!is_eligible(share)) continue;
+        drawn = &share;
+        remaining -= share.fraction;
+        if (remaining < 0) break;
     }
-    return last;
+    return drawn;
 }
 
-void Split::sent(const std::string& runner) {
-    if (Share* s = find(runner)) ++s->out;
+void Split::on_sent(const std::string& runner) {
+    if (Share* const share = find(runner)) ++share->in_flight;
 }
 
-void Split::ended(const std::string& runner, double latency) {
-    Share* const s = find(runner);
-    if (!s) return;
-    if (s->out > 0) --s->out;
+void Split::on_completed(const std::string& runner, double latency) {
+    Share* const share = find(runner);
+    if (!share) return;
+    if (share->in_flight > 0) --share->in_flight;
     if (latency <= 0) return;
-    s->latency = s->latency > 0 ? s->latency + kSmoothing * (latency - s->latency) : latency;
-    s->least = s->least > 0 ? std::min(s->least, latency) : latency;
+    const bool is_first = share->latency <= 0;
+    share->latency = is_first ? latency : share->latency + kLatencyGain * (latency - share->latency);
+    share->min_latency = share->min_latency > 0 ? std::min(share->min_latency, latency) : latency;
 }
 
-// Runners send no report of their load: it is the own share of the slots that is taken, and T/(1 - rho) with
-// it.
-double Split::marginal(const Share& s) {
-    const double busy = std::min(kMostBusy, static_cast<double>(s.out) / s.slots);
-    return busy > 0 ? s.latency / (1 - busy) : s.latency * s.latency / s.least;
+// Section 4.1, equation 14: T/(1 - rho), or T^2/S where rho is not known. Runners do not report their load:
+// rho is this proxy's own use of the slots.
+double Split::marginal_delay(const Share& share) {
+    const double utilization = std::min(kMaxUtilization, static_cast<double>(share.in_flight) / share.slots);
+    if (utilization > 0) return share.latency / (1 - utilization);
+    return share.latency * share.latency / share.min_latency;
 }
 
-void Split::step(std::uint64_t chance) {
-    const std::size_t n = shares_.size();
-    const double greatest = greatest_;
-    bool all = true;
-    for (const Share& s : shares_) {
-        all = all && s.latency > 0;
-        if (s.latency > 0) greatest_ = std::max(greatest_, 2 * s.latency * s.latency * s.latency / s.least);
+// Section 5, Theorem 2: M bounds the second derivatives, 2T^3/S each. Returns whether every runner has a
+// sample.
+bool Split::update_max_curvature() {
+    bool all_sampled = true;
+    for (const Share& share : shares_) {
+        if (share.latency <= 0) {
+            all_sampled = false;
+            continue;
+        }
+        const double curvature = 2 * share.latency * share.latency * share.latency / share.min_latency;
+        max_curvature_ = std::max(max_curvature_, curvature);
     }
-    // Nothing moves until M of an earlier period and every runner's estimate exist.
-    if (n < 2 || !all || greatest <= 0) return;
-    const int first = 2 * static_cast<int>(n);
-    const double count = static_cast<double>(n);
-    double eta = 2 / (count * count * greatest);
-    if (steps_ < first) eta /= first - steps_;
+    return all_sampled;
+}
+
+// Section 5, Theorem 2: eta = 2/(N*N*M), shortened for the first steps.
+double Split::step_size(double max_curvature) {
+    const double runners = static_cast<double>(shares_.size());
+    double eta = 2 / (runners * runners * max_curvature);
+    const int first_steps = kFirstStepsPerRunner * static_cast<int>(shares_.size());
+    if (steps_ < first_steps) eta /= first_steps - steps_;
     ++steps_;
-    for (Share& s : shares_) {
-        s.marginal = marginal(s);
-        s.eta = eta;
+    return eta;
+}
+
+// Section 4.1, equation 13, with the clamp of gradient/gradient.hpp. Nothing moves until there is an M of an
+// earlier period and a sample of every runner.
+void Split::step(std::uint64_t random) {
+    const double earlier_max_curvature = max_curvature_;
+    const bool all_sampled = update_max_curvature();
+    if (shares_.size() < 2 || !all_sampled || earlier_max_curvature <= 0) return;
+    const double eta = step_size(earlier_max_curvature);
+    for (Share& share : shares_) {
+        share.marginal = marginal_delay(share);
+        share.eta = eta;
     }
-    const double tie = (static_cast<double>(chance % n) + 0.5) / count;
-    step_toward_least(shares_, std::max(rate_, kFewRequests), [tie] { return tie; });
-    rescale();
+    const std::size_t runners = shares_.size();
+    const double tie_break = (static_cast<double>(random % runners) + 0.5) / static_cast<double>(runners);
+    step_toward_least(shares_, std::max(rate_, kMinRate), [tie_break] { return tie_break; });
+    normalize();
 }
 
-void Split::advance(Micros now, std::uint64_t chance) {
-    if (next_ == 0) next_ = now + kPeriod;
-    if (now < next_) return;
-    const double periods = 1 + std::floor(static_cast<double>(now - next_) / kPeriod);
-    rate_ += (arrivals_ / periods - rate_) * (1 - std::pow(0.75, periods));
+void Split::advance(Micros now, std::uint64_t random) {
+    if (period_end_ == 0) period_end_ = now + kPeriod;
+    if (now < period_end_) return;
+    const double periods = 1 + std::floor(static_cast<double>(now - period_end_) / kPeriod);
+    rate_ += (arrivals_ / periods - rate_) * (1 - std::pow(kRateDecay, periods));
     arrivals_ = 0;
-    next_ += static_cast<Micros>(periods) * kPeriod;
-    step(chance);
+    period_end_ += static_cast<Micros>(periods) * kPeriod;
+    step(random);
 }
 
 }  // namespace gannethold::cluster
