--- a/src/cluster/proxy_server/coordinator_client.cpp
+++ b/src/cluster/proxy_server/coordinator_client.cpp
@@ -28,7 +28,7 @@
       last_turn_at_(net::Loop::now()) {}
 
 void CoordinatorClient::send(const Message& message) {
-    if (!connection_ || !connection_->open()) return;
+    if (!connection_ || !connection_->is_open()) return;
     connection_->send(message);
     sent_at_ = net::Loop::now();
 }
@@ -40,9 +40,9 @@
     const auto address = net::Address::read(settings_.internal_of(*member));
     if (!address) return;
     MessageConnection::Events events;
-    events.up = [this] { connection_->send(events_.make_registration()); };
-    events.message_received = [this](const ReceivedMessage& received) { on_message(received.message); };
-    events.ended = [this] { disconnect(); };
+    events.on_connected = [this] { connection_->send(events_.make_registration()); };
+    events.on_message = [this](const ReceivedMessage& received) { on_message(received.message); };
+    events.on_disconnected = [this] { disconnect(); };
     connection_ = std::make_unique<MessageConnection>(loop_, *address, kConnectTimeout, std::move(events));
 }
 
@@ -88,9 +88,10 @@
     last_turn_at_ = now;
     if (connection_) {
         const Micros timeout = registered_ ? kPeerTimeout : kRegistrationTimeout;
-        if (now > std::max(connection_->heard(), connect_began_at_) + timeout)
+        if (now > std::max(connection_->last_received_at(), connect_began_at_) + timeout)
             disconnect();
-        else if (registered_ && now >= std::max(connection_->heard(), sent_at_) + kHeartbeatInterval)
+        else if (registered_ &&
+                 now >= std::max(connection_->last_received_at(), sent_at_) + kHeartbeatInterval)
             send(Heartbeat{});
     }
     if (!connection_ && now >= connect_began_at_ + kReconnectInterval) connect(now);
@@ -98,7 +99,7 @@
 
 std::optional<Micros> CoordinatorClient::next_timer() const {
     if (!connection_) return connect_began_at_ + kReconnectInterval;
-    if (registered_) return std::max(connection_->heard(), sent_at_) + kHeartbeatInterval;
+    if (registered_) return std::max(connection_->last_received_at(), sent_at_) + kHeartbeatInterval;
     return std::nullopt;
 }
 
--- a/src/cluster/proxy_server/downstream_server.hpp
+++ b/src/cluster/proxy_server/downstream_server.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cluster/proxy/actions.hpp"
-#include "cluster/transport/http_service.hpp"
+#include "cluster/transport/http_server.hpp"
 
 namespace gannethold::cluster {
 
@@ -22,8 +22,7 @@
 
 class DownstreamServer {
   public:
-    /// Called from the loop, and also within reply() and relay(), where a client has sent its next request
-    /// ahead.
+    /// Called from the loop, never within reply() or relay().
     struct Events {
         std::function<void(RequestId, std::string_view host, std::string_view target,
                            std::uint32_t deadline_ms)>
@@ -41,22 +40,22 @@
     /// Answers with the runner's response.
     void relay(RequestId id, HttpMessage&& upstream_response);
 
-    void set_limits(const Limits& limits) { service_.limit(limits); }
-    void sweep(Micros now) { service_.sweep(now); }
+    void set_limits(const Limits& limits) { server_.set_limits(limits); }
+    void sweep(Micros now) { server_.close_expired(now); }
 
     /// From now on each response closes its connection.
-    void begin_shutdown() { service_.say_goodbye(); }
+    void begin_shutdown() { server_.disable_keep_alive(); }
     /// Accepts no more, and closes connections on which nothing is under way.
-    void close_idle() { service_.close_idle(); }
+    void close_idle() { server_.drain(); }
     /// Connections on which something is under way.
-    std::size_t unfinished() const { return service_.unfinished(); }
+    std::size_t unfinished() const { return server_.busy_connections(); }
 
   private:
     void on_request(RequestId id, HttpMessage&& message);
 
     Events events_;
     std::unordered_map<RequestId, DownstreamRequest> requests_;
-    HttpService service_;
+    HttpServer server_;
 };
 
 }  // namespace gannethold::cluster
--- a/tests/system/simulation/platform.hpp
+++ b/tests/system/simulation/platform.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cluster/placement/planner.hpp"
-#include "cluster/runners/listing.hpp"
+#include "cluster/runners/platform_api.hpp"
 #include "configuration_template.hpp"
 #include "environment.hpp"
 
