--- a/rehearsal/tubes/mixed.cpp
+++ b/rehearsal/tubes/mixed.cpp
@@ -23,6 +23,7 @@
 #include "sockets/child.hpp"
 #include "sockets/claim.hpp"
 #include "tubes/client.hpp"
+#include "uniform_draw.hpp"
 
 namespace gannethold::rehearsal {
 namespace {
@@ -94,7 +95,7 @@
         bool waits = false, hangs = false, from_http = false;
     };
 
-    double uniform() { return std::generate_canonical<double, 24>(chance_); }
+    double uniform() { return draw_uniform(chance_); }
     void wrong(const std::string& what) {
         if (result_.broken.size() < 20) result_.broken.push_back(what);
     }
@@ -177,7 +178,10 @@
         p.wire->say(std::string("use ") + kTubes[tube] + "\r\n");
         const std::string body = std::string(kTubes[tube]) + "-" + std::to_string(++asked_);
         p.said.emplace_back(body, tube);
-        p.wire->put(body, static_cast<unsigned>(uniform() * 2'000), uniform() < 0.1 ? 1 : 0, 1);
+        // Drawn one after the other: the order in which arguments are evaluated is the compiler's choice.
+        const unsigned delay = uniform() < 0.1 ? 1 : 0;
+        const auto priority = static_cast<unsigned>(uniform() * 2'000);
+        p.wire->put(body, priority, delay, 1);
     }
 
     // ---- workers ----
--- a/src/choice/records.hpp
+++ b/src/choice/records.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "fleet.hpp"
+#include "uniform_draw.hpp"
 
 namespace gannethold::deciding {
 
@@ -41,7 +42,7 @@
     double rate_ = 0, usual_cost_ = 0, job_seconds_ = 0.1, usual_latency_ = 1;
     double far_most_ = 8, missing_one_ = 0, missing_more_ = 0;  // far: beyond the own part
 
-    double uniform() { return std::generate_canonical<double, 24>(chance_); }
+    double uniform() { return draw_uniform(chance_); }
 
     Workload& workload(const Task& task) { return workloads_[static_cast<std::size_t>(task.asked.workload)]; }
 
