--- a/tests/beanstalk_stories.cpp
+++ b/tests/beanstalk_stories.cpp
@@ -437,9 +437,12 @@
                 hall.pass(drawn(5'000));
             } else if (what < 7) {
                 const std::string body = "j" + std::to_string(step);
-                const auto id =
-                    Hall::number(hall.ask(s, put(body, std::to_string(drawn(9)) + (drawn(5) ? " 0 " : " 2 ") +
-                                                           std::to_string(1 + drawn(4)))));
+                // Drawn one after the other: the order in which operands are evaluated is the compiler's
+                // choice.
+                const std::string run_s = std::to_string(1 + drawn(4));
+                const std::string delay_s = drawn(5) ? "0" : "2";
+                const std::string priority = std::to_string(drawn(9));
+                const auto id = Hall::number(hall.ask(s, put(body, priority + " " + delay_s + " " + run_s)));
                 if (id > 0) put_jobs[body] = id, body_of[id] = body;
             } else if (what < 11) {
                 hall.ask(s, "reserve-with-timeout " + std::to_string(drawn(4)));
--- a/tests/recorded/events.cpp
+++ b/tests/recorded/events.cpp
@@ -221,7 +221,10 @@
 void Stream::change_roster() {
     constexpr RunnerState kStates[] = {RunnerState::draining, RunnerState::gone, RunnerState::ready,
                                        RunnerState::ready};
-    RosterEntry e = entry(1 + static_cast<unsigned>(random_.below(kRunners)), kStates[random_.below(4)]);
+    // Drawn one after the other: the order in which arguments are evaluated is the compiler's choice.
+    const RunnerState state = kStates[random_.below(4)];
+    const auto runner = 1 + static_cast<unsigned>(random_.below(kRunners));
+    RosterEntry e = entry(runner, state);
     e.started_at = random_.one_in(2) ? now_ - 100'000 : 0;
     tell(RosterNews{RosterScope::changes, version_++, {e}});
 }
--- a/tests/recorded/streams.cpp
+++ b/tests/recorded/streams.cpp
@@ -262,8 +262,10 @@
     const bool repeat = plan_.repeats_one_in && random_.one_in(plan_.repeats_one_in);
     const Time expiry = now_ + kExpiry[task.workload] - (repeat ? 500 * kMillisecond : 0);
     const bool hinted = random_.one_in(3);
-    const int flags =
-        (hinted ? 1 : 0) | (repeat ? 2 : 0) | (random_.one_in(7) ? 4 : 0) | (random_.one_in(11) ? 16 : 0);
+    // Drawn one after the other: the order in which operands are evaluated is the compiler's choice.
+    const int write_flag = random_.one_in(7) ? 4 : 0;
+    const int after_break_flag = random_.one_in(11) ? 16 : 0;
+    const int flags = (hinted ? 1 : 0) | (repeat ? 2 : 0) | write_flag | after_break_flag;
     tell(task.instance, arrival).whole(id, 8).whole(task.workload, 1).whole(random_.below(2), 4);
     records_.whole(random_.below(1'000), 8).whole(expiry, 8).whole(hinted ? plan_.work : 0, 4);
     records_.real(1).real(0.25F).whole(flags, 1);
