--- a/tests/snapshot/snapshot_store_test.cpp
+++ b/tests/snapshot/snapshot_store_test.cpp
@@ -4,6 +4,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <csignal>
 #include <fstream>
 #include <sstream>
@@ -77,6 +78,58 @@
     return failed;
 }
 
+/// A process that writes one generation after the other until it is killed, and announces each one once it is
+/// written.
+class SnapshotWriterProcess {
+  public:
+    SnapshotWriterProcess(const SnapshotStore& store, int first_generation) {
+        int ends[2];
+        REQUIRE(pipe(ends) == 0);
+        process_ = fork();
+        REQUIRE(process_ >= 0);
+        if (process_ == 0) {
+            close(ends[0]);
+            write_generations(store, first_generation, ends[1]);
+        }
+        close(ends[1]);
+        announcements_ = ends[0];
+    }
+    ~SnapshotWriterProcess() { close(announcements_); }
+    SnapshotWriterProcess(const SnapshotWriterProcess&) = delete;
+    SnapshotWriterProcess& operator=(const SnapshotWriterProcess&) = delete;
+
+    /// Waits until that many generations are announced. Returns the last one announced, 0 for none.
+    int wait_for_writes(int count) {
+        for (int written = 0; written < count; ++written) REQUIRE(read_announcement());
+        return last_announced_;
+    }
+
+    /// Kills the process. Returns the last generation that it had announced.
+    int kill_and_reap() {
+        kill(process_, SIGKILL);
+        waitpid(process_, nullptr, 0);
+        while (read_announcement()) {
+        }
+        return last_announced_;
+    }
+
+  private:
+    [[noreturn]] static void write_generations(const SnapshotStore& store, int generation,
+                                               int announcements) {
+        for (;; ++generation) {
+            store.write(encode(make_snapshot(generation)));
+            if (::write(announcements, &generation, sizeof generation) != sizeof generation) _exit(1);
+        }
+    }
+
+    // False at the end of the pipe, when the process is gone.
+    bool read_announcement() { return read(announcements_, &last_announced_, sizeof last_announced_) > 0; }
+
+    pid_t process_ = -1;
+    int announcements_ = -1;
+    int last_announced_ = 0;
+};
+
 }  // namespace
 
 TEST_CASE(
@@ -128,20 +181,23 @@
     const SnapshotStore store(folder.path, "n0");
     int complete = 0;
     int last = 0;
+    int last_announced = 0;
     for (int round = 0; round < 40; ++round) {
-        const pid_t writer = fork();
-        if (writer == 0) {
-            for (int generation = last + 1;; ++generation) store.write(encode(make_snapshot(generation)));
-        }
+        SnapshotWriterProcess writer(store, last + 1);
+        // Killed so many writes after its start, and at some moment of the next one. Counted in writes and
+        // not in time, so that a slow disk or a busy machine leaves as many complete files.
+        last_announced = std::max(last_announced, writer.wait_for_writes(round % 4));
         usleep(static_cast<useconds_t>(300 + 977 * round % 9'000));
-        kill(writer, SIGKILL);
-        waitpid(writer, nullptr, 0);
+        last_announced = std::max(last_announced, writer.kill_and_reap());
         const SnapshotStore::LoadResult loaded = store.load();
         CHECK(loaded.skipped.empty());
+        // Nothing may be lost that was announced as written.
+        CHECK(loaded.snapshot.has_value() >= (last_announced > 0));
         if (!loaded.snapshot) continue;
         ++complete;
         const auto generation = static_cast<int>(loaded.snapshot->runners[0].started_ms);
         CHECK(generation >= last);
+        CHECK(generation >= last_announced);
         for (const SavedRunner& runner : loaded.snapshot->runners) CHECK(runner.started_ms == generation);
         last = generation;
     }
