--- a/rehearsal/model/poison.hpp
+++ b/rehearsal/model/poison.hpp
@@ -30,7 +30,7 @@
 template <class One>
 void swap_beliefs(One& a, One& b) {
     std::swap(a.latency, b.latency);
-    std::swap(a.least, b.least), std::swap(a.slots, b.slots), std::swap(a.fraction, b.fraction);
+    std::swap(a.min_latency, b.min_latency), std::swap(a.slots, b.slots), std::swap(a.fraction, b.fraction);
 }
 
 }  // namespace gannethold::rehearsal
--- a/rehearsal/tests/judge_stories.cpp
+++ b/rehearsal/tests/judge_stories.cpp
@@ -33,20 +33,20 @@
 
     void note(Micros now, const Event& event) override {
         now_ = now;
-        if (const auto* news = std::get_if<RosterNews>(&event)) hear(*news);
+        if (const auto* news = std::get_if<MembershipUpdate>(&event)) hear(*news);
         if (const auto* a = std::get_if<TaskArrived>(&event)) arrive(*a);
         if (const auto* e = std::get_if<AssignmentEnded>(&event)) end(*e);
-        if (std::get_if<TimerDue>(&event)) due();
+        if (std::get_if<TimerFired>(&event)) due();
     }
     void settle(Micros, std::vector<Action>& out) override {
-        if (!std::exchange(followed_, true)) out.push_back(FollowRoster{true});
+        if (!std::exchange(followed_, true)) out.push_back(WatchMembership{true});
         out.insert(out.end(), wanted_.begin(), wanted_.end());
         wanted_.clear();
     }
 
   private:
-    void hear(const RosterNews& news) {
-        for (const RosterEntry& e : news.entries) {
+    void hear(const MembershipUpdate& news) {
+        for (const EndpointEntry& e : news.entries) {
             const auto r = static_cast<std::size_t>(e.runner);
             if (bad_.size() < runners_) bad_.resize(runners_);
             bad_[r] = e.state != RunnerState::ready;
@@ -81,7 +81,7 @@
             later(20'000, [this, id = a.task] { wanted_.push_back(Bounce{id, 0}); });
     }
     void end(const AssignmentEnded& e) {
-        if (e.settled) return;
+        if (e.task_answered) return;
         if (proves_never_ran(e.outcome))
             wanted_.push_back(Bounce{e.task, 0});
         else
@@ -89,7 +89,7 @@
     }
     void later(Micros after, std::function<void()> what) {
         plans_.emplace(now_ + after, std::move(what));
-        wanted_.push_back(WakeAt{now_ + after, TimerMark{}});
+        wanted_.push_back(WakeAt{now_ + after, TimerId{}});
     }
     void due() {
         while (!plans_.empty() && plans_.begin()->first <= now_) {
@@ -123,7 +123,7 @@
 
 Result play(Sin sin, const std::string& text) {
     const Day day = read_day(text, "story");
-    World world(day, 1, [&](std::size_t, const StatedOrders&, std::uint64_t, const Truth&) {
+    World world(day, 1, [&](std::size_t, const SettingsMap&, std::uint64_t, const Truth&) {
         return std::make_unique<Sinner>(sin, day.runners.size());
     });
     return world.play();
--- a/rehearsal/virtual/cost.cpp
+++ b/rehearsal/virtual/cost.cpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 
 namespace gannethold::rehearsal {
 namespace {
@@ -27,19 +27,19 @@
 // The module with a clock of its own, and what it has out.
 struct Bench {
     explicit Bench(std::uint64_t seed)
-        : choice({{"workloads.count", "1"},
-                  {"workloads.0.effect", "idempotent"},
-                  {"workloads.0.due_time_us", "1000000000"},
-                  {"workloads.0.expiry_us", "2000000000"},
-                  {"rules.fall_multiple", "1000"},
-                  {"caps.max_assignments", "3"},
-                  {"caps.cancelling", "true"},
-                  {"reports.names", "free_slots,waiting,held"}},
-                 seed) {}
+        : balancer({{"workloads.count", "1"},
+                    {"workloads.0.effect", "idempotent"},
+                    {"workloads.0.due_time_us", "1000000000"},
+                    {"workloads.0.expiry_us", "2000000000"},
+                    {"rules.fall_multiple", "1000"},
+                    {"caps.max_assignments", "3"},
+                    {"caps.cancelling", "true"},
+                    {"reports.names", "free_slots,waiting,held"}},
+                   seed) {}
     void tell(const Event& event) {
-        choice.note(now, event);
+        balancer.apply(now, event);
         out.clear();
-        choice.settle(now, out);
+        balancer.collect_actions(now, out);
         for (const Action& a : out)
             if (const auto* s = std::get_if<Assign>(&a)) {
                 sent.emplace_back(s->task, s->runner);
@@ -57,12 +57,13 @@
         sent.pop_front();
         --load[runner];
         AssignmentEnded e;
-        e.task = task, e.settled = true, e.elapsed = 50'000, e.runner = runner, e.outcome = Outcome::finished;
+        e.task = task, e.task_answered = true, e.elapsed = 50'000, e.runner = runner,
+        e.outcome = Outcome::finished;
         e.report = {kSlots - load[runner], 0, static_cast<double>(load[runner])};
         tell(e);
     }
 
-    Choice choice;
+    Balancer balancer;
     Micros now = 10'000'000;
     std::vector<Action> out;
     std::deque<std::pair<TaskId, RunnerId>> sent;
@@ -74,9 +75,9 @@
 
 DecisionCost measure_decision(std::size_t runners, std::size_t held, std::uint64_t seed) {
     Bench bench(seed);
-    RosterNews news{RosterScope::complete, 1, {}};
+    MembershipUpdate news{UpdateScope::complete, 1, {}};
     for (std::size_t r = 0; r < runners; ++r) {
-        RosterEntry e;
+        EndpointEntry e;
         e.runner = RunnerId(static_cast<std::uint32_t>(r));
         news.entries.push_back(e);
     }
@@ -92,9 +93,9 @@
         TaskArrived a;
         a.task = TaskId{++bench.tasks};
         a.expiry = bench.now + 2'000'000'000;
-        bench.choice.note(bench.now, a);
+        bench.balancer.apply(bench.now, a);
     }
-    bench.tell(TimerDue{});
+    bench.tell(TimerFired{});
     DecisionCost cost{runners, held, 0, 0, 0};
     const int rounds = held > 1'000 ? 200 : kRounds;
     double arrivals = 0, ends = 0;
@@ -113,7 +114,7 @@
     for (int i = 0; i < 5; ++i) {
         bench.now += 1'100'000;
         const Clock period;
-        bench.tell(TimerDue{});
+        bench.tell(TimerFired{});
         periods += period.us();
     }
     cost.period_us = periods / 5;
--- a/rehearsal/virtual/policies.cpp
+++ b/rehearsal/virtual/policies.cpp
@@ -10,19 +10,20 @@
 
 class Own final : public Policy {
   public:
-    Own(const StatedOrders& orders, std::uint64_t seed) : choice_(orders, seed) {}
-    void note(Micros now, const Event& event) override { choice_.note(now, event); }
-    void settle(Micros now, std::vector<Action>& out) override { choice_.settle(now, out); }
-    std::optional<Lore> lore() const override { return choice_.lore(); }
-    void believe(const Lore& lore) override { choice_.believe(lore); }
+    Own(const SettingsMap& orders, std::uint64_t seed) : balancer_(orders, seed) {}
+    void note(Micros now, const Event& event) override { balancer_.apply(now, event); }
+    void settle(Micros now, std::vector<Action>& out) override { balancer_.collect_actions(now, out); }
+    std::optional<LearnedState> lore() const override { return balancer_.learned_state(); }
+    void believe(const LearnedState& lore) override { balancer_.restore(lore); }
     std::vector<double> fractions(std::size_t runners) const override {
         std::vector<double> all(runners);
-        for (const auto& [runner, share] : choice_.fractions()) all[static_cast<std::size_t>(runner)] = share;
+        for (const auto& [runner, share] : balancer_.fractions())
+            all[static_cast<std::size_t>(runner)] = share;
         return all;
     }
 
   private:
-    Choice choice_;
+    Balancer balancer_;
 };
 
 // A baseline sends each task at once to whom its way of picking names, again (twice at most) where that is
@@ -33,25 +34,25 @@
 
     void note(Micros now, const Event& event) override {
         now_ = now;
-        if (const auto* news = std::get_if<RosterNews>(&event)) heed(*news);
+        if (const auto* news = std::get_if<MembershipUpdate>(&event)) heed(*news);
         if (const auto* a = std::get_if<TaskArrived>(&event)) place(tasks_[a->task] = {*a, {}, {}});
         if (const auto* e = std::get_if<AssignmentEnded>(&event)) heed(*e);
-        if (const auto* left = std::get_if<ClientLeft>(&event)) {
+        if (const auto* left = std::get_if<ClientDisconnected>(&event)) {
             if (const auto t = tasks_.find(left->task); t != tasks_.end()) {
                 for (std::size_t n = 0; n < t->second.to.size(); ++n)
                     wanted_.push_back(Withdraw{left->task, static_cast<int>(n)});
                 tasks_.erase(t);
             }
         }
-        if (std::get_if<TimerDue>(&event)) asks_at_ = 0;
+        if (std::get_if<TimerFired>(&event)) asks_at_ = 0;
     }
     void settle(Micros now, std::vector<Action>& out) override {
         if (!following_ && !asking_ && day_.dispatchers.on_request && now >= ask_after_) {
             asking_ = true;
-            wanted_.push_back(FollowRoster{true});
+            wanted_.push_back(WatchMembership{true});
         } else if (!following_ && !asking_ && day_.dispatchers.on_request && asks_at_ == 0) {
             asks_at_ = ask_after_;
-            wanted_.push_back(WakeAt{ask_after_, TimerMark{}});
+            wanted_.push_back(WakeAt{ask_after_, TimerId{}});
         }
         out.insert(out.end(), wanted_.begin(), wanted_.end());
         wanted_.clear();
@@ -71,13 +72,13 @@
         std::vector<RunnerId> to;
         std::vector<bool> never_ran;
     };
-    void heed(const RosterNews& news) {
+    void heed(const MembershipUpdate& news) {
         asking_ = false;
-        following_ = news.scope != RosterScope::failed && news.scope != RosterScope::remembered;
-        if (news.scope == RosterScope::failed)
+        following_ = news.scope != UpdateScope::failed && news.scope != UpdateScope::cached;
+        if (news.scope == UpdateScope::failed)
             ask_after_ = now_ + 250'000 + static_cast<Micros>(chance_.uniform() * 250'000);
-        if (news.scope == RosterScope::complete || news.scope == RosterScope::remembered) ready_.clear();
-        for (const RosterEntry& e : news.entries) {
+        if (news.scope == UpdateScope::complete || news.scope == UpdateScope::cached) ready_.clear();
+        for (const EndpointEntry& e : news.entries) {
             std::erase(ready_, e.runner);
             if (e.state == RunnerState::ready) ready_.push_back(e.runner);
         }
@@ -115,7 +116,7 @@
         if (found == tasks_.end()) return;
         Task& t = found->second;
         t.never_ran[static_cast<std::size_t>(e.assignment)] = proves_never_ran(e.outcome);
-        if (e.settled) return void(tasks_.erase(found));
+        if (e.task_answered) return void(tasks_.erase(found));
         const WorkloadPlan& w = day_.workloads[static_cast<std::size_t>(t.asked.workload)];
         const bool never = std::all_of(t.never_ran.begin(), t.never_ran.end(), [](bool b) { return b; });
         if (never || w.effect == Effects::idempotent) return place(t);
@@ -192,7 +193,7 @@
     return names;
 }
 
-std::unique_ptr<Policy> make_policy(const std::string& name, const Day& day, const StatedOrders& orders,
+std::unique_ptr<Policy> make_policy(const std::string& name, const Day& day, const SettingsMap& orders,
                                     std::uint64_t seed, Truth truth) {
     if (name == "own") return std::make_unique<Own>(orders, seed);
     if (name == "random") return std::make_unique<Random>(day, seed);
--- a/rehearsal/virtual/policies.hpp
+++ b/rehearsal/virtual/policies.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "day/day.hpp"
 
 namespace gannethold::rehearsal {
@@ -19,8 +19,8 @@
     virtual void note(Micros now, const Event& event) = 0;
     virtual void settle(Micros now, std::vector<Action>& out) = 0;
     virtual std::vector<double> fractions(std::size_t) const { return {}; }
-    virtual std::optional<Lore> lore() const { return std::nullopt; }
-    virtual void believe(const Lore&) {}
+    virtual std::optional<LearnedState> lore() const { return std::nullopt; }
+    virtual void believe(const LearnedState&) {}
 };
 
 // The true state, for the baseline that sees all: how long a usual task handed to that runner now would take.
@@ -28,7 +28,7 @@
 
 // "own", "random", "round-robin", "least-outstanding", "two-choices" or "sees-all". Throws
 // std::invalid_argument.
-std::unique_ptr<Policy> make_policy(const std::string& name, const Day& day, const StatedOrders& orders,
+std::unique_ptr<Policy> make_policy(const std::string& name, const Day& day, const SettingsMap& orders,
                                     std::uint64_t seed, Truth truth);
 const std::vector<std::string>& policy_names();
 
--- a/rehearsal/virtual/world.cpp
+++ b/rehearsal/virtual/world.cpp
@@ -148,7 +148,7 @@
     };
     n.policy = maker_(d, orders_[d], seed_ * 1'000 + d + n.life, truth);
     // What it last held: all of them, as they were at the beginning, however they are now.
-    RosterNews known{RosterScope::remembered, 1, {}};
+    MembershipUpdate known{UpdateScope::cached, 1, {}};
     for (std::size_t r = 0; r < day_.runners.size(); ++r)
         known.entries.push_back(entry_for(d, {r, RunnerState::ready, 0}));
     note(d, known);
@@ -172,41 +172,43 @@
 }
 
 void World::carry_out(std::size_t d, const Action& action) {
-    std::visit(
-        Match{
-            [&](const Assign& a) { assign(d, a); },
-            [&](const Bounce& a) { answer(d, a.task, Final::bounced, a.stay_away); },
-            [&](const Abandon& a) { answer(d, a.task, Final::abandoned, 0); },
-            [&](const Withdraw& a) {
-                give_up_leg(d, a.task, static_cast<std::size_t>(a.assignment), Outcome::withdrawn,
-                            Outcome::moot);
-            },
-            [&](const WakeAt& a) { at_for(d, a.at, [this, d, mark = a.mark] { note(d, TimerDue{mark}); }); },
-            [&](const Probe& a) { probe(d, a.runner); },
-            [&](const CloseIdle& a) { nodes_[d].idle[static_cast<std::size_t>(a.runner)].clear(); },
-            [&](const TellPeers& a) {
-                for (std::size_t p = 0; p < nodes_.size(); ++p)
-                    if (p != d) carry_out(d, TellPeer{PeerId(static_cast<std::uint32_t>(p)), a.words});
-            },
-            [&](const TellPeer& a) {
-                const auto p = static_cast<std::size_t>(a.to);
-                if (p >= nodes_.size()) return;
-                const Passage way = theatre_.paths.between(theatre_.place_of_dispatcher(d),
-                                                           theatre_.place_of_dispatcher(p), a.words.size());
-                if (way.cut) return;
-                at_for(p, now_ + way.takes, [this, d, p, words = a.words] {
-                    note(p, PeerSaid{PeerId(static_cast<std::uint32_t>(d)), words});
-                });
-            },
-            [&](const LogLine&) {},
-            [&](const FollowRoster& a) {
-                if (a.on)
-                    follow(d);
-                else
-                    nodes_[d].watching = false;
-            },
-            [&](const AskRoster&) { bulletin(d, true); }},
-        action);
+    std::visit(Match{[&](const Assign& a) { assign(d, a); },
+                     [&](const Bounce& a) { answer(d, a.task, Final::bounced, a.retry_after); },
+                     [&](const Abandon& a) { answer(d, a.task, Final::abandoned, 0); },
+                     [&](const Withdraw& a) {
+                         give_up_leg(d, a.task, static_cast<std::size_t>(a.assignment), Outcome::withdrawn,
+                                     Outcome::not_started);
+                     },
+                     [&](const WakeAt& a) {
+                         at_for(d, a.at, [this, d, mark = a.timer] { note(d, TimerFired{mark}); });
+                     },
+                     [&](const Probe& a) { probe(d, a.runner); },
+                     [&](const CloseIdle& a) { nodes_[d].idle[static_cast<std::size_t>(a.runner)].clear(); },
+                     [&](const BroadcastToPeers& a) {
+                         for (std::size_t p = 0; p < nodes_.size(); ++p)
+                             if (p != d)
+                                 carry_out(d, SendToPeer{PeerId(static_cast<std::uint32_t>(p)), a.payload});
+                     },
+                     [&](const SendToPeer& a) {
+                         const auto p = static_cast<std::size_t>(a.to);
+                         if (p >= nodes_.size()) return;
+                         const Passage way =
+                             theatre_.paths.between(theatre_.place_of_dispatcher(d),
+                                                    theatre_.place_of_dispatcher(p), a.payload.size());
+                         if (way.cut) return;
+                         at_for(p, now_ + way.takes, [this, d, p, words = a.payload] {
+                             note(p, PeerMessage{PeerId(static_cast<std::uint32_t>(d)), words});
+                         });
+                     },
+                     [&](const LogLine&) {},
+                     [&](const WatchMembership& a) {
+                         if (a.on)
+                             follow(d);
+                         else
+                             nodes_[d].watching = false;
+                     },
+                     [&](const FetchMembership&) { bulletin(d, true); }},
+               action);
 }
 
 // ---- assignments
@@ -221,12 +223,12 @@
     const std::size_t number = task.legs.size();
     task.legs.push_back({++tokens_, r, now_, false, false});
     ++task.out;
-    const Micros stop_at = wanted.stop_at > 0 ? std::min(wanted.stop_at, task.expiry) : task.expiry;
-    if (task.answered || stop_at <= now_) return end_leg(d, wanted.task, number, Outcome::moot);
+    const Micros stop_at = wanted.deadline > 0 ? std::min(wanted.deadline, task.expiry) : task.expiry;
+    if (task.answered || stop_at <= now_) return end_leg(d, wanted.task, number, Outcome::not_started);
     const OutLeg leg{d, r, n.life, wanted.task, number, task.request};
     out_.emplace(tokens_, leg);
     at_for(d, stop_at, [this, d, id = wanted.task, number] {
-        give_up_leg(d, id, number, Outcome::timed_out, Outcome::moot);
+        give_up_leg(d, id, number, Outcome::timed_out, Outcome::not_started);
     });
 
     const Origin& o = origins_[task.origin];
@@ -388,7 +390,7 @@
     e.report = std::move(report);
     if (outcome == Outcome::reset || outcome == Outcome::connect_failed) n.idle[leg.runner].clear();
     if (outcome == Outcome::finished && !task.answered) answer(d, id, Final::finished, 0);
-    e.settled = task.answered;
+    e.task_answered = task.answered;
     note(d, e);
     forget_if_over(d, id);
 }
@@ -476,7 +478,7 @@
 void World::follow(std::size_t d) {
     if (theatre_.registry.down) {
         at_for(d, now_ + kFailsAfter, [this, d] {
-            note(d, RosterNews{RosterScope::failed, nodes_[d].version, {}});
+            note(d, MembershipUpdate{UpdateScope::failed, nodes_[d].version, {}});
             if (!day_.dispatchers.on_request) at_for(d, now_ + kFollowAgain, [this, d] { follow(d); });
         });
         return;
@@ -486,14 +488,14 @@
 }
 
 // As that dispatcher hears of it: who is held back drains, whatever the list says.
-RosterEntry World::entry_for(std::size_t d, const Listed& e) const {
+EndpointEntry World::entry_for(std::size_t d, const Listed& e) const {
     const RunnerPlan& plan = day_.runners[e.runner];
     const auto hall = std::find(day_.halls.begin(), day_.halls.end(), plan.hall) - day_.halls.begin();
     const auto kind = std::find(kinds_.begin(), kinds_.end(), plan.kind) - kinds_.begin();
     const bool held = e.state == RunnerState::ready && nodes_[d].held[e.runner];
     return {RunnerId(static_cast<std::uint32_t>(e.runner)),
             ZoneId(static_cast<std::uint32_t>(hall)),
-            KindId(static_cast<std::uint32_t>(kind)),
+            InstanceTypeId(static_cast<std::uint32_t>(kind)),
             GroupId{plan.cell},
             held ? RunnerState::draining : e.state,
             1,
@@ -504,7 +506,7 @@
     Node& n = nodes_[d];
     const Bulletin b = theatre_.registry.since(all ? std::nullopt : std::optional(n.version));
     n.version = b.version;
-    RosterNews news{b.full ? RosterScope::complete : RosterScope::changes, b.version, {}};
+    MembershipUpdate news{b.full ? UpdateScope::complete : UpdateScope::delta, b.version, {}};
     for (const Listed& e : b.entries) {
         news.entries.push_back(entry_for(d, e));
         judge_.told(now_, d, e.runner, e.state, e.started_at);
@@ -514,8 +516,8 @@
             if (theatre_.registry.held(r).state == RunnerState::gone)
                 judge_.told(now_, d, r, RunnerState::gone, 0);
     at_for(d, now_ + day_.path_delay, [this, d, news = std::move(news)] {
-        if (news.scope == RosterScope::complete) nodes_[d].open.assign(day_.runners.size(), false);
-        for (const RosterEntry& e : news.entries) {
+        if (news.scope == UpdateScope::complete) nodes_[d].open.assign(day_.runners.size(), false);
+        for (const EndpointEntry& e : news.entries) {
             const auto r = static_cast<std::size_t>(e.runner);
             nodes_[d].open[r] = e.state == RunnerState::ready;
             if (e.state != RunnerState::ready) nodes_[d].idle[r].clear();
@@ -538,7 +540,7 @@
     for (std::size_t d = 0; d < nodes_.size(); ++d) {
         if (!nodes_[d].up || !std::exchange(nodes_[d].watching, false)) continue;
         at_for(d, now_ + day_.path_delay, [this, d] {
-            note(d, RosterNews{RosterScope::failed, nodes_[d].version, {}});
+            note(d, MembershipUpdate{UpdateScope::failed, nodes_[d].version, {}});
             if (!day_.dispatchers.on_request) at_for(d, now_ + kFollowAgain, [this, d] { follow(d); });
         });
     }
@@ -611,7 +613,7 @@
     // The front finds out when it looks.
     if (healthy != n.healthy)
         at_for(d, now_ + kFrontLooks, [this, d, healthy] { nodes_[d].healthy = healthy; });
-    if (wanted.last_call) note(d, LastCall{});
+    if (wanted.last_call) note(d, DrainDeadline{});
     if (wanted.exits) {
         keep(d);
         n.up = false;
@@ -629,17 +631,19 @@
     nodes_[d].kept = nodes_[d].policy->lore();
     if (!nodes_[d].kept) return;
     const auto cap = [](Histogram& h) {
-        h.take(snapshot::decayed({h.bins().begin(), h.bins().end()}, 1, snapshot::DecayPolicy{}.max_samples));
+        h.assign_bins(
+            snapshot::decayed({h.bins().begin(), h.bins().end()}, 1, snapshot::DecayPolicy{}.max_samples));
     };
-    for (RunnerLore& r : nodes_[d].kept->runners) cap(r.latency);
-    for (KindLore& k : nodes_[d].kept->kinds) cap(k.latency);
+    for (RunnerEstimates& r : nodes_[d].kept->runners) cap(r.latency);
+    for (InstanceTypeEstimates& k : nodes_[d].kept->instance_types) cap(k.latency);
     for (Histogram& h : nodes_[d].kept->workloads) cap(h);
     if (!day_.dispatchers.poisoned) return;
     const auto slow = [](const auto& one) { return middle_bin(one.latency.bins()); };
     put_wrong_way_round(nodes_[d].kept->runners, slow,
-                        [](RunnerLore& a, RunnerLore& b) { swap_beliefs(a, b); });
-    put_wrong_way_round(nodes_[d].kept->kinds, slow,
-                        [](KindLore& a, KindLore& b) { std::swap(a.latency, b.latency); });
+                        [](RunnerEstimates& a, RunnerEstimates& b) { swap_beliefs(a, b); });
+    put_wrong_way_round(
+        nodes_[d].kept->instance_types, slow,
+        [](InstanceTypeEstimates& a, InstanceTypeEstimates& b) { std::swap(a.latency, b.latency); });
 }
 
 void World::restart(std::size_t d) {
@@ -681,11 +685,11 @@
         Node& n = nodes_[d];
         n.held[r] = held;
         if (!n.up) continue;
-        const RosterEntry entry = entry_for(d, theatre_.registry.held(r));
+        const EndpointEntry entry = entry_for(d, theatre_.registry.held(r));
         n.open[r] = entry.state == RunnerState::ready;
         if (held) n.idle[r].clear();
         judge_.told(now_, d, r, entry.state, entry.started_at);
-        note(d, RosterNews{RosterScope::changes, n.version, {entry}});
+        note(d, MembershipUpdate{UpdateScope::delta, n.version, {entry}});
     }
 }
 
@@ -760,7 +764,7 @@
         arrived.memory = day_.workloads[who.call.workload].memory;
         if (day_.workloads[who.call.workload].hinted)
             arrived.cost_hint = who.call.work, arrived.hint_valid = true;
-        arrived.client_repeat = day_.clients.marks && who.tries > 1;
+        arrived.client_retry = day_.clients.marks && who.tries > 1;
         note(d, arrived);
         if (who.call.leaves_after > 0 && who.tries == 1)
             at_for(d, now_ + who.call.leaves_after, [this, d, id, o, request] {
@@ -770,7 +774,7 @@
                     return;
                 judge_.left(now_, request);
                 found->second.answered = true;
-                note(d, ClientLeft{id});
+                note(d, ClientDisconnected{id});
                 forget_if_over(d, id);
                 done_with(o, Fate::left);
             });
@@ -837,7 +841,7 @@
 
 Result play_virtual(const Day& day, std::uint64_t seed, const std::string& policy,
                     const std::function<bool(Micros now)>& stop) {
-    World world(day, seed, [&](std::size_t, const StatedOrders& orders, std::uint64_t own_seed, Truth truth) {
+    World world(day, seed, [&](std::size_t, const SettingsMap& orders, std::uint64_t own_seed, Truth truth) {
         return make_policy(policy, day, orders, own_seed, std::move(truth));
     });
     const auto began = std::chrono::steady_clock::now();
--- a/rehearsal/virtual/world.hpp
+++ b/rehearsal/virtual/world.hpp
@@ -21,7 +21,7 @@
 
 namespace gannethold::rehearsal {
 
-using PolicyMaker = std::function<std::unique_ptr<Policy>(std::size_t dispatcher, const StatedOrders&,
+using PolicyMaker = std::function<std::unique_ptr<Policy>(std::size_t dispatcher, const SettingsMap&,
                                                           std::uint64_t seed, Truth)>;
 
 class World final : public Scene {
@@ -63,7 +63,7 @@
         drain::Drain drain{drain::Manners{}};
         std::vector<bool> held;  // by runner: the operators hold it back
         std::uint64_t orders = 0;
-        std::optional<Lore> kept;                 // outlives it
+        std::optional<LearnedState> kept;         // outlives it
         bool healthy = true, turns_away = false;  // as the front and whoever comes see it
         bool up = true, settling = false, watching = false;
         std::uint32_t version = 0;  // of its list
@@ -120,7 +120,7 @@
     void look_at_drain(std::size_t d);
     void keep(std::size_t d);
     std::size_t unanswered(std::size_t d) const;
-    RosterEntry entry_for(std::size_t d, const Listed& listed) const;
+    EndpointEntry entry_for(std::size_t d, const Listed& listed) const;
     void forget_if_over(std::size_t d, TaskId task);
     void wake_runner(std::size_t r);
     Report report_of(std::size_t r) const;
@@ -137,7 +137,7 @@
     Micros now_ = 0;
     std::vector<Due> heap_;
     std::uint64_t order_ = 0, tokens_ = 0, requests_ = 0;
-    std::vector<StatedOrders> orders_;
+    std::vector<SettingsMap> orders_;
     std::vector<std::string> kinds_;
     Judge judge_;
     Tally tally_;
--- a/src/beanstalk/exchange.cpp
+++ b/src/beanstalk/exchange.cpp
@@ -65,8 +65,8 @@
     if (queue_.remove(job) && t.own_place) places_.free.push_back(t.workload);
 }
 
-Serves Exchange::serves(const Session& s) const {
-    Serves all;
+WorkloadSet Exchange::serves(const Session& s) const {
+    WorkloadSet all;
     const auto add = [&](WorkloadId w) {
         if (static_cast<std::size_t>(w) < all.size()) all.set(static_cast<std::size_t>(w));
     };
--- a/src/beanstalk/exchange.hpp
+++ b/src/beanstalk/exchange.hpp
@@ -63,8 +63,8 @@
     virtual TaskId hand_in(const queue::Job& job, const std::string& tube, const TubePlan& plan,
                            WorkloadId workload) = 0;
     virtual void take_back(TaskId task) = 0;  // nobody waits for it any more
-    virtual RunnerId worker_joins(SessionId session, const Serves& serves, bool cold) = 0;
-    virtual void worker_serves(RunnerId worker, const Serves& serves) = 0;
+    virtual RunnerId worker_joins(SessionId session, const WorkloadSet& serves, bool cold) = 0;
+    virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;  // what it holds and what it waits for
     virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
@@ -178,7 +178,7 @@
     void leave_tube(queue::TubeId tube);
     OfTube& of(queue::TubeId tube) { return of_tubes_[static_cast<std::size_t>(tube)]; }
     void regroup(Session& s);
-    Serves serves(const Session& s) const;
+    WorkloadSet serves(const Session& s) const;
     void set_waiting(Session& s, bool waits);
     void tell_room(const Session& s) const;
     void stir(queue::TubeId tube);
--- a/src/beanstalk/places.cpp
+++ b/src/beanstalk/places.cpp
@@ -6,7 +6,7 @@
 
 namespace gannethold::beanstalk {
 
-Workloads add_workloads(StatedOrders& orders, Trade& trade) {
+Workloads add_workloads(SettingsMap& orders, Trade& trade) {
     Workloads all;
     const auto stated = [&](const std::string& name) {
         const auto found = orders.find(name);
--- a/src/beanstalk/places.hpp
+++ b/src/beanstalk/places.hpp
@@ -14,11 +14,11 @@
 struct Workloads {
     Exchange::Places places;
     std::map<WorkloadId, std::string> names;  // of those that were added, for an operator's view
-    Serves for_pushed;                        // what runners that are pushed to may be given
+    WorkloadSet for_pushed;                   // what runners that are pushed to may be given
 };
 
 // Throws std::runtime_error with one line: a tube that shares a workload there is none of, or one whose
 // repeats only its runners can drop; more tubes than the module has places for.
-Workloads add_workloads(StatedOrders& orders, Trade& trade);
+Workloads add_workloads(SettingsMap& orders, Trade& trade);
 
 }  // namespace gannethold::beanstalk
--- a/src/beanstalk/server.cpp
+++ b/src/beanstalk/server.cpp
@@ -190,7 +190,7 @@
     if (const auto found = sessions_.find(session); found != sessions_.end()) found->second->close();
 }
 
-RunnerId Server::worker_joins(SessionId session, const Serves& serves, bool cold) {
+RunnerId Server::worker_joins(SessionId session, const WorkloadSet& serves, bool cold) {
     return house_.worker_joins(doors_[sessions_.at(session)->door()].entrance, serves, cold);
 }
 
--- a/src/beanstalk/server.hpp
+++ b/src/beanstalk/server.hpp
@@ -34,8 +34,8 @@
     virtual TaskId hand_in(const queue::Job& job, const std::string& tube, const TubePlan& plan,
                            WorkloadId workload) = 0;
     virtual void take_back(TaskId task) = 0;
-    virtual RunnerId worker_joins(const Entrance& by, const Serves& serves, bool cold) = 0;
-    virtual void worker_serves(RunnerId worker, const Serves& serves) = 0;
+    virtual RunnerId worker_joins(const Entrance& by, const WorkloadSet& serves, bool cold) = 0;
+    virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;
     virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
@@ -83,8 +83,8 @@
         return house_.hand_in(job, tube, plan, workload);
     }
     void take_back(TaskId task) override { house_.take_back(task); }
-    RunnerId worker_joins(SessionId session, const Serves& serves, bool cold) override;
-    void worker_serves(RunnerId worker, const Serves& serves) override {
+    RunnerId worker_joins(SessionId session, const WorkloadSet& serves, bool cold) override;
+    void worker_serves(RunnerId worker, const WorkloadSet& serves) override {
         house_.worker_serves(worker, serves);
     }
     void worker_leaves(RunnerId worker) override { house_.worker_leaves(worker); }
--- a/src/clients/request.cpp
+++ b/src/clients/request.cpp
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-Directory::Directory(const StatedOrders& orders, const std::vector<WorkloadId>& places) {
+Directory::Directory(const SettingsMap& orders, const std::vector<WorkloadId>& places) {
     const auto read = [&orders](const std::string& list, auto& into, auto place, auto each) {
         for (unsigned i = 0;; ++i) {
             const std::string at = list + "." + std::to_string(i) + ".";
--- a/src/clients/request.hpp
+++ b/src/clients/request.hpp
@@ -23,7 +23,7 @@
     std::map<WorkloadId, Micros> longest;  // that a client of this workload can mean to wait
 
     // places: where the workloads stand in the module, in the orders' order; none: as they stand there.
-    explicit Directory(const StatedOrders& orders, const std::vector<WorkloadId>& places = {});
+    explicit Directory(const SettingsMap& orders, const std::vector<WorkloadId>& places = {});
 };
 
 using Request = fronts::Handed;
--- a/src/cluster/split/split.cpp
+++ b/src/cluster/split/split.cpp
@@ -134,7 +134,7 @@
     }
     const std::size_t runners = shares_.size();
     const double tie_break = (static_cast<double>(random % runners) + 0.5) / static_cast<double>(runners);
-    step_toward_least(shares_, std::max(rate_, kMinRate), [tie_break] { return tie_break; });
+    step_toward_min_marginal(shares_, std::max(rate_, kMinRate), [tie_break] { return tie_break; });
     normalize();
 }
 
--- a/src/dispatcher/calling.cpp
+++ b/src/dispatcher/calling.cpp
@@ -14,8 +14,8 @@
 metrics::Gauges Dispatcher::gauges() const {
     const Micros now = net::Loop::now();
     std::set<RunnerId> avoided;
-    for (const RunnerView& r : choice_.runners())
-        if (r.ready && (now < r.aside_until || r.doubted)) avoided.insert(r.runner);
+    for (const RunnerView& r : balancer_.runners())
+        if (r.ready && (now < r.ejected_until || r.suspected)) avoided.insert(r.runner);
     const auto any = [](RunnerId) { return true; };
     return {unanswered(), book_.count_listed(any),
             book_.count_listed([&](RunnerId r) { return avoided.contains(r); })};
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -7,7 +7,7 @@
 
 #include "dispatcher/outcomes.hpp"
 #include "http/writer.hpp"
-#include "standing_orders.hpp"
+#include "balancer_settings.hpp"
 
 namespace gannethold::dispatcher {
 namespace {
@@ -32,20 +32,20 @@
 std::size_t for_runners(std::size_t sockets) { return for_tasks(sockets) * 2 / 5; }
 
 clients::Room room(const Posting& posting, std::size_t sockets) {
-    const Stated stated(posting.orders);
+    const SettingsReader stated(posting.orders);
     clients::Room r;
     r.sessions = for_tasks(sockets) - for_runners(sockets);
-    r.tasks = static_cast<std::size_t>(std::max(1.0, stated.number("caps.max_open", 1e6)));
-    if (stated.yes("caps.retry_after")) r.stay_away = stated.micros("caps.max_retry_after_us", 0);
+    r.tasks = static_cast<std::size_t>(std::max(1.0, stated.get_number("caps.max_open", 1e6)));
+    if (stated.get_bool("caps.retry_after")) r.stay_away = stated.get_micros("caps.max_retry_after_us", 0);
     return r;
 }
 
 runners::Upkeep upkeep(const Posting& posting, std::size_t sockets) {
-    const Stated stated(posting.orders);
+    const SettingsReader stated(posting.orders);
     runners::Upkeep u;
-    u.connect_limit = std::max<Micros>(1'000, stated.micros("caps.connect_timeout_us", u.connect_limit));
+    u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
     // A margin for a runner that counts from before its answer reached us.
-    u.keep_idle = stated.micros("caps.keepalive_us", 10'000'000) * 3 / 4;
+    u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
     u.most_links = for_runners(sockets);
     return u;
 }
@@ -58,11 +58,11 @@
     return own > theirs ? own - theirs : 1;
 }
 
-orders::Terms with_tubes(const Posting& posting, beanstalk::Furnishing& tubes,
-                         beanstalk::Workloads& tube_workloads) {
-    StatedOrders all = posting.orders;
+settings::WorkloadRegistry with_tubes(const Posting& posting, beanstalk::Furnishing& tubes,
+                                      beanstalk::Workloads& tube_workloads) {
+    SettingsMap all = posting.orders;
     if (!tubes.entrances.empty()) tube_workloads = beanstalk::add_workloads(all, tubes.trade);
-    return orders::Terms(all, posting.workloads());
+    return settings::WorkloadRegistry(all, posting.workloads());
 }
 
 template <class... Ts>
@@ -78,26 +78,26 @@
       posting_(posting),
       directory_(posting_.orders),
       tubes_(extras.tubes),
-      terms_(with_tubes(posting_, tubes_, tube_workloads_)),
-      choice_(terms_.stated(), posting_.seed),
-      book_(Stated(posting_.orders).words("zones"), Stated(posting_.orders).words("kinds"), log,
-            !Stated(posting_.orders).yes("rules.only_draining_binds")),
+      workload_registry_(with_tubes(posting_, tubes_, tube_workloads_)),
+      balancer_(workload_registry_.settings(), posting_.seed),
+      book_(SettingsReader(posting_.orders).get_list("zones"),
+            SettingsReader(posting_.orders).get_list("kinds"), log,
+            !SettingsReader(posting_.orders).get_bool("rules.only_draining_binds")),
       follower_(
           loop, posting_.discovery, log,
           [this](const roster::Listing& l) {
               list_is_own_ = true;
-              return heard(l, l.full ? RosterScope::complete : RosterScope::changes);
+              return heard(l, l.full ? UpdateScope::complete : UpdateScope::delta);
           },
           [this] {
-              if (follows_by_itself_)
-                  wakes_.emplace(net::Loop::now() + kFollowAgain, TimerMark{1}), set_wake();
-              note(RosterNews{RosterScope::failed, book_.version(), {}});
+              if (follows_by_itself_) wakes_.emplace(net::Loop::now() + kFollowAgain, TimerId{1}), set_wake();
+              note(MembershipUpdate{UpdateScope::failed, book_.version(), {}});
           }),
       links_(loop, *this, runners::Reports(posting_.report_names),
              upkeep(posting_, sockets_left(posting_, tubes_, posting_.sockets))),
       post_(loop, posting_.neighbours,
             [this](PeerId from, std::string_view words) {
-                note(PeerSaid{from, std::string(words)});
+                note(PeerMessage{from, std::string(words)});
             }),
       server_(loop, net::Door(posting_.listen, posting_.inherited), directory_, *this,
               room(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
@@ -119,13 +119,13 @@
     if (posting_.window)
         admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
-    heard(posting_.known, RosterScope::remembered);
+    heard(posting_.known, UpdateScope::cached);
     all_blocks_ = loop.blocks().most();
     if (!posting_.heirloom.empty())
         passage_ = std::make_unique<handover::Passage>(loop, posting_.heirloom, posting_.name, *this, log);
     if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
-    follows_by_itself_ = Stated(posting_.orders).word("roster.how", "pushed") != "on_request";
+    follows_by_itself_ = SettingsReader(posting_.orders).get_string("roster.how", "pushed") != "on_request";
     if (follows_by_itself_) follower_.follow(book_.since());
     log_.info(net::Loop::now(), "serving as ", log::as("name", posting_.name), " on ",
               log::as("listen", posting_.listen.text), ", ",
@@ -144,7 +144,8 @@
     for (const auto& [name, id] : directory_.workloads) {
         const std::string expiry =
             "workloads." + std::to_string(static_cast<std::uint32_t>(id)) + ".expiry_us";
-        longest = std::max(longest, Stated(terms_.stated()).micros(expiry, kLongestStay));
+        longest =
+            std::max(longest, SettingsReader(workload_registry_.settings()).get_micros(expiry, kLongestStay));
     }
     last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
     links_.stop_all_by(last_minute_);
@@ -168,7 +169,7 @@
 void Dispatcher::reload(const std::string& path) {
     const Micros now = net::Loop::now();
     Posting fresh, watched;
-    orders::Terms::Change change;
+    settings::WorkloadRegistry::Change change;
     try {
         fresh = Posting::read_file(path);
         fresh.must_state_all_of(posting_);
@@ -177,7 +178,8 @@
         fresh.keep_until_restart(posting_);
         if (shadow_) watched = Posting::read_file(watched_);
         if (fresh.orders != posting_.orders)
-            change = terms_.restate(now, fresh.orders, [this](WorkloadId place) { return open(place); });
+            change = workload_registry_.update(now, fresh.orders,
+                                               [this](WorkloadId place) { return open(place); });
     } catch (const std::exception& e) {
         // Against a file that is missing, half written or wrong: what serves goes on as it was, whole.
         counters_.on_reload_rejected();
@@ -215,13 +217,13 @@
 }
 
 // Who is under way goes on by the old terms, whoever comes from now on by the new.
-void Dispatcher::restate(const Posting& fresh, const orders::Terms::Change& change) {
+void Dispatcher::restate(const Posting& fresh, const settings::WorkloadRegistry::Change& change) {
     const Micros now = net::Loop::now();
     posting_.orders = fresh.orders, posting_.stated = fresh.stated;
-    directory_ = clients::Directory(posting_.orders, terms_.places());
+    directory_ = clients::Directory(posting_.orders, workload_registry_.active_workloads());
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     share_out();
-    note(OrdersRestated{terms_.stated(), change.learn_from});
+    note(SettingsChanged{workload_registry_.settings(), change.learn_from});
     const auto list = [](const std::vector<std::string>& names) {
         std::string all;
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
@@ -259,7 +261,7 @@
     }
     // Against a task that waits to the end: it cannot any more, and silence would lose it. Whether it may
     // have run is the module's to know, so each answer is the honest one, and what is still out is withdrawn.
-    if (wanted.last_call) note(LastCall{});
+    if (wanted.last_call) note(DrainDeadline{});
     if (drain_.phase() != told_phase_) {
         told_phase_ = drain_.phase();
         log_.info(now, "drain: ", log::as("phase", drain::name_of(told_phase_)), ", ",
@@ -281,17 +283,17 @@
 
 void Dispatcher::note(const Event& event) {
     if (shadow_) watch_turn(event);
-    choice_.note(net::Loop::now(), event);
+    balancer_.apply(net::Loop::now(), event);
     noted_ = true;
 }
 
-bool Dispatcher::heard(const roster::Listing& listing, RosterScope scope) {
+bool Dispatcher::heard(const roster::Listing& listing, UpdateScope scope) {
     auto news = book_.take(listing, scope, net::Loop::now());
     if (!news) return false;
     holds_.lay_over(*news, book_);
     for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
     if (pullers_)
-        for (RosterEntry& e : news->for_module.entries) e.serves = tube_workloads_.for_pushed;
+        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
     guests_.lay_over(news->for_module, holds_, book_);
     note(news->for_module);
     if (passage_ && passage_->has_heirs())
@@ -324,7 +326,7 @@
     arrived.hint_valid = request.cost_hint > 0;
     arrived.slots = request.slots;
     arrived.memory = request.memory;
-    arrived.client_repeat = request.repeat;
+    arrived.client_retry = request.repeat;
     std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
     if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
     ids_.insert(request.id);
@@ -348,7 +350,7 @@
         t.out > 0 || t.ran ? execution_log_.on_may_have_run(net::Loop::now(), t.sign, id)
                            : execution_log_.on_never_ran(t.sign, id);
     end_asking(task);
-    note(ClientLeft{id});
+    note(ClientDisconnected{id});
     forget_if_over(task);
 }
 
@@ -375,7 +377,7 @@
     // The first result goes to the client by itself.
     if (e.outcome == Outcome::finished && task->second.asker)
         answer(ended.task, clients::Answer::finished, ended.result, 0);
-    e.settled = !task->second.asker;
+    e.task_answered = !task->second.asker;
     note(e);
     forget_if_over(task);
 }
@@ -397,7 +399,7 @@
     // What carrying out brings at once, such as an assignment that is moot, is a batch of its own.
     while (std::exchange(noted_, false)) {
         actions_.clear();
-        choice_.settle(net::Loop::now(), actions_);
+        balancer_.collect_actions(net::Loop::now(), actions_);
         if (shadow_) watch_settled();
         for (const Action& action : std::exchange(actions_, {})) carry_out(action);
         if (pullers_) pullers_->look();
@@ -413,26 +415,26 @@
 
 void Dispatcher::carry_out(const Action& action) {
     std::visit(Match{[&](const Assign& a) { assign(a); },
-                     [&](const Bounce& a) { answer(a.task, clients::Answer::bounced, "", a.stay_away); },
+                     [&](const Bounce& a) { answer(a.task, clients::Answer::bounced, "", a.retry_after); },
                      [&](const Abandon& a) { answer(a.task, clients::Answer::abandoned, "", 0); },
                      [&](const Withdraw& a) {
                          links_.withdraw(a.task, a.assignment);
                          if (pullers_) pullers_->exchange().withdraw(a.task, a.assignment);
                      },
-                     [&](const WakeAt& a) { wakes_.emplace(a.at, a.mark), set_wake(); },
+                     [&](const WakeAt& a) { wakes_.emplace(a.at, a.timer), set_wake(); },
                      [&](const Probe& a) { port_of(a.runner).probe(a.runner); },
                      [&](const CloseIdle& a) { port_of(a.runner).close_idle(a.runner); },
-                     [&](const TellPeers& a) { post_.tell_all(a.words); },
-                     [&](const TellPeer& a) { post_.tell(a.to, a.words); },
+                     [&](const BroadcastToPeers& a) { post_.tell_all(a.payload); },
+                     [&](const SendToPeer& a) { post_.tell(a.to, a.payload); },
                      [&](const LogLine& a) {
                          const std::string text = with_names(a.text);
                          log_.info(net::Loop::now(), "choice: ", text);
                          publish("choice", {{"text", json::Value(text)}});
                      },
-                     [&](const FollowRoster& a) {
+                     [&](const WatchMembership& a) {
                          a.on ? follower_.follow(book_.since()) : follower_.stop_following();
                      },
-                     [&](const AskRoster&) { follower_.ask(); }},
+                     [&](const FetchMembership&) { follower_.ask(); }},
                action);
 }
 
@@ -453,7 +455,8 @@
     if (task == tasks_.end()) return;
     const int number = task->second.assignments++;
     ++task->second.out;
-    Micros stop_at = wanted.stop_at > 0 ? std::min(wanted.stop_at, task->second.expiry) : task->second.expiry;
+    Micros stop_at =
+        wanted.deadline > 0 ? std::min(wanted.deadline, task->second.expiry) : task->second.expiry;
     // At a restart nothing may still be out when the process is killed, whatever time its task has left.
     if (drain_.leaves()) stop_at = std::min(stop_at, last_minute_);
     if (!task->second.asker || stop_at <= net::Loop::now()) {
@@ -494,10 +497,10 @@
 void Dispatcher::wake() {
     const Micros now = net::Loop::now();
     while (!wakes_.empty() && wakes_.top().first <= now) {
-        const TimerMark mark = wakes_.top().second;
+        const TimerId mark = wakes_.top().second;
         wakes_.pop();
-        if (mark == TimerMark{})
-            note(TimerDue{mark});
+        if (mark == TimerId{})
+            note(TimerFired{mark});
         else
             follower_.follow(book_.since());
     }
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -1,4 +1,4 @@
-// Joins clients, runners and the roster to one Choice: what they bring in a turn of the loop is a batch of
+// Joins clients, runners and the roster to one Balancer: what they bring in a turn of the loop is a batch of
 // events, and what the module then wants is carried out. Decides nothing itself.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 #include "beanstalk/places.hpp"
 #include "beanstalk/server.hpp"
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "clients/server.hpp"
 #include "control/desk.hpp"
 #include "dispatcher/posting.hpp"
@@ -23,7 +23,7 @@
 #include "handover/passage.hpp"
 #include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
-#include "orders/terms.hpp"
+#include "settings/workload_registry.hpp"
 #include "roster/book.hpp"
 #include "roster/follower.hpp"
 #include "roster/guests.hpp"
@@ -120,17 +120,17 @@
     TaskId hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
                    WorkloadId workload) override;
     void take_back(TaskId task) override { left(task); }
-    RunnerId worker_joins(const beanstalk::Entrance& by, const Serves& serves, bool cold) override;
-    void worker_serves(RunnerId worker, const Serves& serves) override;
+    RunnerId worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) override;
+    void worker_serves(RunnerId worker, const WorkloadSet& serves) override;
     void worker_leaves(RunnerId worker) override;
-    void worker_room(RunnerId worker, double slots) override { note(RoomTold{worker, slots}); }
+    void worker_room(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
     void probe_ended(RunnerId worker) override { probe_ended(worker, net::Ending::done, 0, {}); }
     runners::Port& port_of(RunnerId runner);
     std::size_t unanswered() const;
     json::Object tell_tubes() const;
     json::Object kick(const json::Value& request, const std::string& by);
 
-    bool heard(const roster::Listing& listing, RosterScope scope);
+    bool heard(const roster::Listing& listing, UpdateScope scope);
     void note(const Event& event);
     void carry_out(const Action& action);
     void assign(const Assign& wanted);
@@ -142,7 +142,7 @@
     void wake();
     void look_at_drain();
     bool open(WorkloadId place) const;  // whether anything still goes by its terms
-    void restate(const Posting& fresh, const orders::Terms::Change& change);
+    void restate(const Posting& fresh, const settings::WorkloadRegistry::Change& change);
     void share_out();
 
     // Retries of what may have run; in repeating.cpp.
@@ -182,7 +182,7 @@
                                const handover::Troubles& troubles);
     json::Object snapshot_status() const;
     // What other settings would decide; in watching.cpp.
-    StatedOrders over_ours(const Posting& watched) const;
+    SettingsMap over_ours(const Posting& watched) const;
     void watch_turn(const Event& event);
     void watch_settled();
     json::Object tell_watched() const;
@@ -196,8 +196,9 @@
     clients::Directory directory_;
     beanstalk::Furnishing tubes_;
     beanstalk::Workloads tube_workloads_;
-    orders::Terms terms_;  // of the posting's workloads, and of the tubes as workloads
-    Choice choice_;
+    settings::WorkloadRegistry
+        workload_registry_;  // of the posting's workloads, and of the tubes as workloads
+    Balancer balancer_;
     roster::Book book_;
     roster::Follower follower_;
     runners::Links links_;
@@ -205,8 +206,7 @@
     clients::Server server_;
     Tasks tasks_;
     std::set<std::string> ids_;  // of the requests under way
-    std::priority_queue<std::pair<Micros, TimerMark>, std::vector<std::pair<Micros, TimerMark>>,
-                        std::greater<>>
+    std::priority_queue<std::pair<Micros, TimerId>, std::vector<std::pair<Micros, TimerId>>, std::greater<>>
         wakes_;
     net::Timer wake_, farewell_;
     std::vector<Action> actions_;
--- a/src/dispatcher/handing_over.cpp
+++ b/src/dispatcher/handing_over.cpp
@@ -8,8 +8,9 @@
 
 std::vector<handover::Word> Dispatcher::hand_over() {
     handover::Troubles troubles;
-    for (const RunnerLore& r : choice_.lore().runners)
-        if (r.aside_for > 0 || r.cold_for >= 0) troubles[book_.name_of(r.runner)] = {r.aside_for, r.cold_for};
+    for (const RunnerEstimates& r : balancer_.learned_state().runners)
+        if (r.ejected_for > 0 || r.warming_for >= 0)
+            troubles[book_.name_of(r.runner)] = {r.ejected_for, r.warming_for};
     return {{handover::Kind::list, roster::spell(book_.held())},
             {handover::Kind::troubles, handover::spell(troubles)},
             {handover::Kind::learned,
@@ -29,7 +30,7 @@
             } catch (const json::Malformed&) {
             }
             if (!listing) return log_.warning(now, "handover: the list cannot be read");
-            heard(*listing, RosterScope::remembered);
+            heard(*listing, UpdateScope::cached);
             return;
         }
         case handover::Kind::troubles:
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -54,7 +54,7 @@
 
 const std::string& Dispatcher::workload_name(WorkloadId id) const {
     const auto tube = tube_workloads_.names.find(id);
-    return tube == tube_workloads_.names.end() ? terms_.name_of(id) : tube->second;
+    return tube == tube_workloads_.names.end() ? workload_registry_.name_of(id) : tube->second;
 }
 
 void Dispatcher::publish(const char* what, Object more) {
@@ -114,13 +114,14 @@
     o["name"] = Value(posting_.name);
     o["listen"] = Value(posting_.listen.text);
     o["drain"] = Value(tell_drain());
-    const std::vector<RunnerView> runners = choice_.runners();
+    const std::vector<RunnerView> runners = balancer_.runners();
     const Micros now = net::Loop::now();
     o["runners"] = whole(runners.size());
     o["ready"] =
         whole(std::count_if(runners.begin(), runners.end(), [](const RunnerView& r) { return r.ready; }));
-    o["aside"] = whole(std::count_if(runners.begin(), runners.end(),
-                                     [now](const RunnerView& r) { return r.ready && now < r.aside_until; }));
+    o["aside"] = whole(std::count_if(runners.begin(), runners.end(), [now](const RunnerView& r) {
+        return r.ready && now < r.ejected_until;
+    }));
     o["held"] = whole(holds_.all().size());
     o["tasks"] = whole(unanswered());
     o["out"] =
@@ -157,26 +158,26 @@
         o["held_for_ms"] = millis(now - hold->second.since);
         if (!hold->second.why.empty()) o["held_why"] = Value(hold->second.why);
     };
-    for (const RunnerView& r : choice_.runners()) {
+    for (const RunnerView& r : balancer_.runners()) {
         const std::string& name = book_.name_of(r.runner);
         const bool held = holds_.has(name);
         Object o;
         o["runner"] = Value(name);
         const auto entry = book_.present(name);
         const bool listed = entry && entry->for_module.entries.front().state == RunnerState::ready;
-        o["state"] = Value(std::string(held                  ? "held"
-                                       : !r.ready            ? (listed ? "closed" : "not ready")
-                                       : now < r.aside_until ? "aside"
-                                       : r.trial             ? "on trial"
-                                       : r.warmth < 1        ? "cold"
-                                                             : "ready"));
-        o["share"] = real(r.ready ? r.share : 0);
-        o["out"] = whole(r.out);
+        o["state"] = Value(std::string(held                      ? "held"
+                                       : !r.ready                ? (listed ? "closed" : "not ready")
+                                       : now < r.ejected_until   ? "aside"
+                                       : r.trial                 ? "on trial"
+                                       : r.slow_start_factor < 1 ? "cold"
+                                                                 : "ready"));
+        o["share"] = real(r.ready ? r.fraction : 0);
+        o["out"] = whole(r.in_flight);
         o["slots"] = real(r.slots);
-        o["free"] = real(r.ready ? std::max(0.0, r.room) : 0);
-        o["warmth"] = real(r.warmth);
+        o["free"] = real(r.ready ? std::max(0.0, r.free_slots) : 0);
+        o["warmth"] = real(r.slow_start_factor);
         if (r.reported_at >= 0) o["report_age_ms"] = millis(now - r.reported_at);
-        if (now < r.aside_until) o["aside_for_ms"] = millis(r.aside_until - now);
+        if (now < r.ejected_until) o["aside_for_ms"] = millis(r.ejected_until - now);
         if (List last = failures_of(name); !last.empty()) o["last_failures"] = Value(std::move(last));
         add_hold(o, name);
         rows[name] = std::move(o);
@@ -276,7 +277,7 @@
     auto news = book_.present(runner);
     if (!news) return;
     if (pullers_)
-        for (RosterEntry& e : news->for_module.entries) e.serves = tube_workloads_.for_pushed;
+        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
     holds_.lay_over(*news, book_);
     for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
     note(news->for_module);
--- a/src/dispatcher/outcomes.cpp
+++ b/src/dispatcher/outcomes.cpp
@@ -24,7 +24,7 @@
         case Ending::out_of_sockets:
         case Ending::stopped_unsent:
         case Ending::withdrawn_unsent:
-            return Outcome::moot;
+            return Outcome::not_started;
         case Ending::lost:
         case Ending::broken:
         case Ending::ended_early:
--- a/src/dispatcher/posting.cpp
+++ b/src/dispatcher/posting.cpp
@@ -5,10 +5,10 @@
 #include <fstream>
 #include <iterator>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "json/json.hpp"
-#include "orders/spelling.hpp"
-#include "standing_orders.hpp"
+#include "settings/settings_format.hpp"
+#include "balancer_settings.hpp"
 
 namespace gannethold::dispatcher {
 namespace {
@@ -134,9 +134,9 @@
                                     "caps.retry_after",         "trade.tells_start",   "clients.marks_retry",
                                     "rules.only_draining_binds"};
 
-void must_lie_within(const Stated& orders, const std::string& at, const Bounds& b) {
+void must_lie_within(const SettingsReader& orders, const std::string& at, const Bounds& b) {
     const std::string name = at + b.name;
-    const double value = orders.number(name, b.least);
+    const double value = orders.get_number(name, b.least);
     if (value >= b.least && value <= b.most) return;
     std::string bounds[2];
     for (int i = 0; i < 2; ++i) {
@@ -144,29 +144,29 @@
         const auto [end, bad] = std::to_chars(text, text + sizeof text, i == 0 ? b.least : b.most);
         bounds[i].assign(text, bad == std::errc() ? end : text);
     }
-    wrong("has settings." + orders::their_name(name) + " = " + orders.word(name, "") +
+    wrong("has settings." + settings::external_name(name) + " = " + orders.get_string(name, "") +
           ", and a number from " + bounds[0] + " to " + bounds[1] + " is expected");
 }
 
 // Against a file that is short of something or has nonsense in it, before any of it is believed.
 void must_make_sense(const Posting& p) {
-    const Stated orders(p.orders);
+    const SettingsReader orders(p.orders);
     for (const Bounds& b : kNumbers) must_lie_within(orders, "", b);
-    for (const char* const name : kYesOrNo) orders.yes(name);
-    if (orders.number("me", 0) >= orders.number("dispatchers", 1))
-        wrong("has settings.me = " + orders.word("me", "") +
+    for (const char* const name : kYesOrNo) orders.get_bool(name);
+    if (orders.get_number("me", 0) >= orders.get_number("dispatchers", 1))
+        wrong("has settings.me = " + orders.get_string("me", "") +
               ", and a number below that of the dispatchers is expected");
     const auto one_of = [&](const std::string& name, const std::string& a, const std::string& b) {
-        if (const std::string word = orders.word(name, a); word != a && word != b)
-            wrong("has settings." + orders::their_name(name) + " = " + word + ", and " + a + " or " + b +
+        if (const std::string word = orders.get_string(name, a); word != a && word != b)
+            wrong("has settings." + settings::external_name(name) + " = " + word + ", and " + a + " or " + b +
                   " is expected");
     };
     one_of("roster.how", "pushed", "on_request"), one_of("importance.by", "request", "work");
-    for (std::size_t i = 0; i < orders.words("trade.class_stretch").size(); ++i)
-        if (const double x = orders.number_in("trade.class_stretch", i, 0); !(x >= 0 && x <= 1e6))
-            wrong("has settings.specifics.class_stretch with " + orders.words("trade.class_stretch")[i] +
+    for (std::size_t i = 0; i < orders.get_list("trade.class_stretch").size(); ++i)
+        if (const double x = orders.get_list_number("trade.class_stretch", i, 0); !(x >= 0 && x <= 1e6))
+            wrong("has settings.specifics.class_stretch with " + orders.get_list("trade.class_stretch")[i] +
                   ", and numbers from 0 to 1e+06 are expected");
-    const auto customers = static_cast<std::size_t>(orders.number("customers.count", 0));
+    const auto customers = static_cast<std::size_t>(orders.get_number("customers.count", 0));
     for (std::size_t i = 0; i < customers; ++i)
         must_lie_within(orders, "customers." + std::to_string(i) + ".", {"allowance_per_s", 0, 1e9});
     const std::size_t n = p.workloads();
@@ -175,15 +175,15 @@
     for (std::size_t i = 0; i < n; ++i) {
         const std::string at = "workloads." + std::to_string(i) + ".";
         for (const char* const name : kStatedOfWorkloads)
-            if (orders.word(at + name, "").empty()) wrong("is short of settings." + at + name);
-        if (!names.insert(orders.word(at + "name", "")).second)
-            wrong("names a workload twice: " + orders.word(at + "name", ""));
+            if (orders.get_string(at + name, "").empty()) wrong("is short of settings." + at + name);
+        if (!names.insert(orders.get_string(at + "name", "")).second)
+            wrong("names a workload twice: " + orders.get_string(at + "name", ""));
         for (const Bounds& b : kNumbersOfWorkloads) must_lie_within(orders, at, b);
-        const std::string effect = orders.word(at + "effect", "");
+        const std::string effect = orders.get_string(at + "effect", "");
         if (effect != "idempotent" && effect != "fingerprinted" && effect != "side-effecting")
             wrong("knows an effect that is none: settings." + at + "effect is " + effect);
         for (const char* const time : {"due_time_us", "expiry_us"})
-            if (const double t = orders.number(at + time, 0); !(t >= 1 && t <= kLongest))
+            if (const double t = orders.get_number(at + time, 0); !(t >= 1 && t <= kLongest))
                 wrong("has a time that cannot be: settings." + at + time);
     }
 }
@@ -220,13 +220,13 @@
         throw std::runtime_error("the configuration has no settings");
     std::string lines;
     flatten("", *settings, lines);
-    p.orders = orders::read_lines(lines);
+    p.orders = settings::parse_settings(lines);
     if (const auto* reporting = settings->find("reporting"))
         if (const auto* names = reporting->find("names"); names && names->get<json::List>())
             for (const json::Value& name : *names->get<json::List>()) p.report_names.push_back(scalar(name));
     collect_names("", all, 3, p.stated);
     must_make_sense(p);
-    const Choice reads_every_order(p.orders, p.seed);
+    const Balancer reads_every_order(p.orders, p.seed);
     return p;
 }
 
@@ -244,7 +244,7 @@
     if (texts(neighbours) != texts(other.neighbours)) differ.emplace_back("peers");
     if (memory_mb != other.memory_mb || sockets != other.sockets) differ.emplace_back("limits");
     for (const char* const name : kUntilRestart)
-        if (Stated(orders).word(name, "") != Stated(other.orders).word(name, ""))
+        if (SettingsReader(orders).get_string(name, "") != SettingsReader(other.orders).get_string(name, ""))
             differ.push_back(std::string("settings: ") + name);
     return differ;
 }
@@ -266,7 +266,8 @@
 }
 
 std::size_t Posting::workloads() const {
-    return static_cast<std::size_t>(std::clamp(Stated(orders).number("workloads.count", 0), 0.0, 1e4));
+    return static_cast<std::size_t>(
+        std::clamp(SettingsReader(orders).get_number("workloads.count", 0), 0.0, 1e4));
 }
 
 Posting Posting::read_file(const std::string& path) {
--- a/src/dispatcher/posting.hpp
+++ b/src/dispatcher/posting.hpp
@@ -25,7 +25,7 @@
     std::uint64_t seed = 0;
     std::size_t memory_mb = 256, sockets = 1024;
     roster::Listing known;
-    StatedOrders orders;
+    SettingsMap orders;
     std::vector<std::string> report_names;  // as runners spell them
     std::set<std::string>
         stated;  // which names stand in the file, down to those within a part of the settings
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -45,13 +45,13 @@
     return take(pullers_->exchange(), std::move(handed), std::move(body), net::Loop::now());
 }
 
-RunnerId Dispatcher::worker_joins(const beanstalk::Entrance& by, const Serves& serves, bool cold) {
-    const RosterEntry entry = guests_.joins(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
+RunnerId Dispatcher::worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) {
+    const EndpointEntry entry = guests_.joins(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
     note(guests_.news(entry, holds_, book_));
     return entry.runner;
 }
 
-void Dispatcher::worker_serves(RunnerId worker, const Serves& serves) {
+void Dispatcher::worker_serves(RunnerId worker, const WorkloadSet& serves) {
     note(guests_.news(guests_.serves(worker, serves), holds_, book_));
 }
 
--- a/src/dispatcher/remembering.cpp
+++ b/src/dispatcher/remembering.cpp
@@ -17,7 +17,7 @@
 
 Histogram histogram_of(const snapshot::HistogramBins& bins, double weight, double max_samples) {
     Histogram h;
-    h.take(snapshot::decayed(bins, weight, max_samples));
+    h.assign_bins(snapshot::decayed(bins, weight, max_samples));
     return h;
 }
 
@@ -29,19 +29,20 @@
     snapshot::Snapshot& saved = part.snapshot;
     saved.written_ms = unix_ms();
     saved.dispatcher = posting_.name;
-    const Lore lore = choice_.lore(offset, max_runners);
-    if (lore.places > offset && lore.places - offset > max_runners) part.next_offset = offset + max_runners;
-    saved.typical_cost_us = lore.usual_cost;
-    for (const RunnerLore& r : lore.runners) {
+    const LearnedState lore = balancer_.learned_state(offset, max_runners);
+    if (lore.table_size > offset && lore.table_size - offset > max_runners)
+        part.next_offset = offset + max_runners;
+    saved.typical_cost_us = lore.typical_cost;
+    for (const RunnerEstimates& r : lore.runners) {
         const std::string& name = book_.name_of(r.runner);
         const roster::Entry* const entry = book_.entry(name);
         if (!entry) continue;
         saved.runners.push_back({name, entry->kind, entry->zone, entry->address ? entry->address->text : "",
-                                 entry->started_ms, bins_of(r.latency), r.least, r.slots, r.fraction});
+                                 entry->started_ms, bins_of(r.latency), r.min_latency, r.slots, r.fraction});
     }
     if (offset > 0) return part;  // the rest is in the first
-    for (const KindLore& k : lore.kinds) {
-        const auto place = static_cast<std::size_t>(k.kind);
+    for (const InstanceTypeEstimates& k : lore.instance_types) {
+        const auto place = static_cast<std::size_t>(k.instance_type);
         // What no list of kinds names shares the place behind the last.
         saved.instance_types.push_back(
             {place < book_.kinds().size() ? book_.kinds()[place] : "", bins_of(k.latency), k.weight});
@@ -90,7 +91,7 @@
     const Micros now = net::Loop::now();
     const std::int64_t wall = unix_ms();
     const double weight = snapshot::weight_by_age(saved.written_ms, wall, policy);
-    Lore lore;
+    LearnedState lore;
     for (const snapshot::SavedRunner& runner : saved.runners) {
         const roster::Entry* const entry = book_.entry(runner.name);
         const auto number = book_.number_of(runner.name);
@@ -104,15 +105,16 @@
                                 runner.min_latency, 1 + (std::max(1.0, runner.slots) - 1) * part,
                                 runner.fraction * part + mean * (1 - part)});
         if (const auto trouble = troubles.find(runner.name); trouble != troubles.end())
-            lore.runners.back().aside_for = trouble->second.aside_for,
-            lore.runners.back().cold_for = trouble->second.cold_for;
+            lore.runners.back().ejected_for = trouble->second.aside_for,
+            lore.runners.back().warming_for = trouble->second.cold_for;
     }
     for (const snapshot::SavedInstanceType& type : saved.instance_types) {
         const auto place =
             std::find(book_.kinds().begin(), book_.kinds().end(), type.name) - book_.kinds().begin();
         if (type.name.empty() && place != static_cast<std::ptrdiff_t>(book_.kinds().size())) continue;
         const Histogram h = histogram_of(type.latency, weight, policy.max_samples);
-        if (h.weight() > 0) lore.kinds.push_back({KindId(static_cast<std::uint32_t>(place)), h, h.weight()});
+        if (h.weight() > 0)
+            lore.instance_types.push_back({InstanceTypeId(static_cast<std::uint32_t>(place)), h, h.weight()});
     }
     lore.workloads.resize(directory_.workloads.size());
     for (const snapshot::SavedWorkload& workload : saved.workloads)
@@ -120,8 +122,8 @@
             id != directory_.workloads.end() && static_cast<std::size_t>(id->second) < lore.workloads.size())
             lore.workloads[static_cast<std::size_t>(id->second)] =
                 histogram_of(workload.latency, weight, policy.max_samples);
-    if (weight > 0) lore.usual_cost = saved.typical_cost_us;
-    if (weight > 0) choice_.believe(lore);
+    if (weight > 0) lore.typical_cost = saved.typical_cost_us;
+    if (weight > 0) balancer_.restore(lore);
     // An operator's order does not decay: it stands until somebody releases the runner.
     for (const snapshot::SavedOverride& order : saved.overrides)
         if (holds_.add(order.runner, {now - std::max<std::int64_t>(0, wall - order.since_ms) * 1000,
--- a/src/dispatcher/repeating.cpp
+++ b/src/dispatcher/repeating.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "dispatcher/dispatcher.hpp"
-#include "standing_orders.hpp"
+#include "balancer_settings.hpp"
 
 namespace gannethold::dispatcher {
 namespace {
@@ -16,8 +16,8 @@
 std::string Dispatcher::sign_of(const fronts::Handed& handed) const {
     const std::string at =
         "workloads." + std::to_string(static_cast<std::uint32_t>(handed.workload)) + ".effect";
-    if (const auto effect = terms_.stated().find(at);
-        effect != terms_.stated().end() && effect->second == "idempotent")
+    if (const auto effect = workload_registry_.settings().find(at);
+        effect != workload_registry_.settings().end() && effect->second == "idempotent")
         return "";
     const std::string whose = std::to_string(static_cast<std::uint32_t>(handed.workload)) + "/" +
                               std::to_string(static_cast<std::uint32_t>(handed.customer)) + "/";
--- a/src/dispatcher/watching.cpp
+++ b/src/dispatcher/watching.cpp
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-StatedOrders Dispatcher::over_ours(const Posting& watched) const {
-    return shadow::laid_over(terms_.stated(), orders::Terms(watched.orders, watched.workloads()).stated());
+SettingsMap Dispatcher::over_ours(const Posting& watched) const {
+    return shadow::laid_over(workload_registry_.settings(),
+                             settings::WorkloadRegistry(watched.orders, watched.workloads()).settings());
 }
 
 // Before the module hears it. What is left of this second's time decides whether a turn is sampled at all, so
@@ -31,7 +32,7 @@
     const bool sampled = noted_ ? shadow_->watching() : shadow_->samples_next();
     const Micros from = sampled ? processor_time() : 0;  // the clock is a call to the system
     if (!noted_) {
-        shadow_->begin(now, choice_, watch_spent_ < watched_most_);
+        shadow_->begin(now, balancer_, watch_spent_ < watched_most_);
         watch_left_out_ += sampled && !shadow_->watching();
     }
     if (!sampled) return;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 #include "dispatcher/dispatcher.hpp"
 #include "operator_settings/operator_settings.hpp"
 #include "snapshot/print_snapshot.hpp"
-#include "standing_orders.hpp"
+#include "balancer_settings.hpp"
 
 namespace options = boost::program_options;
 using namespace gannethold;
@@ -103,10 +103,10 @@
     if (!in_force.empty()) posting.must_state_all_of(dispatcher::Posting::read_file(in_force));
     if (!settings.tubes.entrances.empty()) {
         dispatcher::must_fit(posting, settings.tubes);
-        StatedOrders all = posting.orders;
+        SettingsMap all = posting.orders;
         beanstalk::add_workloads(all, settings.tubes.trade);
     }
-    const StandingOrders orders(posting.orders);
+    const BalancerSettings orders(posting.orders);
     std::cout << path << " can be served: " << posting.name << " on " << posting.listen.text
               << ", discovery at " << posting.discovery.text << ", " << posting.known.entries.size()
               << " runners known, " << orders.workloads << " workloads, " << orders.customers
--- a/src/roster/book.cpp
+++ b/src/roster/book.cpp
@@ -31,12 +31,12 @@
     return RunnerId{hash};
 }
 
-RosterEntry Book::guest(const std::string& name, const std::string& kind, const std::string& zone) {
-    RosterEntry e;
+EndpointEntry Book::guest(const std::string& name, const std::string& kind, const std::string& zone) {
+    EndpointEntry e;
     const auto known =
         std::find_if(names_.begin(), names_.end(), [&](const auto& one) { return one.second == name; });
     e.runner = known == names_.end() ? number_for(name) : known->first;
-    e.zone = place_in<ZoneId>(zones_, zone), e.kind = place_in<KindId>(kinds_, kind);
+    e.zone = place_in<ZoneId>(zones_, zone), e.instance_type = place_in<InstanceTypeId>(kinds_, kind);
     return e;
 }
 
@@ -52,17 +52,17 @@
     const Held& held = found->second;
     const Entry& e = held.entry;
     const RunnerState state = e.state.value_or(RunnerState::gone);
-    News news{{RosterScope::changes, version_, {}}, {}};
+    News news{{UpdateScope::delta, version_, {}}, {}};
     news.for_module.entries.push_back({held.runner, place_in<ZoneId>(zones_, e.zone),
-                                       place_in<KindId>(kinds_, e.kind), GroupId{e.group}, state, e.share,
-                                       held.started_at});
+                                       place_in<InstanceTypeId>(kinds_, e.kind), GroupId{e.group}, state,
+                                       e.share, held.started_at});
     if (e.address) news.seats.push_back({held.runner, *e.address, state == RunnerState::ready, false});
     return news;
 }
 
-std::optional<Book::News> Book::take(const Listing& listing, RosterScope scope, Micros now) {
+std::optional<Book::News> Book::take(const Listing& listing, UpdateScope scope, Micros now) {
     // A whole list counts whatever its version: a discovery that has restarted counts from the beginning.
-    if (scope == RosterScope::changes && listing.version < version_) {
+    if (scope == UpdateScope::delta && listing.version < version_) {
         log_.warning(now, "roster: passed over changes of version ", log::as("version", listing.version),
                      ", held is ", log::as("held", version_));
         apart_ = true;
@@ -90,12 +90,12 @@
         held.entry.address = address;
         listed.insert(e.id);
         news.for_module.entries.push_back({held.runner, place_in<ZoneId>(zones_, e.zone),
-                                           place_in<KindId>(kinds_, e.kind), GroupId{e.group}, *e.state,
-                                           e.share, held.started_at});
+                                           place_in<InstanceTypeId>(kinds_, e.kind), GroupId{e.group},
+                                           *e.state, e.share, held.started_at});
         if (address && (gone_binds_ || *e.state != RunnerState::gone))
             news.seats.push_back({held.runner, *address, *e.state == RunnerState::ready, restarted});
     }
-    if (scope == RosterScope::changes) return news;
+    if (scope == UpdateScope::delta) return news;
     for (auto& [id, held] : held_) {
         if (listed.contains(id) || held.entry.state == RunnerState::gone) continue;
         held.entry.state = RunnerState::gone;
--- a/src/roster/book.hpp
+++ b/src/roster/book.hpp
@@ -25,12 +25,12 @@
         bool restarted = false;
     };
     struct News {
-        RosterNews for_module;
+        MembershipUpdate for_module;
         std::vector<Seat> seats;  // for the connections
     };
 
     // nothing: older than what is held
-    std::optional<News> take(const Listing& listing, RosterScope scope, Micros now);
+    std::optional<News> take(const Listing& listing, UpdateScope scope, Micros now);
     // What is held of that one, as a change; none: it was never in a list.
     std::optional<News> present(const std::string& id) const;
     std::uint32_t version() const { return version_; }
@@ -66,7 +66,7 @@
     const std::vector<std::string>& kinds() const { return kinds_; }
     const std::string& name_of(RunnerId runner) const;
     // An entry of that name for one that no list names, ready and of that kind and place.
-    RosterEntry guest(const std::string& name, const std::string& kind, const std::string& zone);
+    EndpointEntry guest(const std::string& name, const std::string& kind, const std::string& zone);
 
   private:
     struct Held {
--- a/src/roster/guests.hpp
+++ b/src/roster/guests.hpp
@@ -13,23 +13,23 @@
 class Guests {
   public:
     // Who has just come; its entry for the module.
-    RosterEntry joins(Book& book, const std::string& kind, const std::string& zone, const Serves& serves,
-                      Micros started_at) {
+    EndpointEntry joins(Book& book, const std::string& kind, const std::string& zone,
+                        const WorkloadSet& serves, Micros started_at) {
         std::size_t n = 1;
         while (numbers_.contains(n)) ++n;
         const std::string name = "worker-" + std::to_string(n);
-        RosterEntry e = book.guest(name, kind, zone);
-        e.serves = serves, e.started_at = started_at, e.pulls = true;
+        EndpointEntry e = book.guest(name, kind, zone);
+        e.workloads = serves, e.started_at = started_at, e.pulls = true;
         numbers_[n] = e.runner;
         return entries_[e.runner] = e;
     }
     // What is now to be said of that one.
-    RosterEntry serves(RunnerId runner, const Serves& serves) {
-        entries_.at(runner).serves = serves;
+    EndpointEntry serves(RunnerId runner, const WorkloadSet& serves) {
+        entries_.at(runner).workloads = serves;
         return entries_.at(runner);
     }
-    RosterEntry leaves(RunnerId runner) {
-        RosterEntry e = entries_.at(runner);
+    EndpointEntry leaves(RunnerId runner) {
+        EndpointEntry e = entries_.at(runner);
         e.state = RunnerState::gone;
         entries_.erase(runner);
         for (auto n = numbers_.begin(); n != numbers_.end(); ++n)
@@ -37,23 +37,23 @@
         return e;
     }
     bool has(RunnerId runner) const { return entries_.contains(runner); }
-    const std::map<RunnerId, RosterEntry>& all() const { return entries_; }
+    const std::map<RunnerId, EndpointEntry>& all() const { return entries_; }
 
     // As the module is to hear it: a held one drains.
-    RosterNews news(RosterEntry entry, const Holds& holds, const Book& book) const {
+    MembershipUpdate news(EndpointEntry entry, const Holds& holds, const Book& book) const {
         if (entry.state == RunnerState::ready && holds.has(book.name_of(entry.runner)))
             entry.state = RunnerState::draining;
-        return {RosterScope::guests, book.version(), {entry}};
+        return {UpdateScope::dynamic_workers, book.version(), {entry}};
     }
     // A list that says all says nothing of guests: they stay.
-    void lay_over(RosterNews& news, const Holds& holds, const Book& book) const {
-        if (news.scope == RosterScope::changes) return;
+    void lay_over(MembershipUpdate& news, const Holds& holds, const Book& book) const {
+        if (news.scope == UpdateScope::delta) return;
         for (const auto& [id, entry] : entries_)
             news.entries.push_back(this->news(entry, holds, book).entries.front());
     }
 
   private:
-    std::map<RunnerId, RosterEntry> entries_;
+    std::map<RunnerId, EndpointEntry> entries_;
     std::map<std::size_t, RunnerId> numbers_;
 };
 
--- a/src/roster/holds.hpp
+++ b/src/roster/holds.hpp
@@ -25,7 +25,7 @@
     // What discovery says, as the rest of the program is to hear it.
     void lay_over(Book::News& news, const Book& book) const {
         if (held_.empty()) return;
-        for (RosterEntry& e : news.for_module.entries)
+        for (EndpointEntry& e : news.for_module.entries)
             if (e.state == RunnerState::ready && has(book.name_of(e.runner))) e.state = RunnerState::draining;
         for (Book::Seat& s : news.seats) s.open = s.open && !has(book.name_of(s.runner));
     }
--- a/src/shadow/shadow.cpp
+++ b/src/shadow/shadow.cpp
@@ -4,15 +4,16 @@
 #include <set>
 #include <string>
 
-#include "standing_orders.hpp"
+#include "balancer_settings.hpp"
 
 namespace gannethold::shadow {
 namespace {
 
 const std::string kWorkloads = "workloads.";
 
-std::size_t workloads_in(const StatedOrders& stated) {
-    return static_cast<std::size_t>(std::clamp(Stated(stated).number("workloads.count", 0), 0.0, 256.0));
+std::size_t workloads_in(const SettingsMap& stated) {
+    return static_cast<std::size_t>(
+        std::clamp(SettingsReader(stated).get_number("workloads.count", 0), 0.0, 256.0));
 }
 
 // What a turn decided, by what it is about.
@@ -31,7 +32,8 @@
             if (const auto* w = std::get_if<Withdraw>(&action)) withdrawn.emplace(w->task, w->assignment);
             if (const auto* p = std::get_if<Probe>(&action)) probed.insert(p->runner);
             if (const auto* c = std::get_if<CloseIdle>(&action)) closed.insert(c->runner);
-            if (std::holds_alternative<FollowRoster>(action) || std::holds_alternative<AskRoster>(action))
+            if (std::holds_alternative<WatchMembership>(action) ||
+                std::holds_alternative<FetchMembership>(action))
                 called.insert(0);
         }
     }
@@ -47,20 +49,20 @@
 
 }  // namespace
 
-StatedOrders laid_over(const StatedOrders& in_force, const StatedOrders& other) {
-    StatedOrders all;
+SettingsMap laid_over(const SettingsMap& in_force, const SettingsMap& other) {
+    SettingsMap all;
     for (const auto& [name, value] : other)
         if (!name.starts_with(kWorkloads)) all.emplace(name, value);
     all[kWorkloads + "count"] = std::to_string(workloads_in(in_force));
     std::map<std::string, std::string> places;  // of the other's workloads, by name
     for (std::size_t i = 0; i < workloads_in(other); ++i) {
         const std::string at = kWorkloads + std::to_string(i) + ".";
-        places[Stated(other).word(at + "name", "")] = at;
+        places[SettingsReader(other).get_string(at + "name", "")] = at;
     }
     for (std::size_t i = 0; i < workloads_in(in_force); ++i) {
         const std::string at = kWorkloads + std::to_string(i) + ".";
-        const auto named = places.find(Stated(in_force).word(at + "name", ""));
-        const StatedOrders& from = named == places.end() ? in_force : other;
+        const auto named = places.find(SettingsReader(in_force).get_string(at + "name", ""));
+        const SettingsMap& from = named == places.end() ? in_force : other;
         const std::string from_at = named == places.end() ? at : named->second;
         for (auto clause = from.lower_bound(from_at);
              clause != from.end() && clause->first.starts_with(from_at); ++clause)
@@ -93,21 +95,21 @@
     count_unlike(a.closed, b.closed, Kind::connection_closed, counts);
 }
 
-void Shadow::begin(Micros now, const Choice& choice, bool has_time) {
+void Shadow::begin(Micros now, const Balancer& balancer, bool has_time) {
     copy_.reset();
     if (++turn_ < every_) return;
     turn_ = 0;
     if (!has_time) return;
-    copy_ = std::make_unique<Choice>(choice);
+    copy_ = std::make_unique<Balancer>(balancer);
     std::vector<WorkloadId> learn_from;
     for (std::size_t i = 0; i < workloads_in(other_); ++i) learn_from.push_back(static_cast<WorkloadId>(i));
-    copy_->note(now, OrdersRestated{other_, std::move(learn_from)});
+    copy_->apply(now, SettingsChanged{other_, std::move(learn_from)});
 }
 
 void Shadow::settle(Micros now, const std::vector<Action>& done) {
     if (!copy_) return;
     std::vector<Action> other;
-    copy_->settle(now, other);
+    copy_->collect_actions(now, other);
     ++counts_.turns;
     compare(done, other, counts_);
     copy_.reset();
--- a/src/shadow/shadow.hpp
+++ b/src/shadow/shadow.hpp
@@ -6,7 +6,7 @@
 // and each sampled turn starts from what that one has learned. What only builds up under the other settings
 // is not seen.
 //
-//   shadow.begin(now, choice);        before the first event of a turn
+//   shadow.begin(now, balancer);      before the first event of a turn
 //   shadow.note(now, event);          each event, as the module hears it
 //   shadow.settle(now, actions);      with what the module wanted in that turn
 #pragma once
@@ -16,7 +16,7 @@
 #include <memory>
 #include <vector>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 
 namespace gannethold::shadow {
 
@@ -31,8 +31,8 @@
 };
 
 // The other settings for the workloads in force: a workload of the same name goes by its terms there, one
-// that is not named there keeps those that it has. Both as orders::Terms::stated() spells them.
-StatedOrders laid_over(const StatedOrders& in_force, const StatedOrders& other);
+// that is not named there keeps those that it has. Both as WorkloadRegistry::settings() gives them.
+SettingsMap laid_over(const SettingsMap& in_force, const SettingsMap& other);
 
 // What differs between what was done in a turn and what the other would have done; adds to the counts.
 void compare(const std::vector<Action>& done, const std::vector<Action>& other, Counts& counts);
@@ -40,26 +40,26 @@
 class Shadow {
   public:
     // every: a turn of so many is sampled, at least 1.
-    explicit Shadow(StatedOrders other, int every) : other_(std::move(other)), every_(every) {}
+    explicit Shadow(SettingsMap other, int every) : other_(std::move(other)), every_(every) {}
 
-    void restate(StatedOrders other) { other_ = std::move(other); }
+    void restate(SettingsMap other) { other_ = std::move(other); }
     // Whether there is time for it is for the caller to say; a turn that is due and left out is not made up
     // for.
-    void begin(Micros now, const Choice& choice, bool has_time = true);
+    void begin(Micros now, const Balancer& balancer, bool has_time = true);
     void skip() { copy_.reset(); }                             // the rest of a turn that has begun
     bool samples_next() const { return turn_ + 1 >= every_; }  // asked before begin()
     bool watching() const { return copy_ != nullptr; }
     void note(Micros now, const Event& event) {
-        if (copy_) copy_->note(now, event);
+        if (copy_) copy_->apply(now, event);
     }
     void settle(Micros now, const std::vector<Action>& done);
     const Counts& counts() const { return counts_; }
 
   private:
-    StatedOrders other_;
+    SettingsMap other_;
     const int every_;
     int turn_ = 0;  // since the last that was due
-    std::unique_ptr<Choice> copy_;
+    std::unique_ptr<Balancer> copy_;
     Counts counts_;
 };
 
--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -24,12 +24,12 @@
         try {
             if (const auto* created = std::get_if<simwire::Created>(&record.what)) {
                 instances_[record.instance].reset();
-                instances_[record.instance] = std::make_unique<Choice>(created->orders, created->seed);
+                instances_[record.instance] = std::make_unique<Balancer>(created->orders, created->seed);
             } else {
                 const auto instance = instances_.find(record.instance);
                 if (instance == instances_.end())
                     throw BadFrame("event for an instance that was not created", record.at);
-                instance->second->note(batch.now, std::get<Event>(record.what));
+                instance->second->apply(batch.now, std::get<Event>(record.what));
             }
         } catch (const BadFrame&) {
             throw;
@@ -45,7 +45,7 @@
         std::string failure = failures.contains(who) ? failures[who] : "";
         if (failure.empty()) {
             try {
-                instances_[who]->settle(batch.now, actions);
+                instances_[who]->collect_actions(batch.now, actions);
             } catch (const std::exception& e) {
                 failure = e.what();
             }
--- a/src/simhost/host.hpp
+++ b/src/simhost/host.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "simwire/wire.hpp"
 
 namespace gannethold::simhost {
@@ -16,7 +16,7 @@
     std::string answer(const simwire::Batch& batch);
 
   private:
-    std::map<simwire::InstanceId, std::unique_ptr<Choice>> instances_;
+    std::map<simwire::InstanceId, std::unique_ptr<Balancer>> instances_;
 };
 
 // Plays frames until the input ends; returns the exit status.
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -4,7 +4,7 @@
 #include <bit>
 #include <utility>
 
-#include "orders/spelling.hpp"
+#include "settings/settings_format.hpp"
 
 namespace gannethold::simwire {
 namespace {
@@ -73,43 +73,43 @@
         case 125:
             return Outcome::withdrawn;
         case 114:
-            return Outcome::moot;
+            return Outcome::not_started;
         default:
             throw BadFrame("unknown outcome", begun);
     }
 }
 
-RosterNews roster(Cursor& in) {
+MembershipUpdate roster(Cursor& in) {
     const std::size_t begun = in.at();
-    RosterNews news{};
+    MembershipUpdate news{};
     switch (in.number(1)) {
         case 0:
-            news.scope = RosterScope::failed;
+            news.scope = UpdateScope::failed;
             break;
         case 1:
-            news.scope = RosterScope::complete;
+            news.scope = UpdateScope::complete;
             break;
         case 3:
-            news.scope = RosterScope::remembered;
+            news.scope = UpdateScope::cached;
             break;
         case 4:
-            news.scope = RosterScope::changes;
+            news.scope = UpdateScope::delta;
             break;
         default:
             throw BadFrame("unknown kind of list", begun);
     }
     news.version = static_cast<std::uint32_t>(in.number(4));
     news.entries.resize(in.count(4, 21));
-    for (RosterEntry& e : news.entries) {
+    for (EndpointEntry& e : news.entries) {
         e.runner = id<RunnerId>(in, 4);
         e.zone = id<ZoneId>(in, 1);
-        e.kind = id<KindId>(in, 1);
+        e.instance_type = id<InstanceTypeId>(in, 1);
         e.group = id<GroupId>(in, 2);
         const std::size_t state_at = in.at();
         const auto state = in.number(1);
         if (state > 2) throw BadFrame("unknown runner state", state_at);
         e.state = state == 2 ? RunnerState::ready : state == 1 ? RunnerState::draining : RunnerState::gone;
-        e.share = in.real();
+        e.weight = in.real();
         e.started_at = micros(in, 8);
     }
     return news;
@@ -127,17 +127,17 @@
     t.memory = in.real();
     const auto flags = in.number(1);
     t.hint_valid = flags & 1;
-    t.client_repeat = flags & 2;
+    t.client_retry = flags & 2;
     t.write = flags & 4;
-    t.after_break = flags & 16;
+    t.after_disconnect = flags & 16;
     return t;
 }
 
 AssignmentEnded ending(Cursor& in) {
     AssignmentEnded e;
     e.task = id<TaskId>(in, 8);
-    e.settled = in.number(1) != 0;
-    e.remark = static_cast<std::uint32_t>(in.number(4));
+    e.task_answered = in.number(1) != 0;
+    e.detail = static_cast<std::uint32_t>(in.number(4));
     e.elapsed = micros(in, 4);
     e.runner = id<RunnerId>(in, 4);
     e.assignment = static_cast<int>(in.number(1));
@@ -178,7 +178,7 @@
     switch (code) {
         case 10: {
             const auto seed = in.number(8);
-            return Created{seed, orders::read_lines(in.text(4))};
+            return Created{seed, settings::parse_settings(in.text(4))};
         }
         case 20:
             return Event{roster(in)};
@@ -189,14 +189,14 @@
         case 50:
             return Event{ending(in)};
         case 60:
-            return Event{ClientLeft{id<TaskId>(in, 8)}};
+            return Event{ClientDisconnected{id<TaskId>(in, 8)}};
         case 70:
-            return Event{TimerDue{id<TimerMark>(in, 8)}};
+            return Event{TimerFired{id<TimerId>(in, 8)}};
         case 80:
             return Event{probe_ended(in)};
         case 90: {
             const auto from = id<PeerId>(in, 4);
-            return Event{PeerSaid{from, std::string(in.text(2))}};
+            return Event{PeerMessage{from, std::string(in.text(2))}};
         }
         case 100:
             return Killed{};
@@ -268,30 +268,32 @@
 
 void ReplyWriter::action(const Action& action) {
     std::string& o = body_;
-    std::visit(Match{[&](const Assign& a) {
-                         put(o, 10, 1), put(o, raw(a.task), 8), put(o, raw(a.runner), 4);
-                         put(o, static_cast<std::uint64_t>(a.stop_at), 8);
-                     },
-                     [&](const Bounce& a) {
-                         put(o, 20, 1), put(o, raw(a.task), 8);
-                         put(o, static_cast<std::uint64_t>(a.stay_away), 4);
-                     },
-                     [&](const Abandon& a) { put(o, 30, 1), put(o, raw(a.task), 8); },
-                     [&](const Withdraw& a) {
-                         put(o, 40, 1), put(o, raw(a.task), 8);
-                         put(o, static_cast<std::uint64_t>(a.assignment), 1);
-                     },
-                     [&](const WakeAt& a) {
-                         put(o, 50, 1), put(o, static_cast<std::uint64_t>(a.at), 8), put(o, raw(a.mark), 8);
-                     },
-                     [&](const Probe& a) { put(o, 60, 1), put(o, raw(a.runner), 4); },
-                     [&](const CloseIdle& a) { put(o, 70, 1), put(o, raw(a.runner), 4); },
-                     [&](const TellPeers& a) { put(o, 80, 1), put(o, kEveryPeer, 2), put_text(o, a.words); },
-                     [&](const TellPeer& a) { put(o, 80, 1), put(o, raw(a.to), 2), put_text(o, a.words); },
-                     [&](const LogLine& a) { put(o, 90, 1), put_text(o, a.text); },
-                     [&](const FollowRoster& a) { put(o, 110, 1), put(o, a.on, 1); },
-                     [&](const AskRoster&) { put(o, 120, 1); }},
-               action);
+    std::visit(
+        Match{
+            [&](const Assign& a) {
+                put(o, 10, 1), put(o, raw(a.task), 8), put(o, raw(a.runner), 4);
+                put(o, static_cast<std::uint64_t>(a.deadline), 8);
+            },
+            [&](const Bounce& a) {
+                put(o, 20, 1), put(o, raw(a.task), 8);
+                put(o, static_cast<std::uint64_t>(a.retry_after), 4);
+            },
+            [&](const Abandon& a) { put(o, 30, 1), put(o, raw(a.task), 8); },
+            [&](const Withdraw& a) {
+                put(o, 40, 1), put(o, raw(a.task), 8);
+                put(o, static_cast<std::uint64_t>(a.assignment), 1);
+            },
+            [&](const WakeAt& a) {
+                put(o, 50, 1), put(o, static_cast<std::uint64_t>(a.at), 8), put(o, raw(a.timer), 8);
+            },
+            [&](const Probe& a) { put(o, 60, 1), put(o, raw(a.runner), 4); },
+            [&](const CloseIdle& a) { put(o, 70, 1), put(o, raw(a.runner), 4); },
+            [&](const BroadcastToPeers& a) { put(o, 80, 1), put(o, kEveryPeer, 2), put_text(o, a.payload); },
+            [&](const SendToPeer& a) { put(o, 80, 1), put(o, raw(a.to), 2), put_text(o, a.payload); },
+            [&](const LogLine& a) { put(o, 90, 1), put_text(o, a.text); },
+            [&](const WatchMembership& a) { put(o, 110, 1), put(o, a.on, 1); },
+            [&](const FetchMembership&) { put(o, 120, 1); }},
+        action);
 }
 
 void ReplyWriter::failure(const std::string& text) {
--- a/src/simwire/wire.hpp
+++ b/src/simwire/wire.hpp
@@ -14,7 +14,7 @@
 
 struct Created {
     std::uint64_t seed;
-    StatedOrders orders;
+    SettingsMap orders;
 };
 struct Killed {};
 struct Routed {
--- a/src/types.hpp
+++ b/src/types.hpp
@@ -1,4 +1,4 @@
-// The words that the core and every front share: ids, events that come in, actions that go out.
+// The vocabulary that the decision module and its hosts share: ids, incoming events and outgoing actions.
 #pragma once
 
 #include <bitset>
@@ -17,54 +17,52 @@
 enum class WorkloadId : std::uint32_t {};
 enum class CustomerId : std::uint32_t {};
 enum class ZoneId : std::uint32_t {};
-enum class KindId : std::uint32_t {};
+enum class InstanceTypeId : std::uint32_t {};
 enum class GroupId : std::uint32_t {};
 enum class PeerId : std::uint32_t {};
-enum class TimerMark : std::uint64_t {};
+enum class TimerId : std::uint64_t {};
 
-// Names and values as the operators state them; the module reads what it needs where it needs it.
-using StatedOrders = std::map<std::string, std::string>;
+// The settings in force: values by name, not parsed yet (see SettingsReader).
+using SettingsMap = std::map<std::string, std::string>;
 
-// Of which workloads a runner takes tasks, by their places; beyond the last of these it takes any.
-using Serves = std::bitset<256>;
+// The workloads whose tasks a runner accepts, by id; it accepts every workload with a larger id.
+using WorkloadSet = std::bitset<256>;
 
 enum class RunnerState { ready, draining, gone };
-enum class RosterScope {
-    failed,
-    complete,
-    remembered,
-    changes,
-    guests
-};  // guests: changes that no list told
-enum class Outcome { finished, error, full, timed_out, connect_failed, reset, withdrawn, moot };
+// What an update of the runner list covers. cached: the list known before the start; dynamic_workers: changes
+// among runners that are connected directly and appear in no list.
+enum class UpdateScope { failed, complete, cached, delta, dynamic_workers };
+enum class Outcome { finished, error, full, timed_out, connect_failed, reset, withdrawn, not_started };
 enum class Stage { begun, progress };
 
-inline bool proves_never_ran(Outcome o) {
-    return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::moot;
+inline bool proves_never_ran(Outcome outcome) {
+    return outcome == Outcome::full || outcome == Outcome::connect_failed || outcome == Outcome::not_started;
 }
 
-struct RosterEntry {
+// A runner as the runner list describes it.
+struct EndpointEntry {
     RunnerId runner{};
     ZoneId zone{};
-    KindId kind{};
+    InstanceTypeId instance_type{};
     GroupId group{};
     RunnerState state = RunnerState::ready;
-    double share = 1;
-    Micros started_at = 0;  // 0: long ago
-    Serves serves = Serves().set();
-    bool takes(WorkloadId w) const {
-        return static_cast<std::size_t>(w) >= serves.size() || serves[static_cast<std::size_t>(w)];
+    double weight = 1;
+    Micros started_at = 0;  // 0: started long ago, no slow start
+    WorkloadSet workloads = WorkloadSet().set();
+    bool accepts(WorkloadId workload) const {
+        return static_cast<std::size_t>(workload) >= workloads.size() ||
+               workloads[static_cast<std::size_t>(workload)];
     }
-    bool pulls = false;  // it asks for tasks: it has room when it says so, and no probe can tell more
+    bool pulls = false;  // it requests tasks, so its own reports of capacity are exact and need no probe
 };
 
-// Load as a runner tells it, in the order of the names in "reports.names".
+// A runner's load values, in the order of the names in "reports.names".
 using Report = std::vector<double>;
 
-struct RosterNews {
-    RosterScope scope;
+struct MembershipUpdate {
+    UpdateScope scope;
     std::uint32_t version;
-    std::vector<RosterEntry> entries;
+    std::vector<EndpointEntry> entries;
 };
 struct TaskArrived {
     TaskId task{};
@@ -76,9 +74,9 @@
     double slots = 1;
     double memory = 0;
     bool hint_valid = false;
-    bool client_repeat = false;
+    bool client_retry = false;
     bool write = false;
-    bool after_break = false;
+    bool after_disconnect = false;
 };
 struct StreamBegun {
     TaskId task{};
@@ -88,19 +86,19 @@
 };
 struct AssignmentEnded {
     TaskId task{};
-    bool settled = false;  // the task has its final answer, by this or before it
-    std::uint32_t remark = 0;
+    bool task_answered = false;  // the task has its final answer, by this assignment or earlier
+    std::uint32_t detail = 0;
     Micros elapsed = 0;
     RunnerId runner{};
     int assignment = 0;
     Outcome outcome = Outcome::finished;
     Report report;
 };
-struct ClientLeft {
+struct ClientDisconnected {
     TaskId task{};
 };
-struct TimerDue {
-    TimerMark mark{};
+struct TimerFired {
+    TimerId timer{};
 };
 struct ProbeEnded {
     RunnerId runner{};
@@ -108,14 +106,14 @@
     Micros elapsed = 0;
     Report report;
 };
-// A runner that pulls: what it holds and how many it asks for, together.
-struct RoomTold {
+// From a runner that pulls: the tasks it runs plus the tasks it requests.
+struct CapacityReported {
     RunnerId runner{};
     double slots = 0;
 };
-struct PeerSaid {
+struct PeerMessage {
     PeerId from{};
-    std::string words;
+    std::string payload;
 };
 struct Progress {
     TaskId task{};
@@ -125,61 +123,68 @@
     Stage stage{};
 };
 
-// Other orders in service. A workload keeps its place as long as its terms; what is open goes on under those
-// it came by.
-struct OrdersRestated {
-    StatedOrders orders;
-    std::vector<WorkloadId> learn_from;  // by place: whose learning it takes over; one that is none: nobody's
+// New settings are in force. A workload keeps its id as long as its settings stay the same; open tasks keep
+// the settings under which they arrived.
+struct SettingsChanged {
+    SettingsMap settings;
+    std::vector<WorkloadId> learn_from;  // by new id: the workload whose estimates it takes over, if valid
 };
 
-// Whoever still waits is to have a final answer now: the dispatcher will not be there to give it later.
-struct LastCall {};
+// Every open task needs a final answer now, because the dispatcher is about to exit.
+struct DrainDeadline {};
 
-using Event = std::variant<RosterNews, TaskArrived, StreamBegun, AssignmentEnded, ClientLeft, TimerDue,
-                           ProbeEnded, PeerSaid, Progress, LastCall, RoomTold, OrdersRestated>;
+using Event =
+    std::variant<MembershipUpdate, TaskArrived, StreamBegun, AssignmentEnded, ClientDisconnected, TimerFired,
+                 ProbeEnded, PeerMessage, Progress, DrainDeadline, CapacityReported, SettingsChanged>;
 
+// Send the task to the runner, and stop waiting for it at the deadline (0: at the task's expiry).
 struct Assign {
     TaskId task{};
     RunnerId runner{};
-    Micros stop_at = 0;
+    Micros deadline = 0;
 };
+// Answer that the task did not run and may be sent again; retry_after 0: no time is named.
 struct Bounce {
     TaskId task{};
-    Micros stay_away = 0;
+    Micros retry_after = 0;
 };
+// Answer that the task failed and may have run.
 struct Abandon {
     TaskId task{};
 };
+// Cancel an assignment.
 struct Withdraw {
     TaskId task{};
     int assignment = 0;
 };
+// Send TimerFired at that time.
 struct WakeAt {
     Micros at = 0;
-    TimerMark mark{};
+    TimerId timer{};
 };
 struct Probe {
     RunnerId runner{};
 };
+// Close the runner's idle connections.
 struct CloseIdle {
     RunnerId runner{};
 };
-struct TellPeers {
-    std::string words;
-};  // to every peer
-struct TellPeer {
+struct BroadcastToPeers {
+    std::string payload;
+};
+struct SendToPeer {
     PeerId to{};
-    std::string words;
+    std::string payload;
 };
 struct LogLine {
     std::string text;
 };
-struct FollowRoster {
+struct WatchMembership {
     bool on = true;
 };
-struct AskRoster {};
+struct FetchMembership {};
 
-using Action = std::variant<Assign, Bounce, Abandon, Withdraw, WakeAt, Probe, CloseIdle, TellPeers, TellPeer,
-                            LogLine, FollowRoster, AskRoster>;
+using Action = std::variant<Assign, Bounce, Abandon, Withdraw, WakeAt, Probe, CloseIdle, BroadcastToPeers,
+                            SendToPeer, LogLine, WatchMembership, FetchMembership>;
 
 }  // namespace gannethold
--- a/tests/choice/learned_state_test.cpp
+++ b/tests/balancer/learned_state_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A module that has worked for a while with one slow and one quick runner.
-Lore learned() {
+LearnedState learned() {
     FakeHost host;
     host.fleet(2, 8);
     for (int i = 0; i < 200; ++i) {
@@ -18,32 +18,32 @@
         host.end(Outcome::finished, slow ? 400'000 : 50'000, 0, {8, 0, 0});
     }
     host.pass(3'000'000);
-    return host.choice.lore();
+    return host.balancer.learned_state();
 }
 
-Lore decayed_lore(Lore lore) {
-    for (RunnerLore& r : lore.runners)
-        r.latency.take(snapshot::decayed({r.latency.bins().begin(), r.latency.bins().end()}, 1, 8));
+LearnedState decayed_lore(LearnedState lore) {
+    for (RunnerEstimates& r : lore.runners)
+        r.latency.assign_bins(snapshot::decayed({r.latency.bins().begin(), r.latency.bins().end()}, 1, 8));
     return lore;
 }
 
 }  // namespace
 
 TEST_CASE("a module given what the one before learned splits traffic as it did, from the first task") {
-    const Lore lore = decayed_lore(learned());
+    const LearnedState lore = decayed_lore(learned());
     FakeHost fresh;
     fresh.fleet(2, 8);
-    CHECK(fresh.choice.fractions()[RunnerId{1}] == doctest::Approx(0.5));
-    fresh.choice.believe(lore);
-    CHECK(fresh.choice.fractions()[RunnerId{1}] < 0.3);
+    CHECK(fresh.balancer.fractions()[RunnerId{1}] == doctest::Approx(0.5));
+    fresh.balancer.restore(lore);
+    CHECK(fresh.balancer.fractions()[RunnerId{1}] < 0.3);
 }
 
 TEST_CASE("an estimate that live samples contradict is dropped with the second of them") {
     FakeHost host;
     host.fleet(2, 8);
-    host.choice.believe(decayed_lore(learned()));
+    host.balancer.restore(decayed_lore(learned()));
     const auto latency_of = [&](unsigned id) {
-        for (const RunnerLore& r : host.choice.lore().runners)
+        for (const RunnerEstimates& r : host.balancer.learned_state().runners)
             if (r.runner == RunnerId{id}) return r.latency.mean(0);
         return 0.0;
     };
@@ -62,17 +62,17 @@
 }
 
 TEST_CASE("estimates that are swapped are corrected by the tasks of a few seconds") {
-    const Lore lore = decayed_lore(learned());
-    Lore wrong = lore;
+    const LearnedState lore = decayed_lore(learned());
+    LearnedState wrong = lore;
     std::swap(wrong.runners[0].latency, wrong.runners[1].latency);
     std::swap(wrong.runners[0].fraction, wrong.runners[1].fraction);
-    std::swap(wrong.runners[0].least, wrong.runners[1].least);
+    std::swap(wrong.runners[0].min_latency, wrong.runners[1].min_latency);
     FakeHost host;
     host.fleet(2, 8);
-    host.choice.believe(wrong);
-    CHECK(host.choice.fractions()[RunnerId{1}] > 0.7);
+    host.balancer.restore(wrong);
+    CHECK(host.balancer.fractions()[RunnerId{1}] > 0.7);
     int tasks = 0;
-    while (host.choice.fractions()[RunnerId{1}] > 0.4 && tasks < 1'000) {
+    while (host.balancer.fractions()[RunnerId{1}] > 0.4 && tasks < 1'000) {
         ++tasks;
         host.ask();
         host.pass(20'000);
@@ -87,19 +87,19 @@
     const auto sent_in_first_second = [](bool has_estimates) {
         FakeHost host;
         host.now = 100'000'000;
-        RosterEntry cold = FakeHost::entry(1);
+        EndpointEntry cold = FakeHost::entry(1);
         cold.started_at = host.now - 100'000;
         host.fleet({cold});
         if (has_estimates) {
-            Lore lore;
-            RunnerLore r;
+            LearnedState lore;
+            RunnerEstimates r;
             r.runner = RunnerId{1};
             r.slots = 64;
             r.fraction = 1;
-            r.least = 0.5;
+            r.min_latency = 0.5;
             for (int i = 0; i < 8; ++i) r.latency.add(0.5);
             lore.runners.push_back(r);
-            host.choice.believe(lore);
+            host.balancer.restore(lore);
         }
         for (int i = 0; i < 100; ++i) host.ask();
         host.pass(900'000);
--- a/tests/choice_stories.cpp
+++ b/tests/balancer_test.cpp
@@ -24,8 +24,8 @@
     }
 }
 
-StatedOrders orders_with(const StatedOrders& others) {
-    StatedOrders orders = plain_orders();
+SettingsMap orders_with(const SettingsMap& others) {
+    SettingsMap orders = plain_orders();
     for (const auto& [name, value] : others) orders[name] = value;
     return orders;
 }
@@ -53,7 +53,7 @@
         FakeHost host;
         host.fleet(3, 2);
         host.ask(2);
-        CHECK(host.assigned.back().stop_at < host.now + 5'000'000);
+        CHECK(host.assigned.back().deadline < host.now + 5'000'000);
         host.end(outcome);
         CHECK(host.assigned.size() == 1U + proves_never_ran(outcome));
         CHECK(host.count<Abandon>() == !proves_never_ran(outcome));
@@ -90,24 +90,24 @@
     for (const int way : {0, 1, 2}) {
         FakeHost host;
         host.fleet(2, 4);
-        if (way == 0) host.fleet({host.entry(1, RunnerState::draining)}, RosterScope::changes);
-        if (way == 1) host.fleet({host.entry(1, RunnerState::gone)}, RosterScope::changes);
+        if (way == 0) host.fleet({host.entry(1, RunnerState::draining)}, UpdateScope::delta);
+        if (way == 1) host.fleet({host.entry(1, RunnerState::gone)}, UpdateScope::delta);
         if (way == 2) host.fleet({host.entry(2)});
         for (int i = 0; i < 8; ++i) host.ask();
         for (const Assign& a : host.assigned) CHECK(a.runner == RunnerId{2});
         CHECK(host.assigned.size() == 4);
-        CHECK(host.choice.fractions().count(RunnerId{1}) == 0);
+        CHECK(host.balancer.fractions().count(RunnerId{1}) == 0);
     }
 }
 
 TEST_CASE("rule 4: a cold runner gets a part of its budget, however much room it reports") {
-    const StatedOrders orders = orders_with({{"rules.cold_from", "0.1"},
-                                             {"rules.warm_after_us", "20000000"},
-                                             {"rules.fall_multiple", "4"},
-                                             {"rules.tip_after_us", "2000000"},
-                                             {"dispatchers", "4"}});
+    const SettingsMap orders = orders_with({{"rules.cold_from", "0.1"},
+                                            {"rules.warm_after_us", "20000000"},
+                                            {"rules.fall_multiple", "4"},
+                                            {"rules.tip_after_us", "2000000"},
+                                            {"dispatchers", "4"}});
     FakeHost host(orders);
-    RosterEntry started = host.entry(1);
+    EndpointEntry started = host.entry(1);
     started.started_at = host.now;
     host.fleet({started});
     for (int i = 0; i < 20; ++i, host.pass(50'000)) {
@@ -124,9 +124,9 @@
 TEST_CASE("fractions start equal, sum to one, and move toward the faster runner") {
     FakeHost host;
     host.fleet(4, 2);
-    for (const auto& [id, f] : host.choice.fractions()) CHECK(f == doctest::Approx(0.25));
+    for (const auto& [id, f] : host.balancer.fractions()) CHECK(f == doctest::Approx(0.25));
     work_through(host, 150);
-    const auto fractions = host.choice.fractions();
+    const auto fractions = host.balancer.fractions();
     CHECK(sum_of(fractions) == doctest::Approx(1));
     CHECK(fractions.at(RunnerId{1}) > 0.4);
 }
@@ -135,11 +135,11 @@
     FakeHost host;
     host.fleet(4, 2);
     work_through(host, 100);
-    host.fleet({host.entry(5)}, RosterScope::changes);
-    CHECK(host.choice.fractions().at(RunnerId{5}) == doctest::Approx(0.2));
-    CHECK(sum_of(host.choice.fractions()) == doctest::Approx(1));
-    host.fleet({host.entry(1, RunnerState::draining)}, RosterScope::changes);
-    CHECK(sum_of(host.choice.fractions()) == doctest::Approx(1));
+    host.fleet({host.entry(5)}, UpdateScope::delta);
+    CHECK(host.balancer.fractions().at(RunnerId{5}) == doctest::Approx(0.2));
+    CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
+    host.fleet({host.entry(1, RunnerState::draining)}, UpdateScope::delta);
+    CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
 }
 
 TEST_CASE("the same seed and events give the same picks, another seed others") {
@@ -162,7 +162,7 @@
         host.pass(100'000);
         host.end(Outcome::finished, 300'000, 0, {3, 0, 1});
     }
-    CHECK(host.choice.fractions().at(RunnerId{1}) < 0.2);
+    CHECK(host.balancer.fractions().at(RunnerId{1}) < 0.2);
 }
 
 // ---- room ----
@@ -192,7 +192,7 @@
         for (int i = 0; i < 3; ++i) host.ask();
         CHECK(host.assigned.size() == 1);
         host.pass(1'500'000);
-        CHECK(sum_of(host.choice.fractions()) == doctest::Approx(1));
+        CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
     }
 }
 
@@ -214,7 +214,7 @@
     for (const bool known : {true, false}) {
         FakeHost host(
             orders_with({{"zone", "1"}, {"reports.names", known ? "free_slots,waiting,held" : ""}}));
-        RosterEntry near = host.entry(1);
+        EndpointEntry near = host.entry(1);
         near.zone = ZoneId{1};
         host.fleet({near, host.entry(2)});
         for (const unsigned id : {1u, 2u}) host.report(id, 8, 0);
@@ -281,7 +281,7 @@
     CHECK(host.assigned.size() == 3);
     REQUIRE(host.count<Bounce>() == 1);
     for (const Action& a : host.all)
-        if (const auto* b = std::get_if<Bounce>(&a)) CHECK(b->stay_away == 2'000'000);
+        if (const auto* b = std::get_if<Bounce>(&a)) CHECK(b->retry_after == 2'000'000);
 }
 
 TEST_CASE("while overload is seen nothing is assigned a second time") {
@@ -306,7 +306,7 @@
         TaskArrived hasty;
         hasty.task = TaskId{99};
         hasty.expiry = host.now + 600'000;
-        hasty.client_repeat = repeat;
+        hasty.client_retry = repeat;
         host.tell(hasty);
         CHECK(host.assigned.size() == (repeat ? 1 : 2));
         CHECK(host.count<Bounce>() == (repeat ? 1 : 0));
@@ -324,7 +324,7 @@
         TaskArrived late;
         late.task = TaskId{99};
         late.expiry = host.now + 2'500'000;
-        late.client_repeat = true;
+        late.client_retry = true;
         host.tell(late);
         host.pass(100'000);
         REQUIRE((host.assigned.size() == 2 && host.count<Bounce>() == 0));
@@ -346,7 +346,7 @@
     TaskArrived late;
     late.task = TaskId{99};
     late.expiry = host.now + 2'500'000;
-    late.client_repeat = true;
+    late.client_retry = true;
     host.tell(late);
     CHECK(host.assigned.size() == 1);
 }
@@ -368,7 +368,7 @@
 }
 
 TEST_CASE("one customer's surge waits behind what the others may ask for") {
-    StatedOrders orders = orders_with({{"customers.count", "2"}});
+    SettingsMap orders = orders_with({{"customers.count", "2"}});
     orders["customers.0.allowance_per_s"] = orders["customers.1.allowance_per_s"] = "4";
     orders["importance.surplus"] = "0.05";
     FakeHost host(orders);
@@ -384,30 +384,30 @@
 
 TEST_CASE("where the roster must be asked it is, again after failures, with room left in the rule") {
     FakeHost host(orders_with({{"roster.how", "on_request"}}));
-    host.fleet({host.entry(1)}, RosterScope::remembered);
+    host.fleet({host.entry(1)}, UpdateScope::cached);
     for (int i = 0; i < 6; ++i) {
-        const int asked = host.count<FollowRoster>();
-        host.tell(RosterNews{RosterScope::failed, 0, {}});
+        const int asked = host.count<WatchMembership>();
+        host.tell(MembershipUpdate{UpdateScope::failed, 0, {}});
         host.pass(4'000'000);
-        CHECK(host.count<FollowRoster>() == asked + 1);
+        CHECK(host.count<WatchMembership>() == asked + 1);
     }
-    host.tell(RosterNews{RosterScope::changes, 2, {}});
-    const int asked = host.count<FollowRoster>();
+    host.tell(MembershipUpdate{UpdateScope::delta, 2, {}});
+    const int asked = host.count<WatchMembership>();
     host.pass(20'000'000);
-    CHECK(host.count<FollowRoster>() == asked);
+    CHECK(host.count<WatchMembership>() == asked);
 }
 
 TEST_CASE("a roster that empties and comes back, or names what cannot be, leaves a working table") {
     FakeHost host;
     host.fleet(3, 2);
-    host.fleet(std::vector<RosterEntry>{});
-    CHECK(host.choice.fractions().empty());
+    host.fleet(std::vector<EndpointEntry>{});
+    CHECK(host.balancer.fractions().empty());
     host.pass(1'500'000);
-    RosterEntry odd = host.entry(4);
-    odd.kind = KindId{4'000'000'000};
+    EndpointEntry odd = host.entry(4);
+    odd.instance_type = InstanceTypeId{4'000'000'000};
     host.fleet({host.entry(1), odd, odd, host.entry(2)});
-    CHECK(sum_of(host.choice.fractions()) == doctest::Approx(1));
-    CHECK(host.choice.fractions().size() == 3);
+    CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
+    CHECK(host.balancer.fractions().size() == 3);
     host.ask();
     CHECK(host.assigned.size() == 1);
 }
@@ -495,16 +495,16 @@
         const RunnerId failing = host.assigned.back().runner;
         host.end(Outcome::error, 20'000);
         host.pass(5'000'000);
-        const auto views = host.choice.runners();
+        const auto views = host.balancer.runners();
         const auto view = std::find_if(views.begin(), views.end(),
                                        [&](const RunnerView& v) { return v.runner == failing; });
-        CHECK((view->aside_until > host.now) == large);
+        CHECK((view->ejected_until > host.now) == large);
     }
 }
 
 // One of several dispatchers where runners report nothing and tell when a task begins.
-static StatedOrders silent_orders(int dispatchers, int me = 0, StatedOrders more = {}) {
-    StatedOrders orders = orders_with({{"trade.tells_start", "true"}, {"reports.names", ""}});
+static SettingsMap silent_orders(int dispatchers, int me = 0, SettingsMap more = {}) {
+    SettingsMap orders = orders_with({{"trade.tells_start", "true"}, {"reports.names", ""}});
     orders["dispatchers"] = std::to_string(dispatchers), orders["me"] = std::to_string(me);
     for (const auto& [name, value] : more) orders[name] = value;
     return orders;
@@ -529,8 +529,8 @@
     std::map<RunnerId, int> first, all;
     for (int me = 0; me < 20; ++me) {
         FakeHost host(silent_orders(20, me));
-        std::vector<RosterEntry> entries = FakeHost::entries(20);
-        for (RosterEntry& e : entries) e.share = static_cast<unsigned>(e.runner) % 2 ? 0.7 : 1.3;
+        std::vector<EndpointEntry> entries = FakeHost::entries(20);
+        for (EndpointEntry& e : entries) e.weight = static_cast<unsigned>(e.runner) % 2 ? 0.7 : 1.3;
         host.fleet(std::move(entries));
         for (int i = 0; i < 2; ++i) host.ask();
         for (const Assign& a : host.assigned) ++all[a.runner];
@@ -543,10 +543,10 @@
 
 TEST_CASE("the first fractions follow the sizes that the list names") {
     FakeHost host(silent_orders(2));
-    std::vector<RosterEntry> entries = FakeHost::entries(2);
-    entries[0].share = 3;
+    std::vector<EndpointEntry> entries = FakeHost::entries(2);
+    entries[0].weight = 3;
     host.fleet(std::move(entries));
-    CHECK(host.choice.fractions().at(RunnerId{1}) == doctest::Approx(0.75));
+    CHECK(host.balancer.fractions().at(RunnerId{1}) == doctest::Approx(0.75));
 }
 
 TEST_CASE("where what is sent beyond the own part waits there, hardly any more is") {
@@ -577,7 +577,7 @@
                                      {"rules.tip_after_us", "1500000"},
                                      {"rules.cold_from", "0.4"},
                                      {"workloads.0.due_time_us", "300000"}}));
-        std::vector<RosterEntry> entries = FakeHost::entries(10);
+        std::vector<EndpointEntry> entries = FakeHost::entries(10);
         entries[4].started_at = host.now - 1;
         host.fleet(std::move(entries));
         for (int i = 0; i < 30; ++i) host.ask();
@@ -598,7 +598,7 @@
                                      {"rules.tip_after_us", "1500000"},
                                      {"rules.cold_from", "0.4"},
                                      {"workloads.0.due_time_us", "500000"}}));
-        std::vector<RosterEntry> entries = FakeHost::entries(4);  // ten to a runner
+        std::vector<EndpointEntry> entries = FakeHost::entries(4);  // ten to a runner
         entries[1].started_at = host.now - 1;
         host.fleet(std::move(entries));
         for (int i = 0; i < 10; ++i) host.ask();
@@ -609,10 +609,10 @@
 
 TEST_CASE("a list that names sizes of nothing still has its runners drawn") {
     FakeHost host(silent_orders(2));
-    std::vector<RosterEntry> entries = FakeHost::entries(4);
-    for (RosterEntry& e : entries) e.share = 0;
+    std::vector<EndpointEntry> entries = FakeHost::entries(4);
+    for (EndpointEntry& e : entries) e.weight = 0;
     host.fleet(std::move(entries));
-    CHECK(sum_of(host.choice.fractions()) == doctest::Approx(1));
+    CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
 }
 
 TEST_CASE("a further slot that had to wait is not tried again for long") {
@@ -635,7 +635,7 @@
     std::set<RunnerId> near, expected;
     restated.fleet(FakeHost::entries(10));
     from_start.fleet(FakeHost::entries(10));
-    restated.tell(OrdersRestated{silent_orders(10, 5), {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
+    restated.tell(SettingsChanged{silent_orders(10, 5), {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
     for (int i = 0; i < 2; ++i) restated.ask(), from_start.ask();
     for (const Assign& a : restated.assigned) near.insert(a.runner);
     for (const Assign& a : from_start.assigned) expected.insert(a.runner);
@@ -656,7 +656,7 @@
 TEST_CASE("a runner never tried is judged by its kind") {
     FakeHost host;
     auto list = host.entries(4);
-    list[1].kind = list[3].kind = KindId{1};
+    list[1].instance_type = list[3].instance_type = InstanceTypeId{1};
     host.fleet(list);
     for (int i = 0; i < 60; ++i) {
         for (unsigned id : {3u, 4u}) host.report(id, 0, 9);
@@ -665,7 +665,7 @@
         host.pass(100'000);
         host.end(Outcome::finished, slow ? 800'000 : 100'000);
     }
-    CHECK(host.choice.fractions().at(RunnerId{4}) < 0.5 * host.choice.fractions().at(RunnerId{3}));
+    CHECK(host.balancer.fractions().at(RunnerId{4}) < 0.5 * host.balancer.fractions().at(RunnerId{3}));
 }
 
 TEST_CASE("on old news a runner is asked before work goes to it, the less often the longer that waits") {
@@ -693,10 +693,10 @@
     host.tell(AssignmentEnded{TaskId{99}, true, 0, 1, RunnerId{1}, 0, Outcome::finished, {}});
     host.tell(AssignmentEnded{TaskId{1}, true, 0, 1, RunnerId{77}, 0, Outcome::finished, {}});
     host.tell(AssignmentEnded{TaskId{1}, true, 0, 1, RunnerId{1}, 9, Outcome::finished, {}});
-    host.tell(ClientLeft{TaskId{99}});
+    host.tell(ClientDisconnected{TaskId{99}});
     host.tell(ProbeEnded{RunnerId{77}, Outcome::finished, 1, {}});
     host.tell(Progress{TaskId{99}, std::nan(""), RunnerId{77}, 0, Stage::progress});
-    host.tell(ClientLeft{TaskId{1}});
+    host.tell(ClientDisconnected{TaskId{1}});
     CHECK(host.count<Withdraw>() == 1);
     for (int i = 0; i < 2; ++i) host.end(Outcome::withdrawn);
     CHECK(host.answers.empty());
@@ -707,7 +707,7 @@
     CHECK_THROWS_WITH_AS(FakeHost(orders_with({{"rules.fall_multiple", "four"}})),
                          doctest::Contains("rules.fall_multiple"), std::runtime_error);
     CHECK_THROWS_AS(FakeHost(orders_with({{"caps.probes", "maybe"}})), std::runtime_error);
-    StatedOrders orders = plain_orders();
+    SettingsMap orders = plain_orders();
     orders.erase("workloads.0.effect");
     FakeHost host(orders);
     host.fleet(2, 2);
@@ -731,7 +731,7 @@
 }
 
 TEST_CASE("where nobody reports, slots are found within as many answers, not seconds") {
-    StatedOrders orders = plain_orders();
+    SettingsMap orders = plain_orders();
     orders.erase("reports.names");
     FakeHost host(orders);
     host.fleet(FakeHost::entries(1));
@@ -751,7 +751,7 @@
 TEST_CASE(
     "where only draining binds, what a list calls gone goes on by its own answers, and a drain holds until a "
     "start") {
-    StatedOrders orders = plain_orders();
+    SettingsMap orders = plain_orders();
     orders["rules.only_draining_binds"] = "true";
     FakeHost host(orders);
     const auto sent_to = [&](unsigned id) {
@@ -766,22 +766,22 @@
     host.fleet(3, 9);
     host.fleet({FakeHost::entry(1)});  // a wrong list: two that live are left out
     CHECK(sent_to(2));
-    host.fleet({FakeHost::entry(3, RunnerState::gone)}, RosterScope::changes);
+    host.fleet({FakeHost::entry(3, RunnerState::gone)}, UpdateScope::delta);
     CHECK(sent_to(3));
-    host.fleet({FakeHost::entry(2, RunnerState::draining)}, RosterScope::changes);
+    host.fleet({FakeHost::entry(2, RunnerState::draining)}, UpdateScope::delta);
     CHECK_FALSE(sent_to(2));
     host.fleet({FakeHost::entry(1)});
     CHECK_FALSE(sent_to(2));  // dropped after its drain
     host.fleet(FakeHost::entries(3));
     CHECK_FALSE(sent_to(2));  // an old list come back
-    RosterEntry again = FakeHost::entry(2);
+    EndpointEntry again = FakeHost::entry(2);
     again.started_at = host.now;
-    host.fleet({again}, RosterScope::changes);
+    host.fleet({again}, UpdateScope::delta);
     host.report(2, 9, 0);
     host.pass(40'000'000);
     CHECK(sent_to(2));
     // Of one that is called gone its own failure is believed, and no trial follows.
-    host.fleet({FakeHost::entry(3, RunnerState::gone)}, RosterScope::changes);
+    host.fleet({FakeHost::entry(3, RunnerState::gone)}, UpdateScope::delta);
     host.report(1, 0, 9), host.report(2, 0, 9);  // the others are full
     host.ask();
     CHECK(host.assigned.back().runner == RunnerId{3});
@@ -790,7 +790,7 @@
     host.pass(6'000'000);
     CHECK_FALSE(sent_to(3));
     orders["rules.only_draining_binds"] = "perhaps";
-    CHECK_THROWS_WITH(Choice(orders, 1),
+    CHECK_THROWS_WITH(Balancer(orders, 1),
                       "standing order rules.only_draining_binds is neither true nor false: perhaps");
 }
 
@@ -799,17 +799,17 @@
     "asks at once") {
     // When each of a fleet first asks, and when again after failures in a row, from its start.
     const auto asks = [](int dispatchers, std::uint64_t seed) {
-        StatedOrders orders = plain_orders();
+        SettingsMap orders = plain_orders();
         orders["roster.how"] = "on_request", orders["rules.must_ask_in_us"] = "10000000";
         orders["dispatchers"] = std::to_string(dispatchers);
         FakeHost host(orders, seed);
         const Micros from = host.now;
-        host.fleet(FakeHost::entries(4), RosterScope::remembered);
+        host.fleet(FakeHost::entries(4), UpdateScope::cached);
         std::vector<Micros> at;
         for (int i = 0; i < 20'000 && at.size() < 7; ++i) {
-            if (host.count<FollowRoster>() > static_cast<int>(at.size())) {
+            if (host.count<WatchMembership>() > static_cast<int>(at.size())) {
                 at.push_back(host.now - from);
-                host.tell(RosterNews{RosterScope::failed, 0, {}});
+                host.tell(MembershipUpdate{UpdateScope::failed, 0, {}});
             }
             host.pass(20'000);
         }
--- a/tests/beanstalk_stories.cpp
+++ b/tests/beanstalk_stories.cpp
@@ -320,7 +320,7 @@
     CHECK(hall.state(std::stoull(a)) == "buried");
     // The last call finds nobody who waits; undone, the next job goes to who stood in its reserve all the
     // while.
-    hall.choice.note(hall.now, LastCall{});
+    hall.balancer.apply(hall.now, DrainDeadline{});
     hall.settle();
     hall.exchange.hand_out(true);
     hall.exchange.turn_away(false);
@@ -338,7 +338,7 @@
         const auto job = Hall::number(hall.ask(one, put("x", "1 0 60")));
         hall.ask(one, "reserve");
         hall.exchange.hand_out(false);
-        hall.choice.note(hall.now, LastCall{});
+        hall.balancer.apply(hall.now, DrainDeadline{});
         hall.settle();
         CHECK(hall.exchange.tasks_out() == 0);
         CHECK(hall.ask(one, "bury " + std::to_string(job) + " 1") == "NOT_FOUND\r\n");
--- a/tests/fuzz/beanstalk.cpp
+++ b/tests/fuzz/beanstalk.cpp
@@ -27,10 +27,10 @@
         return tasks.back();
     }
     void take_back(TaskId task) override { std::erase(tasks, task); }
-    RunnerId worker_joins(SessionId, const Serves&, bool) override {
+    RunnerId worker_joins(SessionId, const WorkloadSet&, bool) override {
         return workers.emplace_back(RunnerId{++joined_});
     }
-    void worker_serves(RunnerId, const Serves&) override {}
+    void worker_serves(RunnerId, const WorkloadSet&) override {}
     void worker_leaves(RunnerId worker) override { std::erase(workers, worker); }
     void worker_room(RunnerId, double slots) override {
         if (slots < 0) std::abort();
@@ -64,7 +64,7 @@
     std::vector<SessionId> closing;
 
   private:
-    StatedOrders orders_;
+    SettingsMap orders_;
     Trade trade_;
     Workloads workloads_;
     std::uint64_t last_ = 0;
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -20,7 +20,7 @@
         : orders_(plain_orders()),
           trade_(std::move(trade)),
           workloads_(add_workloads(orders_, trade_)),
-          choice(orders_, seed),
+          balancer(orders_, seed),
           exchange(trade_, workloads_.places, *this) {}
 
     static Trade trade(const std::string& effect, bool cold = false) {
@@ -61,7 +61,7 @@
             now = std::max(now, next);
             bool due = false;
             while (!wakes_.empty() && *wakes_.begin() <= now) wakes_.erase(wakes_.begin()), due = true;
-            if (due) choice.note(now, TimerDue{});
+            if (due) balancer.apply(now, TimerFired{});
             settle();
             if (now >= until) return;
         }
@@ -70,13 +70,13 @@
         for (int turn = 0; turn < 50; ++turn) {
             look_at_ = exchange.pass(now);
             std::vector<Action> out;
-            choice.settle(now, out);
+            balancer.collect_actions(now, out);
             if (out.empty()) return;
             for (const Action& a : out) {
                 if (const auto* w = std::get_if<WakeAt>(&a)) wakes_.insert(w->at);
                 if (const auto* s = std::get_if<Assign>(&a)) assign(*s);
                 if (const auto* b = std::get_if<Bounce>(&a))
-                    answer(b->task, fronts::Answer::bounced, b->stay_away);
+                    answer(b->task, fronts::Answer::bounced, b->retry_after);
                 if (const auto* b = std::get_if<Abandon>(&a)) answer(b->task, fronts::Answer::abandoned, 0);
                 if (const auto* w = std::get_if<Withdraw>(&a)) exchange.withdraw(w->task, w->assignment);
                 if (const auto* p = std::get_if<Probe>(&a)) exchange.probe(p->runner);
@@ -113,47 +113,49 @@
         a.task = TaskId{++tasks_};
         a.workload = workload, a.customer = CustomerId{UINT32_MAX}, a.expiry = now + plan.expiry;
         tasks[a.task] = {job.id, a.expiry, 0, true};
-        choice.note(now, a);
+        balancer.apply(now, a);
         return a.task;
     }
     void take_back(TaskId task) override {
         if (!tasks[task].waits) return;
         tasks[task].waits = false;
-        choice.note(now, ClientLeft{task});
+        balancer.apply(now, ClientDisconnected{task});
     }
-    RunnerId worker_joins(SessionId, const Serves& serves, bool cold) override {
-        RosterEntry e;
-        e.runner = RunnerId{++workers_}, e.serves = serves, e.pulls = true, e.started_at = cold ? now : 0;
+    RunnerId worker_joins(SessionId, const WorkloadSet& serves, bool cold) override {
+        EndpointEntry e;
+        e.runner = RunnerId{++workers_}, e.workloads = serves, e.pulls = true, e.started_at = cold ? now : 0;
         entries[e.runner] = e;
-        choice.note(now, RosterNews{RosterScope::guests, 0, {e}});
+        balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {e}});
         return e.runner;
     }
-    void worker_serves(RunnerId worker, const Serves& serves) override {
-        entries[worker].serves = serves;
-        choice.note(now, RosterNews{RosterScope::guests, 0, {entries[worker]}});
+    void worker_serves(RunnerId worker, const WorkloadSet& serves) override {
+        entries[worker].workloads = serves;
+        balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {entries[worker]}});
     }
     void worker_leaves(RunnerId worker) override { state_of(worker, RunnerState::gone); }
     void state_of(RunnerId worker, RunnerState state) {
         entries[worker].state = state;
-        choice.note(now, RosterNews{RosterScope::guests, 0, {entries[worker]}});
+        balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {entries[worker]}});
         exchange.remind(worker);
     }
-    void worker_room(RunnerId worker, double slots) override { choice.note(now, RoomTold{worker, slots}); }
+    void worker_room(RunnerId worker, double slots) override {
+        balancer.apply(now, CapacityReported{worker, slots});
+    }
     void errand_ended(runners::ErrandEnded&& e) override {
         const bool finished = e.ending == net::Ending::done;
         if (finished) answer(e.task, fronts::Answer::finished, 0);
         const Outcome outcome = finished                                  ? Outcome::finished
                                 : e.ending == net::Ending::handed_back    ? Outcome::full
-                                : e.ending == net::Ending::stopped_unsent ? Outcome::moot
+                                : e.ending == net::Ending::stopped_unsent ? Outcome::not_started
                                 : e.ending == net::Ending::withdrawn      ? Outcome::withdrawn
                                 : e.ending == net::Ending::stopped        ? Outcome::timed_out
                                 : e.ending == net::Ending::failed         ? Outcome::error
                                                                           : Outcome::reset;
-        choice.note(now, AssignmentEnded{
-                             e.task, !tasks[e.task].waits, 0, e.elapsed, e.runner, e.number, outcome, {}});
+        balancer.apply(now, AssignmentEnded{
+                                e.task, !tasks[e.task].waits, 0, e.elapsed, e.runner, e.number, outcome, {}});
     }
     void probe_ended(RunnerId worker) override {
-        choice.note(now, ProbeEnded{worker, Outcome::finished, 0, {}});
+        balancer.apply(now, ProbeEnded{worker, Outcome::finished, 0, {}});
     }
 
     struct Task {
@@ -167,14 +169,15 @@
     std::map<std::string, int> runs;  // by body
     std::map<std::string, std::uint64_t> last_number;
     std::map<TaskId, Task> tasks;
-    std::map<RunnerId, RosterEntry> entries;
+    std::map<RunnerId, EndpointEntry> entries;
     int answers_twice = 0, answers_late = 0;
 
   private:
     void assign(const Assign& wanted) {
         Task& t = tasks[wanted.task];
-        exchange.assign(wanted.runner, {wanted.task, t.assignments++, "", "", nullptr,
-                                        wanted.stop_at > 0 ? std::min(wanted.stop_at, t.expiry) : t.expiry});
+        exchange.assign(wanted.runner,
+                        {wanted.task, t.assignments++, "", "", nullptr,
+                         wanted.deadline > 0 ? std::min(wanted.deadline, t.expiry) : t.expiry});
     }
     void answer(TaskId task, fronts::Answer answer, Micros stay_away) {
         Task& t = tasks[task];
@@ -184,7 +187,7 @@
         exchange.answer(task, answer, "", stay_away);
     }
 
-    StatedOrders orders_;
+    SettingsMap orders_;
     Trade trade_;
     Workloads workloads_;
     std::multiset<Micros> wakes_;
@@ -194,7 +197,7 @@
     std::optional<SessionId> watcher_;
 
   public:
-    Choice choice;
+    Balancer balancer;
     Exchange exchange;
 };
 
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -21,33 +21,33 @@
 #include <sstream>
 #include <utility>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "dispatcher/dispatcher.hpp"
 
 namespace gannethold {
 
-inline StatedOrders plain_orders() {
-    StatedOrders orders{{"workloads.count", "3"},
-                        {"workloads.0.effect", "idempotent"},
-                        {"workloads.1.effect", "fingerprinted"},
-                        {"workloads.2.effect", "side-effecting"},
-                        {"workloads.1.group", "cell"},
-                        {"workloads.1.window_us", "4000000"},
-                        {"workloads.0.importance", "1"},
-                        {"workloads.1.importance", "9"},
-                        {"rules.fall_multiple", "400"},
-                        {"caps.max_assignments", "4"},
-                        {"caps.cancelling", "true"},
-                        {"reports.names", "free_slots,waiting,held"}};
+inline SettingsMap plain_orders() {
+    SettingsMap orders{{"workloads.count", "3"},
+                       {"workloads.0.effect", "idempotent"},
+                       {"workloads.1.effect", "fingerprinted"},
+                       {"workloads.2.effect", "side-effecting"},
+                       {"workloads.1.group", "cell"},
+                       {"workloads.1.window_us", "4000000"},
+                       {"workloads.0.importance", "1"},
+                       {"workloads.1.importance", "9"},
+                       {"rules.fall_multiple", "400"},
+                       {"caps.max_assignments", "4"},
+                       {"caps.cancelling", "true"},
+                       {"reports.names", "free_slots,waiting,held"}};
     for (const std::string workload : {"workloads.0.", "workloads.1.", "workloads.2."})
         orders[workload + "due_time_us"] = "1000000", orders[workload + "expiry_us"] = "5000000";
     return orders;
 }
 
 struct FakeHost {
-    explicit FakeHost(StatedOrders orders = plain_orders(), std::uint64_t seed = 1) : choice(orders, seed) {}
+    explicit FakeHost(SettingsMap orders = plain_orders(), std::uint64_t seed = 1) : balancer(orders, seed) {}
 
-    Choice choice;
+    Balancer balancer;
     Micros now = 10'000'000;
     std::vector<Action> all;
     std::vector<Assign> assigned;
@@ -56,8 +56,8 @@
 
     void tell(const Event& event) {
         std::vector<Action> out;
-        choice.note(now, event);
-        choice.settle(now, out);
+        balancer.apply(now, event);
+        balancer.collect_actions(now, out);
         for (const Action& a : out) {
             if (const auto* w = std::get_if<WakeAt>(&a)) wakes.insert(w->at);
             if (const auto* b = std::get_if<Bounce>(&a)) ++answers[b->task];
@@ -74,19 +74,19 @@
         while (!wakes.empty() && *wakes.begin() <= until) {
             now = std::max(now, *wakes.begin());
             wakes.erase(wakes.begin());
-            tell(TimerDue{});
+            tell(TimerFired{});
         }
         now = until;
     }
 
-    static RosterEntry entry(unsigned id, RunnerState state = RunnerState::ready, unsigned group = 0) {
+    static EndpointEntry entry(unsigned id, RunnerState state = RunnerState::ready, unsigned group = 0) {
         return {.runner = RunnerId{id}, .group = GroupId{group}, .state = state};
     }
-    void fleet(std::vector<RosterEntry> entries, RosterScope scope = RosterScope::complete) {
-        tell(RosterNews{scope, 1, std::move(entries)});
+    void fleet(std::vector<EndpointEntry> entries, UpdateScope scope = UpdateScope::complete) {
+        tell(MembershipUpdate{scope, 1, std::move(entries)});
     }
-    static std::vector<RosterEntry> entries(unsigned n) {
-        std::vector<RosterEntry> all;
+    static std::vector<EndpointEntry> entries(unsigned n) {
+        std::vector<EndpointEntry> all;
         for (unsigned id = 1; id <= n; ++id) all.push_back(entry(id));
         return all;
     }
--- a/tests/recorded/events.cpp
+++ b/tests/recorded/events.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "choice.hpp"
+#include "balancer.hpp"
 #include "recording.hpp"
 
 namespace {
@@ -31,63 +31,64 @@
         digest.whole(static_cast<std::uint64_t>(code));
         for (const std::uint64_t value : values) digest.whole(value);
     }
-    void operator()(const Assign& a) const { put(1, {raw(a.task), raw(a.runner), raw(a.stop_at)}); }
-    void operator()(const Bounce& a) const { put(2, {raw(a.task), raw(a.stay_away)}); }
+    void operator()(const Assign& a) const { put(1, {raw(a.task), raw(a.runner), raw(a.deadline)}); }
+    void operator()(const Bounce& a) const { put(2, {raw(a.task), raw(a.retry_after)}); }
     void operator()(const Abandon& a) const { put(3, {raw(a.task)}); }
     void operator()(const Withdraw& a) const { put(4, {raw(a.task), raw(a.assignment)}); }
-    void operator()(const WakeAt& a) const { put(5, {raw(a.at), raw(a.mark)}); }
+    void operator()(const WakeAt& a) const { put(5, {raw(a.at), raw(a.timer)}); }
     void operator()(const Probe& a) const { put(6, {raw(a.runner)}); }
     void operator()(const CloseIdle& a) const { put(7, {raw(a.runner)}); }
-    void operator()(const TellPeers&) const { put(8); }
-    void operator()(const TellPeer& a) const { put(9, {raw(a.to)}); }
+    void operator()(const BroadcastToPeers&) const { put(8); }
+    void operator()(const SendToPeer& a) const { put(9, {raw(a.to)}); }
     void operator()(const LogLine&) const { put(10); }
-    void operator()(const FollowRoster& a) const { put(11, {a.on}); }
-    void operator()(const AskRoster&) const { put(12); }
+    void operator()(const WatchMembership& a) const { put(11, {a.on}); }
+    void operator()(const FetchMembership&) const { put(12); }
 };
 
 void digest_histogram(Digest& digest, const Histogram& histogram) {
     for (const auto bin : histogram.bins()) digest.real(bin);
 }
 
-void digest_lore(Digest& digest, const Lore& lore) {
-    for (const RunnerLore& r : lore.runners) {
+void digest_lore(Digest& digest, const LearnedState& lore) {
+    for (const RunnerEstimates& r : lore.runners) {
         digest.whole(raw(r.runner)), digest_histogram(digest, r.latency);
-        digest.real(r.least), digest.real(r.slots), digest.real(r.fraction);
-        digest.whole(raw(r.aside_for)), digest.whole(raw(r.cold_for));
+        digest.real(r.min_latency), digest.real(r.slots), digest.real(r.fraction);
+        digest.whole(raw(r.ejected_for)), digest.whole(raw(r.warming_for));
     }
-    digest.whole(lore.places);
-    for (const KindLore& k : lore.kinds)
-        digest.whole(raw(k.kind)), digest_histogram(digest, k.latency), digest.real(k.weight);
+    digest.whole(lore.table_size);
+    for (const InstanceTypeEstimates& k : lore.instance_types)
+        digest.whole(raw(k.instance_type)), digest_histogram(digest, k.latency), digest.real(k.weight);
     for (const Histogram& w : lore.workloads) digest_histogram(digest, w);
-    digest.real(lore.usual_cost);
+    digest.real(lore.typical_cost);
 }
 
-void digest_view(Digest& digest, const Choice& choice) {
-    for (const auto& [id, fraction] : choice.fractions()) digest.whole(raw(id)), digest.real(fraction);
-    for (const RunnerView& v : choice.runners()) {
-        digest.whole(raw(v.runner)), digest.whole(v.ready * 4U + v.trial * 2U + v.doubted);
-        digest.real(v.share), digest.real(v.slots), digest.real(v.room), digest.real(v.warmth);
-        digest.whole(raw(v.out)), digest.whole(raw(v.reported_at)), digest.whole(raw(v.aside_until));
+void digest_view(Digest& digest, const Balancer& balancer) {
+    for (const auto& [id, fraction] : balancer.fractions()) digest.whole(raw(id)), digest.real(fraction);
+    for (const RunnerView& v : balancer.runners()) {
+        digest.whole(raw(v.runner)), digest.whole(v.ready * 4U + v.trial * 2U + v.suspected);
+        digest.real(v.fraction), digest.real(v.slots), digest.real(v.free_slots),
+            digest.real(v.slow_start_factor);
+        digest.whole(raw(v.in_flight)), digest.whole(raw(v.reported_at)), digest.whole(raw(v.ejected_until));
     }
 }
 
 // Workloads only ever come: a place that tasks may hold is never taken away (src/orders/terms.hpp).
-StatedOrders orders_of(int workloads, bool restated) {
-    StatedOrders all{{"workloads.count", std::to_string(workloads)},
-                     {"caps.max_assignments", "4"},
-                     {"caps.cancelling", "true"},
-                     {"caps.probes", "true"},
-                     {"caps.parallel_tries", "true"},
-                     {"caps.retry_after", "true"},
-                     {"caps.max_retry_after_us", "300000"},
-                     {"caps.keepalive_us", "2000000"},
-                     {"rules.fall_multiple", "8"},
-                     {"rules.warm_after_us", "4000000"},
-                     {"customers.count", "2"},
-                     {"customers.0.allowance_per_s", "20"},
-                     {"customers.1.allowance_per_s", "900"},
-                     {"importance.surplus", "0.1"},
-                     {"reports.names", "free_slots,waiting,held"}};
+SettingsMap orders_of(int workloads, bool restated) {
+    SettingsMap all{{"workloads.count", std::to_string(workloads)},
+                    {"caps.max_assignments", "4"},
+                    {"caps.cancelling", "true"},
+                    {"caps.probes", "true"},
+                    {"caps.parallel_tries", "true"},
+                    {"caps.retry_after", "true"},
+                    {"caps.max_retry_after_us", "300000"},
+                    {"caps.keepalive_us", "2000000"},
+                    {"rules.fall_multiple", "8"},
+                    {"rules.warm_after_us", "4000000"},
+                    {"customers.count", "2"},
+                    {"customers.0.allowance_per_s", "20"},
+                    {"customers.1.allowance_per_s", "900"},
+                    {"importance.surplus", "0.1"},
+                    {"reports.names", "free_slots,waiting,held"}};
     const char* const effects[] = {"idempotent", "fingerprinted", "side-effecting", "idempotent"};
     for (int i = 0; i < 4; ++i) {
         const std::string at = "workloads." + std::to_string(i) + ".";
@@ -108,7 +109,7 @@
 
 class Stream {
   public:
-    explicit Stream(std::uint64_t seed) : random_(seed), choice_(orders_of(3, false), seed) {}
+    explicit Stream(std::uint64_t seed) : random_(seed), balancer_(orders_of(3, false), seed) {}
     std::string play(const std::string& name, int events);
 
   private:
@@ -126,10 +127,10 @@
         return {static_cast<double>(random_.below(6)), static_cast<double>(random_.below(3)),
                 static_cast<double>(random_.below(5))};
     }
-    RosterEntry entry(unsigned id, RunnerState state = RunnerState::ready);
+    EndpointEntry entry(unsigned id, RunnerState state = RunnerState::ready);
 
     Random random_;
-    Choice choice_;
+    Balancer balancer_;
     Digest digest_;
     std::map<int, std::uint64_t> counts_;
     Micros now_ = 50'000'000;
@@ -144,10 +145,10 @@
 };
 
 void Stream::tell(const Event& event) {
-    Choice copy(choice_);  // from the same events comes the same
+    Balancer copy(balancer_);  // from the same events comes the same
     std::vector<Action> actions, of_copy;
-    choice_.note(now_, event), choice_.settle(now_, actions);
-    copy.note(now_, event), copy.settle(now_, of_copy);
+    balancer_.apply(now_, event), balancer_.collect_actions(now_, actions);
+    copy.apply(now_, event), copy.collect_actions(now_, of_copy);
     Digest one, other;
     std::map<int, std::uint64_t> ignored;
     for (const Action& a : actions) std::visit(Codes{one, ignored}, a);
@@ -166,26 +167,27 @@
     }
 }
 
-RosterEntry Stream::entry(unsigned id, RunnerState state) {
-    RosterEntry e;
-    e.runner = RunnerId{id}, e.zone = ZoneId{id % 2}, e.kind = KindId{id % 3}, e.group = GroupId{id % 2};
-    e.state = state, e.share = id % 3 == 2 ? 0.5 : 1;
+EndpointEntry Stream::entry(unsigned id, RunnerState state) {
+    EndpointEntry e;
+    e.runner = RunnerId{id}, e.zone = ZoneId{id % 2}, e.instance_type = InstanceTypeId{id % 3},
+    e.group = GroupId{id % 2};
+    e.state = state, e.weight = id % 3 == 2 ? 0.5 : 1;
     return e;
 }
 
 void Stream::begin() {
-    std::vector<RosterEntry> all;
+    std::vector<EndpointEntry> all;
     for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
-    tell(RosterNews{RosterScope::remembered, version_++, all});
-    tell(RosterNews{RosterScope::complete, version_++, all});
-    std::vector<RosterEntry> guests;
+    tell(MembershipUpdate{UpdateScope::cached, version_++, all});
+    tell(MembershipUpdate{UpdateScope::complete, version_++, all});
+    std::vector<EndpointEntry> guests;
     for (unsigned id = kRunners + 1; id <= kRunners + kGuests; ++id) {
         guests.push_back(entry(id));
         guests.back().pulls = true;
-        guests.back().serves = Serves().set(id % 3);
+        guests.back().workloads = WorkloadSet().set(id % 3);
         guests.back().started_at = id % 2 ? now_ : 0;
     }
-    tell(RosterNews{RosterScope::guests, version_++, guests});
+    tell(MembershipUpdate{UpdateScope::dynamic_workers, version_++, guests});
 }
 
 void Stream::arrive() {
@@ -195,7 +197,7 @@
     a.customer = static_cast<CustomerId>(random_.below(2));
     a.key = static_cast<std::uint64_t>(random_.below(100)), a.expiry = now_ + 2'000'000;
     a.hint_valid = random_.one_in(3), a.cost_hint = a.hint_valid ? 60'000 : 0;
-    a.client_repeat = random_.one_in(9), a.write = random_.one_in(5), a.after_break = random_.one_in(15);
+    a.client_retry = random_.one_in(9), a.write = random_.one_in(5), a.after_disconnect = random_.one_in(15);
     tell(a);
 }
 
@@ -210,9 +212,9 @@
     if (random_.one_in(8)) return tell(StreamBegun{one.task, one.assignment, one.runner, now_ - one.since});
     if (random_.one_in(8)) return tell(Progress{one.task, 0.5, one.runner, one.assignment, Stage::progress});
     out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(at));
-    constexpr Outcome kFailures[] = {
-        Outcome::error, Outcome::full,      Outcome::timed_out, Outcome::connect_failed,
-        Outcome::reset, Outcome::withdrawn, Outcome::moot};
+    constexpr Outcome kFailures[] = {Outcome::error,          Outcome::full,  Outcome::timed_out,
+                                     Outcome::connect_failed, Outcome::reset, Outcome::withdrawn,
+                                     Outcome::not_started};
     const Outcome how = random_.one_in(5) ? kFailures[random_.below(7)] : Outcome::finished;
     tell(AssignmentEnded{one.task, how == Outcome::finished, 0, now_ - one.since, one.runner, one.assignment,
                          how, report()});
@@ -224,31 +226,31 @@
     // Drawn one after the other: the order in which arguments are evaluated is the compiler's choice.
     const RunnerState state = kStates[random_.below(4)];
     const auto runner = 1 + static_cast<unsigned>(random_.below(kRunners));
-    RosterEntry e = entry(runner, state);
+    EndpointEntry e = entry(runner, state);
     e.started_at = random_.one_in(2) ? now_ - 100'000 : 0;
-    tell(RosterNews{RosterScope::changes, version_++, {e}});
+    tell(MembershipUpdate{UpdateScope::delta, version_++, {e}});
 }
 
 void Stream::hand_on() {
-    const Lore lore = choice_.lore(0, kRunners);
+    const LearnedState lore = balancer_.learned_state(0, kRunners);
     digest_lore(digest_, lore);
-    Choice next(orders_of(workloads_, restated_), 5);
+    Balancer next(orders_of(workloads_, restated_), 5);
     std::vector<Action> actions;
-    std::vector<RosterEntry> all;
+    std::vector<EndpointEntry> all;
     for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
-    next.note(now_, RosterNews{RosterScope::remembered, 1, all});
-    next.believe(lore);
-    next.settle(now_, actions);
+    next.apply(now_, MembershipUpdate{UpdateScope::cached, 1, all});
+    next.restore(lore);
+    next.collect_actions(now_, actions);
     for (const Action& a : actions) std::visit(Codes{digest_, counts_}, a);
     digest_view(digest_, next);
-    digest_lore(digest_, next.lore());
+    digest_lore(digest_, next.learned_state());
 }
 
 void Stream::restate() {
     restated_ = !restated_;
     const auto last = static_cast<WorkloadId>(std::exchange(workloads_, 4) == 4 ? 3 : 256);  // 256: nobody's
-    tell(OrdersRestated{orders_of(workloads_, restated_),
-                        {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}, last}});
+    tell(SettingsChanged{orders_of(workloads_, restated_),
+                         {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}, last}});
 }
 
 void Stream::rare_event() {
@@ -256,11 +258,11 @@
         case 0:
             return change_roster();
         case 1:
-            return tell(RosterNews{RosterScope::failed, version_++, {}});
+            return tell(MembershipUpdate{UpdateScope::failed, version_++, {}});
         case 2:
-            return tell(ClientLeft{TaskId{next_task_ - 1}});
+            return tell(ClientDisconnected{TaskId{next_task_ - 1}});
         case 3:
-            return tell(PeerSaid{PeerId{1}, "a word"});
+            return tell(PeerMessage{PeerId{1}, "a word"});
         case 4:
             return restate();
         default:
@@ -273,10 +275,10 @@
     const auto chance = random_.below(100);
     if (chance < 30) return arrive();
     if (chance < 72) return end_one();
-    if (chance < 84) return tell(TimerDue{});
+    if (chance < 84) return tell(TimerFired{});
     if (chance < 90) {
         const auto guest = static_cast<unsigned>(kRunners + 1 + random_.below(kGuests));
-        return tell(RoomTold{RunnerId{guest}, static_cast<double>(random_.below(4))});
+        return tell(CapacityReported{RunnerId{guest}, static_cast<double>(random_.below(4))});
     }
     if (chance < 97) {
         if (probed_.empty()) return;
@@ -292,10 +294,10 @@
 std::string Stream::play(const std::string& name, int events) {
     begin();
     for (int i = 0; i < events; ++i) happen();
-    digest_view(digest_, choice_);
-    digest_lore(digest_, choice_.lore());
-    tell(LastCall{});
-    digest_view(digest_, choice_);
+    digest_view(digest_, balancer_);
+    digest_lore(digest_, balancer_.learned_state());
+    tell(DrainDeadline{});
+    digest_view(digest_, balancer_);
     return name + " " + digest_.text() + recorded::counts_text(counts_);
 }
 
--- a/tests/shadow_stories.cpp
+++ b/tests/shadow_stories.cpp
@@ -15,14 +15,14 @@
     shadow::Counts counts;
 
     // hand_made: compares as a shadow should, by a copy that this story keeps for itself.
-    Day(const StatedOrders& orders, const StatedOrders* other, int every = 1,
+    Day(const SettingsMap& orders, const SettingsMap* other, int every = 1,
         shadow::Counts* hand_made = nullptr) {
-        Choice choice(orders, 7);
+        Balancer balancer(orders, 7);
         std::unique_ptr<Shadow> beside;
         if (other) beside = std::make_unique<Shadow>(shadow::laid_over(orders, *other), every);
         std::multimap<Micros, Event> coming;
-        std::vector<RosterEntry> entries = FakeHost::entries(6);
-        coming.emplace(1'000'000, RosterNews{RosterScope::complete, 1, std::move(entries)});
+        std::vector<EndpointEntry> entries = FakeHost::entries(6);
+        coming.emplace(1'000'000, MembershipUpdate{UpdateScope::complete, 1, std::move(entries)});
         for (unsigned i = 1; i <= 300; ++i) {
             TaskArrived a;
             a.task = TaskId{i}, a.workload = WorkloadId{i % 3}, a.expiry = 1'000'000 + i * 20'000 + 5'000'000;
@@ -33,21 +33,21 @@
             now = coming.begin()->first;
             const Event event = coming.begin()->second;
             coming.erase(coming.begin());
-            if (beside) beside->begin(now, choice), beside->note(now, event);
-            std::unique_ptr<Choice> own;
+            if (beside) beside->begin(now, balancer), beside->note(now, event);
+            std::unique_ptr<Balancer> own;
             if (hand_made) {
-                own = std::make_unique<Choice>(choice);
-                own->note(now, OrdersRestated{*other, {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
-                own->note(now, event);
+                own = std::make_unique<Balancer>(balancer);
+                own->apply(now, SettingsChanged{*other, {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
+                own->apply(now, event);
             }
-            choice.note(now, event);
+            balancer.apply(now, event);
             std::vector<Action> out, others;
-            choice.settle(now, out);
+            balancer.collect_actions(now, out);
             if (beside) beside->settle(now, out);
-            if (own) own->settle(now, others), count_sendings(out, others, *hand_made);
+            if (own) own->collect_actions(now, others), count_sendings(out, others, *hand_made);
             for (const Action& action : out) {
                 if (const auto* w = std::get_if<WakeAt>(&action))
-                    coming.emplace(std::max(w->at, now + 1), TimerDue{});
+                    coming.emplace(std::max(w->at, now + 1), TimerFired{});
                 if (const auto* b = std::get_if<Bounce>(&action)) note("bounce", b->task);
                 if (const auto* b = std::get_if<Abandon>(&action)) note("abandon", b->task);
                 if (const auto* s = std::get_if<Assign>(&action)) {
@@ -85,8 +85,8 @@
     }
 };
 
-StatedOrders silent(int dispatchers, int me) {
-    StatedOrders orders = plain_orders();
+SettingsMap silent(int dispatchers, int me) {
+    SettingsMap orders = plain_orders();
     orders["reports.names"] = "", orders["trade.tells_start"] = "true";
     orders["dispatchers"] = std::to_string(dispatchers), orders["me"] = std::to_string(me);
     return orders;
@@ -102,7 +102,7 @@
 
 TEST_CASE("shadow: the same settings twice never decide otherwise, sampled or in every turn") {
     for (const int every : {1, 7})
-        for (const StatedOrders& orders : {silent(3, 1), plain_orders()}) {
+        for (const SettingsMap& orders : {silent(3, 1), plain_orders()}) {
             const Day day(orders, &orders, every);
             CHECK(day.counts.decisions > 20);
             CHECK(all_of(day.counts) == 0);
@@ -111,7 +111,7 @@
 
 TEST_CASE("shadow: a setting that matters is counted under its kind, as often as a count by hand has it") {
     shadow::Counts by_hand;
-    const StatedOrders orders = silent(3, 0), other = silent(3, 2);  // another part of the fleet is near
+    const SettingsMap orders = silent(3, 0), other = silent(3, 2);  // another part of the fleet is near
     const Day day(orders, &other, 1, &by_hand);
     const auto of = [](const shadow::Counts& c, Kind kind) {
         return c.differ[static_cast<std::size_t>(kind)];
@@ -122,23 +122,23 @@
 }
 
 TEST_CASE("shadow: watched or not, sampled or not, the same is decided") {
-    const StatedOrders orders = silent(3, 0), other = silent(9, 4);
+    const SettingsMap orders = silent(3, 0), other = silent(9, 4);
     const Day alone(orders, nullptr);
     CHECK(alone.decided.size() > 200);
     for (const int every : {1, 5}) CHECK(Day(orders, &other, every).decided == alone.decided);
 }
 
 TEST_CASE("shadow: a turn for which there is no time is left out, and the next that is due is not") {
-    const StatedOrders orders = silent(3, 0);
-    const Choice choice(orders, 7);
+    const SettingsMap orders = silent(3, 0);
+    const Balancer balancer(orders, 7);
     Shadow beside(orders, 2);
-    beside.begin(0, choice);
+    beside.begin(0, balancer);
     CHECK(!beside.watching());
     CHECK(beside.samples_next());
-    beside.begin(0, choice, false);
+    beside.begin(0, balancer, false);
     beside.settle(0, {});
     CHECK((!beside.watching() && beside.counts().turns == 0));
-    beside.begin(0, choice), beside.begin(0, choice);
+    beside.begin(0, balancer), beside.begin(0, balancer);
     CHECK(beside.watching());
 }
 
@@ -147,7 +147,7 @@
     using R = RunnerId;
     shadow::Counts c;
     shadow::compare({Assign{T{1}, R{1}}, Assign{T{2}, R{1}}, Bounce{T{3}}, Abandon{T{4}}, Withdraw{T{5}, 0},
-                     Probe{R{1}}, FollowRoster{}, CloseIdle{R{2}}},
+                     Probe{R{1}}, WatchMembership{}, CloseIdle{R{2}}},
                     {Assign{T{1}, R{2}}, Bounce{T{6}}, Assign{T{3}, R{1}}, LogLine{"x"}, WakeAt{5}}, c);
     CHECK(c.differ == std::array<std::uint64_t, 8>{1, 1, 2, 1, 1, 1, 1, 1});
     CHECK(c.decisions == 9);
@@ -156,13 +156,13 @@
 TEST_CASE(
     "shadow: a workload goes by the terms of its name, wherever it stands; one that is not named keeps its "
     "own") {
-    const StatedOrders ours{{"workloads.count", "2"},         {"workloads.0.name", "a"},
-                            {"workloads.0.due_time_us", "1"}, {"workloads.1.name", "b"},
-                            {"workloads.1.due_time_us", "2"}, {"me", "3"}};
-    const StatedOrders other{{"workloads.count", "2"},         {"workloads.0.name", "c"},
-                             {"workloads.0.due_time_us", "3"}, {"workloads.1.name", "a"},
-                             {"workloads.1.due_time_us", "4"}, {"me", "5"}};
-    const StatedOrders all = shadow::laid_over(ours, other);
+    const SettingsMap ours{{"workloads.count", "2"},         {"workloads.0.name", "a"},
+                           {"workloads.0.due_time_us", "1"}, {"workloads.1.name", "b"},
+                           {"workloads.1.due_time_us", "2"}, {"me", "3"}};
+    const SettingsMap other{{"workloads.count", "2"},         {"workloads.0.name", "c"},
+                            {"workloads.0.due_time_us", "3"}, {"workloads.1.name", "a"},
+                            {"workloads.1.due_time_us", "4"}, {"me", "5"}};
+    const SettingsMap all = shadow::laid_over(ours, other);
     CHECK(all.at("workloads.count") == "2");
     CHECK(all.at("workloads.0.due_time_us") == "4");
     CHECK(all.at("workloads.1.due_time_us") == "2");
--- a/tests/wire_stories.cpp
+++ b/tests/wire_stories.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "orders/spelling.hpp"
+#include "settings/settings_format.hpp"
 #include "simhost/host.hpp"
 
 using namespace gannethold;
@@ -54,14 +54,14 @@
     const Batch batch =
         read_batch(read_header(bytes, 0), std::string_view(bytes).substr(kHeaderBytes), kHeaderBytes);
     REQUIRE(batch.records.size() == 5);
-    const auto& news = std::get<RosterNews>(std::get<Event>(batch.records[1].what));
+    const auto& news = std::get<MembershipUpdate>(std::get<Event>(batch.records[1].what));
     CHECK(news.entries[0].runner == RunnerId{55});
     CHECK(news.entries[0].state == RunnerState::draining);
     const auto& ended = std::get<AssignmentEnded>(std::get<Event>(batch.records[2].what));
     CHECK(ended.outcome == Outcome::reset);
     CHECK(ended.report == Report{1.5});
     CHECK(std::get<Progress>(std::get<Event>(batch.records[3].what)).done == 0.5);
-    CHECK(std::get<PeerSaid>(std::get<Event>(batch.records[4].what)).words == "hi");
+    CHECK(std::get<PeerMessage>(std::get<Event>(batch.records[4].what)).payload == "hi");
 }
 
 TEST_CASE("actions go out byte for byte") {
@@ -70,8 +70,8 @@
     reply.action(Assign{TaskId{5}, RunnerId{55}, 9});
     reply.action(Bounce{TaskId{5}, 7});
     reply.action(Withdraw{TaskId{5}, 1});
-    reply.action(FollowRoster{true});
-    reply.action(TellPeers{"hi"});
+    reply.action(WatchMembership{true});
+    reply.action(BroadcastToPeers{"hi"});
     Bytes body;
     body.n(130, 1).n(3, 2).n(10, 1).n(5, 8).n(55, 4).n(9, 8).n(20, 1).n(5, 8).n(7, 4);
     body.n(40, 1).n(5, 8).n(1, 1).n(110, 1).n(1, 1).n(80, 1).n(0xffff, 2).text("hi", 2);
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("settings are told in our words, unknown ones pass") {
-    const auto orders = orders::read_lines(
+    const auto orders = settings::parse_settings(
         "workloads.0.effect=token\nreporting.names=x0,q,rif\nspecifics.report_x0=free_slots\n"
         "tenants.count=2\nodd.thing=a=b\n");
     CHECK(orders.at("workloads.0.effect") == "fingerprinted");
--- a/tests/terms_stories.cpp
+++ b/tests/workload_registry_test.cpp
@@ -1,22 +1,22 @@
 // New settings in service: the terms of workloads over changes, the module's part in it, and reloads on
 // sockets.
 #include "helpers.hpp"
-#include "orders/terms.hpp"
+#include "settings/workload_registry.hpp"
 
 using namespace gannethold;
-using orders::Terms;
+using settings::WorkloadRegistry;
 
 namespace {
 
 using Rows = std::vector<std::pair<std::string, std::string>>;  // name, effect
 
-StatedOrders stated(const Rows& rows, const std::string& attempts = "3") {
-    StatedOrders all{{"workloads.count", std::to_string(rows.size())},
-                     {"caps.max_assignments", attempts},
-                     {"caps.cancelling", "true"},
-                     {"rules.fall_multiple", "400"},
-                     {"reports.names", "free_slots,waiting,held"},
-                     {"trade.class_stretch", "1.5,2.5"}};
+SettingsMap stated(const Rows& rows, const std::string& attempts = "3") {
+    SettingsMap all{{"workloads.count", std::to_string(rows.size())},
+                    {"caps.max_assignments", attempts},
+                    {"caps.cancelling", "true"},
+                    {"rules.fall_multiple", "400"},
+                    {"reports.names", "free_slots,waiting,held"},
+                    {"trade.class_stretch", "1.5,2.5"}};
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const std::string at = "workloads." + std::to_string(i) + ".";
         all[at + "name"] = rows[i].first, all[at + "effect"] = rows[i].second;
@@ -30,80 +30,80 @@
 }  // namespace
 
 TEST_CASE("what keeps its terms keeps its place, wherever it stands; what changes them gets another") {
-    Terms terms(stated({{"a", "idempotent"}, {"b", "side-effecting"}}), 2);
+    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"b", "side-effecting"}}), 2);
     // Stretches go by the order in the file, so they are terms of those that stood there.
-    StatedOrders moved = stated({{"b", "side-effecting"}, {"a", "idempotent"}, {"c", "idempotent"}});
+    SettingsMap moved = stated({{"b", "side-effecting"}, {"a", "idempotent"}, {"c", "idempotent"}});
     moved["trade.class_stretch"] = "2.5,1.5,1.5";
-    auto change = terms.restate(kSecond, moved, none_open);
-    CHECK(terms.places() == std::vector{WorkloadId{1}, WorkloadId{0}, WorkloadId{2}});
+    auto change = registry.update(kSecond, moved, none_open);
+    CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{0}, WorkloadId{2}});
     CHECK(change.added == std::vector<std::string>{"c"});
     CHECK((change.dropped.empty() && change.changed.empty()));
     moved["workloads.1.effect"] = "side-effecting";
-    change = terms.restate(2 * kSecond, moved, none_open);
-    CHECK(terms.places() == std::vector{WorkloadId{1}, WorkloadId{3}, WorkloadId{2}});
+    change = registry.update(2 * kSecond, moved, none_open);
+    CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{3}, WorkloadId{2}});
     CHECK(change.changed == std::vector<std::string>{"a"});
     CHECK(change.learn_from.at(3) == WorkloadId{0});
-    CHECK(terms.stated().at("workloads.0.effect") == "idempotent");
-    CHECK(terms.stated().at("workloads.3.effect") == "side-effecting");
-    CHECK(terms.stated().at("workloads.3.aim_stretch") == "1.5");
-    CHECK(terms.name_of(WorkloadId{3}) == "a");
+    CHECK(registry.settings().at("workloads.0.effect") == "idempotent");
+    CHECK(registry.settings().at("workloads.3.effect") == "side-effecting");
+    CHECK(registry.settings().at("workloads.3.aim_stretch") == "1.5");
+    CHECK(registry.name_of(WorkloadId{3}) == "a");
 }
 
 TEST_CASE("a workload that comes back as it was is the one it was, and one that comes otherwise is another") {
-    Terms terms(stated({{"a", "idempotent"}, {"b", "idempotent"}}), 2);
+    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"b", "idempotent"}}), 2);
     const auto open = [](WorkloadId place) { return place == WorkloadId{1}; };
-    CHECK(terms.restate(0, stated({{"a", "idempotent"}}), open).dropped == std::vector<std::string>{"b"});
-    terms.restate(kSecond, stated({{"a", "idempotent"}, {"b", "idempotent"}}), open);
-    CHECK(terms.places().at(1) == WorkloadId{1});
+    CHECK(registry.update(0, stated({{"a", "idempotent"}}), open).dropped == std::vector<std::string>{"b"});
+    registry.update(kSecond, stated({{"a", "idempotent"}, {"b", "idempotent"}}), open);
+    CHECK(registry.active_workloads().at(1) == WorkloadId{1});
     // Never the place of one that is open, or only just was.
-    terms.restate(2 * kSecond, stated({{"a", "idempotent"}, {"b", "side-effecting"}}), open);
-    CHECK(terms.places().at(1) == WorkloadId{2});
-    terms.restate(100 * kSecond, stated({{"a", "idempotent"}, {"b", "fingerprinted"}}), open);
-    CHECK(terms.places().at(1) == WorkloadId{3});
-    terms.restate(101 * kSecond, stated({{"a", "side-effecting"}, {"b", "fingerprinted"}}), none_open);
-    CHECK(terms.places() == std::vector{WorkloadId{1}, WorkloadId{3}});  // at rest since 2 s
+    registry.update(2 * kSecond, stated({{"a", "idempotent"}, {"b", "side-effecting"}}), open);
+    CHECK(registry.active_workloads().at(1) == WorkloadId{2});
+    registry.update(100 * kSecond, stated({{"a", "idempotent"}, {"b", "fingerprinted"}}), open);
+    CHECK(registry.active_workloads().at(1) == WorkloadId{3});
+    registry.update(101 * kSecond, stated({{"a", "side-effecting"}, {"b", "fingerprinted"}}), none_open);
+    CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{3}});  // at rest since 2 s
 }
 
 TEST_CASE("changes for ever stay within their places, and one too many changes nothing") {
-    Terms terms(stated({{"a", "idempotent"}}), 1);
+    WorkloadRegistry registry(stated({{"a", "idempotent"}}), 1);
     for (int i = 1; i <= 1'000; ++i) {
-        StatedOrders next = stated({{"a", "idempotent"}});
+        SettingsMap next = stated({{"a", "idempotent"}});
         next["workloads.0.due_time_us"] = std::to_string(1'000'000 + i);
-        terms.restate(i * 11 * kSecond, next, none_open);
+        registry.update(i * 11 * kSecond, next, none_open);
     }
-    CHECK(terms.stated().at("workloads.count") == "2");
+    CHECK(registry.settings().at("workloads.count") == "2");
     const auto all_open = [](WorkloadId) { return true; };
-    StatedOrders next;
+    SettingsMap next;
     bool refused = false;
     for (int i = 0; i < 300 && !refused; ++i) {
         next = stated({{"a", "idempotent"}});
         next["workloads.0.importance"] = std::to_string(i + 2);
-        const StatedOrders before = terms.stated();
+        const SettingsMap before = registry.settings();
         try {
-            terms.restate(20'000 * kSecond, next, all_open);
+            registry.update(20'000 * kSecond, next, all_open);
         } catch (const std::runtime_error&) {
             refused = true;
-            CHECK(terms.stated() == before);
+            CHECK(registry.settings() == before);
         }
     }
     CHECK(refused);
 }
 
 TEST_CASE("tubes keep their places behind the configuration's workloads") {
-    Terms terms(stated({{"a", "idempotent"}, {"tube", "side-effecting"}}), 1);
-    terms.restate(0, stated({{"a", "side-effecting"}, {"b", "idempotent"}}), none_open);
-    CHECK(terms.places() == std::vector{WorkloadId{2}, WorkloadId{3}});
-    CHECK(terms.stated().at("workloads.1.name") == "tube");
+    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"tube", "side-effecting"}}), 1);
+    registry.update(0, stated({{"a", "side-effecting"}, {"b", "idempotent"}}), none_open);
+    CHECK(registry.active_workloads() == std::vector{WorkloadId{2}, WorkloadId{3}});
+    CHECK(registry.settings().at("workloads.1.name") == "tube");
 }
 
 TEST_CASE("the module: what is open keeps the effect and the assignments under which it came") {
-    Terms terms(stated({{"a", "idempotent"}}), 1);
-    FakeHost host(terms.stated());
+    WorkloadRegistry registry(stated({{"a", "idempotent"}}), 1);
+    FakeHost host(registry.settings());
     host.fleet(4, 4);
     const TaskId before = host.ask();
-    const auto change = terms.restate(host.now, stated({{"a", "side-effecting"}}, "1"), none_open);
-    host.tell(OrdersRestated{terms.stated(), change.learn_from});
-    const unsigned place = static_cast<unsigned>(terms.places().at(0));
+    const auto change = registry.update(host.now, stated({{"a", "side-effecting"}}, "1"), none_open);
+    host.tell(SettingsChanged{registry.settings(), change.learn_from});
+    const unsigned place = static_cast<unsigned>(registry.active_workloads().at(0));
     CHECK(place == 1);
     host.end(Outcome::reset);  // it may have run, and may run again
     REQUIRE(host.assigned.size() == 2);
