--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -14,8 +14,8 @@
     return sum;
 }
 
-// Runner 1 takes 100 ms a task, all others 400 ms.
-void work_through(FakeHost& host, int tasks) {
+// Runs tasks that take 100 ms on runner 1 and 400 ms on all others.
+void run_tasks(FakeHost& host, int tasks) {
     for (int i = 0; i < tasks; ++i) {
         host.ask();
         const bool quick = host.assigned.back().runner == RunnerId{1};
@@ -24,17 +24,17 @@
     }
 }
 
-SettingsMap orders_with(const SettingsMap& others) {
-    SettingsMap orders = plain_orders();
-    for (const auto& [name, value] : others) orders[name] = value;
-    return orders;
+SettingsMap settings_with(const SettingsMap& others) {
+    SettingsMap settings = plain_orders();
+    for (const auto& [name, value] : others) settings[name] = value;
+    return settings;
 }
 
 }  // namespace
 
 // ---- the four rules ----
 
-TEST_CASE("rule 1: a task that finds no runner gets one answer before its expiry, and nothing after") {
+TEST_CASE("rule 1: a task without a runner gets exactly one answer, before its expiry") {
     FakeHost host;
     const Micros expiry = host.now + 5'000'000;
     const TaskId task = host.ask();
@@ -46,8 +46,7 @@
     CHECK(host.assigned.empty());
 }
 
-TEST_CASE(
-    "rule 2: side-effecting work goes out again only if it is proved not to have run, else it is abandoned") {
+TEST_CASE("rule 2: a side-effecting task is retried only if it provably did not run, else it is abandoned") {
     for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::timed_out, Outcome::withdrawn,
                                   Outcome::full, Outcome::connect_failed}) {
         FakeHost host;
@@ -62,9 +61,9 @@
     }
 }
 
-TEST_CASE("rule 2: fingerprinted work that may have run stays in its group and its window, or is abandoned") {
+TEST_CASE("rule 2: a fingerprinted task that may have run is retried in its group and window, or abandoned") {
     for (const bool in_window : {true, false}) {
-        FakeHost host(orders_with({{"workloads.1.window_us", in_window ? "4000000" : "200000"}}));
+        FakeHost host(settings_with({{"workloads.1.window_us", in_window ? "4000000" : "200000"}}));
         host.fleet(
             {host.entry(1), host.entry(2, RunnerState::ready, 7), host.entry(3, RunnerState::ready, 7)});
         for (unsigned id : {2u, 3u}) host.report(id, 2, 0);
@@ -86,7 +85,7 @@
     }
 }
 
-TEST_CASE("rule 3: draining, gone or missing from a complete list ends all sending") {
+TEST_CASE("rule 3: a runner that is draining, gone or missing from a complete list gets no tasks") {
     for (const int way : {0, 1, 2}) {
         FakeHost host;
         host.fleet(2, 4);
@@ -100,13 +99,13 @@
     }
 }
 
-TEST_CASE("rule 4: a cold runner gets a part of its budget, however much room it reports") {
-    const SettingsMap orders = orders_with({{"rules.cold_from", "0.1"},
-                                            {"rules.warm_after_us", "20000000"},
-                                            {"rules.fall_multiple", "4"},
-                                            {"rules.tip_after_us", "2000000"},
-                                            {"dispatchers", "4"}});
-    FakeHost host(orders);
+TEST_CASE("rule 4: a runner in slow start gets this dispatcher's part of its budget, whatever it reports") {
+    const SettingsMap settings = settings_with({{"rules.cold_from", "0.1"},
+                                                {"rules.warm_after_us", "20000000"},
+                                                {"rules.fall_multiple", "4"},
+                                                {"rules.tip_after_us", "2000000"},
+                                                {"dispatchers", "4"}});
+    FakeHost host(settings);
     EndpointEntry started = host.entry(1);
     started.started_at = host.now;
     host.fleet({started});
@@ -115,26 +114,27 @@
         host.ask();
     }
     CHECK(host.assigned.size() >= 1);
-    // 0.1 to 0.15 of some 55 slots for 2 s, four times over, is 44 to 66 s of work of 1 s; an eighth is ours.
+    // The budget is 0.1 to 0.15 of about 55 slots for 2 s, times 4: 44 to 66 s of work in tasks of 1 s. This
+    // dispatcher may use an eighth of it.
     CHECK(host.assigned.size() <= 8);
 }
 
 // ---- the design ----
 
-TEST_CASE("fractions start equal, sum to one, and move toward the faster runner") {
+TEST_CASE("fractions start equal, sum to one and move toward the faster runner") {
     FakeHost host;
     host.fleet(4, 2);
     for (const auto& [id, f] : host.balancer.fractions()) CHECK(f == doctest::Approx(0.25));
-    work_through(host, 150);
+    run_tasks(host, 150);
     const auto fractions = host.balancer.fractions();
     CHECK(sum_of(fractions) == doctest::Approx(1));
     CHECK(fractions.at(RunnerId{1}) > 0.4);
 }
 
-TEST_CASE("a new runner starts at the mean fraction, a draining one at none") {
+TEST_CASE("a new runner starts with the mean fraction, a draining one gets none") {
     FakeHost host;
     host.fleet(4, 2);
-    work_through(host, 100);
+    run_tasks(host, 100);
     host.fleet({host.entry(5)}, UpdateScope::delta);
     CHECK(host.balancer.fractions().at(RunnerId{5}) == doctest::Approx(0.2));
     CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
@@ -142,7 +142,7 @@
     CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
 }
 
-TEST_CASE("the same seed and events give the same picks, another seed others") {
+TEST_CASE("the same seed and events give the same choices, another seed gives others") {
     FakeHost a, b, c(plain_orders(), 2);
     for (FakeHost* host : {&a, &b, &c}) {
         host->fleet(6, 9);
@@ -153,7 +153,7 @@
     CHECK(!std::equal(a.assigned.begin(), a.assigned.end(), c.assigned.begin(), same));
 }
 
-TEST_CASE("failing fast never looks like being fast") {
+TEST_CASE("a runner that fails fast does not look fast") {
     FakeHost host;
     host.fleet(3, 3);
     for (int i = 0; i < 120; ++i) {
@@ -165,24 +165,24 @@
     CHECK(host.balancer.fractions().at(RunnerId{1}) < 0.2);
 }
 
-// ---- room ----
+// ---- capacity ----
 
-TEST_CASE("an assignment whose connection fell silent neither blinds nor fills its runner") {
-    FakeHost host(orders_with({{"caps.probes", "true"}}));
+TEST_CASE("an assignment lost on a dead connection does not occupy its runner for ever") {
+    FakeHost host(settings_with({{"caps.probes", "true"}}));
     host.fleet(1, 2);
-    host.ask();  // the runner is done with it, but that never came
+    host.ask();  // the runner finishes it, but its answer is lost
     host.pass(300'000);
     for (int i = 0; i < 12; ++i, host.pass(150'000)) {
         host.report(1, 2, 0);
         const std::size_t before = host.assigned.size();
         host.ask(), host.ask();
-        REQUIRE(host.assigned.size() == before + 2);  // both slots, on what was just told
+        REQUIRE(host.assigned.size() == before + 2);  // both slots, by the latest report
         host.end(Outcome::finished, 100'000, 0, {1, 0, 1});
         host.end(Outcome::finished, 100'000, 1, {2, 0, 0});
     }
 }
 
-TEST_CASE("a report that cannot be is not heard") {
+TEST_CASE("a report with an impossible value is ignored") {
     for (const double bad : {std::nan(""), -3.0, 1e30, HUGE_VAL}) {
         FakeHost host;
         host.fleet(1, 1);
@@ -196,8 +196,8 @@
     }
 }
 
-TEST_CASE("without reports of what is held, slots are learnt from what ends without a wait") {
-    FakeHost host(orders_with({{"reports.names", ""}}));
+TEST_CASE("without reports of held tasks, slots are learned from tasks that end without a wait") {
+    FakeHost host(settings_with({{"reports.names", ""}}));
     host.fleet({host.entry(1)});
     for (int i = 0; i < 4; ++i) host.ask();
     for (std::size_t ended = 0; ended < host.assigned.size(); ++ended) {
@@ -210,10 +210,10 @@
     CHECK(host.assigned.size() == 2);
 }
 
-TEST_CASE("near runners are drawn first while their room is known, far ones when none has any") {
+TEST_CASE("near runners are used first while their capacity is known, far ones when no near one has any") {
     for (const bool known : {true, false}) {
         FakeHost host(
-            orders_with({{"zone", "1"}, {"reports.names", known ? "free_slots,waiting,held" : ""}}));
+            settings_with({{"zone", "1"}, {"reports.names", known ? "free_slots,waiting,held" : ""}}));
         EndpointEntry near = host.entry(1);
         near.zone = ZoneId{1};
         host.fleet({near, host.entry(2)});
@@ -227,9 +227,9 @@
     }
 }
 
-// ---- health, holding, further assignments, roster ----
+// ---- outlier ejection, queue, retries, membership ----
 
-TEST_CASE("a runner out of reach is set aside and comes back on trial") {
+TEST_CASE("an unreachable runner is ejected and returns on trial") {
     FakeHost host;
     host.fleet(3, 4);
     host.ask();
@@ -244,26 +244,26 @@
     CHECK(std::count_if(host.assigned.begin(), host.assigned.end(), is_bad) == 1);
 }
 
-TEST_CASE("a connection that breaks does not cost its runner the fleet's trust before a probe has told") {
-    FakeHost host(orders_with({{"caps.probes", "true"}}), 3);
+TEST_CASE("a runner whose connection breaks is not ejected before a probe has failed too") {
+    FakeHost host(settings_with({{"caps.probes", "true"}}), 3);
     host.fleet(2, 4);
     host.ask();
     const RunnerId broke = host.assigned[0].runner;
     host.end(Outcome::reset, 1000);
-    CHECK(host.assigned.size() == 2);  // to the other one
+    CHECK(host.assigned.size() == 2);  // the retry, on the other runner
     for (int i = 0; i < 6; ++i) host.ask();
-    CHECK(host.assigned.size() == 5);  // which has room for four; the rest wait for the probe
+    CHECK(host.assigned.size() == 5);  // the other runner has four slots; the rest wait for the probe
     CHECK(host.count<Probe>() > 0);
     host.tell(ProbeEnded{broke, Outcome::finished, 1000, {4, 0, 0}});
     CHECK(host.assigned.size() == 8);
     CHECK(host.assigned.back().runner == broke);
-    // Once the probe cannot reach it either, it is out.
+    // Once a probe cannot reach it either, it is ejected.
     host.end(Outcome::reset, 1000);
     host.tell(ProbeEnded{broke, Outcome::connect_failed, 1000, {}});
     CHECK(host.count<LogLine>() == 1);
 }
 
-TEST_CASE("when half the fleet looks bad at once, the rest is not set aside too") {
+TEST_CASE("when half of the fleet looks bad at once, the rest is not ejected") {
     FakeHost host;
     host.fleet(4, 4);
     for (int i = 0; i < 48; ++i) i % 4 ? host.end(Outcome::connect_failed, 1000) : (void)host.ask();
@@ -273,8 +273,8 @@
     CHECK(host.assigned.size() == 4);
 }
 
-TEST_CASE("idempotent work that was lost goes out twice more, then is bounced with word when to come back") {
-    FakeHost host(orders_with({{"caps.retry_after", "true"}, {"caps.max_retry_after_us", "2000000"}}));
+TEST_CASE("a lost idempotent task is retried twice, then bounced with a time to retry after") {
+    FakeHost host(settings_with({{"caps.retry_after", "true"}, {"caps.max_retry_after_us", "2000000"}}));
     host.fleet(6, 4);
     host.ask(0);
     for (int i = 0; i < 3; ++i) host.end(Outcome::error, 1000);
@@ -284,7 +284,7 @@
         if (const auto* b = std::get_if<Bounce>(&a)) CHECK(b->retry_after == 2'000'000);
 }
 
-TEST_CASE("while overload is seen nothing is assigned a second time") {
+TEST_CASE("nothing is retried under overload") {
     FakeHost host;
     host.fleet(3, 1);
     for (int i = 0; i < 5; ++i) host.ask(0);
@@ -298,27 +298,27 @@
     CHECK(host.count<Bounce>() == 3);
 }
 
-TEST_CASE("a first try of an impatient client is not taken for an old one, where repeats are marked") {
+TEST_CASE("if clients mark retries, a first attempt with a short expiry does not count as old") {
     for (const bool repeat : {false, true}) {
-        FakeHost host(orders_with({{"clients.marks_retry", "true"}}));
+        FakeHost host(settings_with({{"clients.marks_retry", "true"}}));
         host.fleet(2, 4);
         host.ask();
-        TaskArrived hasty;
-        hasty.task = TaskId{99};
-        hasty.expiry = host.now + 600'000;
-        hasty.client_retry = repeat;
-        host.tell(hasty);
+        TaskArrived first_try;
+        first_try.task = TaskId{99};
+        first_try.expiry = host.now + 600'000;
+        first_try.client_retry = repeat;
+        host.tell(first_try);
         CHECK(host.assigned.size() == (repeat ? 1 : 2));
         CHECK(host.count<Bounce>() == (repeat ? 1 : 0));
     }
 }
 
 TEST_CASE(
-    "what comes too late waits while a late answer earns, takes only what others leave, and is answered in "
-    "time") {
+    "a late task waits while a late answer has value, takes only spare slots, and is answered before its "
+    "expiry") {
     for (const double free : {2.0, 1.0}) {
         FakeHost host(
-            orders_with({{"workloads.0.tardy_importance", "0.4"}, {"clients.marks_retry", "true"}}));
+            settings_with({{"workloads.0.tardy_importance", "0.4"}, {"clients.marks_retry", "true"}}));
         host.fleet(1, 2);
         host.ask(), host.ask();
         TaskArrived late;
@@ -340,8 +340,8 @@
     }
 }
 
-TEST_CASE("an early repeat in overload has the slot that is free now at once") {
-    FakeHost host(orders_with({{"workloads.0.tardy_importance", "0.4"}, {"clients.marks_retry", "true"}}));
+TEST_CASE("a late retry gets a slot that is free at once") {
+    FakeHost host(settings_with({{"workloads.0.tardy_importance", "0.4"}, {"clients.marks_retry", "true"}}));
     host.fleet(1, 1);
     TaskArrived late;
     late.task = TaskId{99};
@@ -351,7 +351,7 @@
     CHECK(host.assigned.size() == 1);
 }
 
-TEST_CASE("what is worth most goes out first, the newest before the oldest") {
+TEST_CASE("the most valuable task is dispatched first, and the newest before the oldest") {
     FakeHost host;
     host.fleet(1, 1);
     host.ask(0);
@@ -367,37 +367,37 @@
     CHECK(host.assigned.back().task == older);
 }
 
-TEST_CASE("one customer's surge waits behind what the others may ask for") {
-    SettingsMap orders = orders_with({{"customers.count", "2"}});
-    orders["customers.0.allowance_per_s"] = orders["customers.1.allowance_per_s"] = "4";
-    orders["importance.surplus"] = "0.05";
-    FakeHost host(orders);
+TEST_CASE("a customer's tasks beyond its allowance wait behind those of others") {
+    SettingsMap settings = settings_with({{"customers.count", "2"}});
+    settings["customers.0.allowance_per_s"] = settings["customers.1.allowance_per_s"] = "4";
+    settings["importance.surplus"] = "0.05";
+    FakeHost host(settings);
     host.fleet(1, 1);
     for (int i = 0; i < 9; ++i) host.ask(0, 0);
     host.pass(10'000);
-    const TaskId modest = host.ask(0, 1);
+    const TaskId within_allowance = host.ask(0, 1);
     host.pass(10'000);
     for (int i = 0; i < 4; ++i) host.ask(0, 0);
     host.end(Outcome::finished, 100'000, 0, {0, 0, 1});
-    CHECK(host.assigned.back().task == modest);
+    CHECK(host.assigned.back().task == within_allowance);
 }
 
-TEST_CASE("where the roster must be asked it is, again after failures, with room left in the rule") {
-    FakeHost host(orders_with({{"roster.how", "on_request"}}));
+TEST_CASE("a list that has to be requested is requested again after each failure, within the limit") {
+    FakeHost host(settings_with({{"roster.how", "on_request"}}));
     host.fleet({host.entry(1)}, UpdateScope::cached);
     for (int i = 0; i < 6; ++i) {
-        const int asked = host.count<WatchMembership>();
+        const int requests = host.count<WatchMembership>();
         host.tell(MembershipUpdate{UpdateScope::failed, 0, {}});
         host.pass(4'000'000);
-        CHECK(host.count<WatchMembership>() == asked + 1);
+        CHECK(host.count<WatchMembership>() == requests + 1);
     }
     host.tell(MembershipUpdate{UpdateScope::delta, 2, {}});
-    const int asked = host.count<WatchMembership>();
+    const int requests = host.count<WatchMembership>();
     host.pass(20'000'000);
-    CHECK(host.count<WatchMembership>() == asked);
+    CHECK(host.count<WatchMembership>() == requests);
 }
 
-TEST_CASE("a roster that empties and comes back, or names what cannot be, leaves a working table") {
+TEST_CASE("the runner table survives an empty list and a list with absurd entries") {
     FakeHost host;
     host.fleet(3, 2);
     host.fleet(std::vector<EndpointEntry>{});
@@ -412,14 +412,15 @@
     CHECK(host.assigned.size() == 1);
 }
 
-// ---- at size ----
+// ---- large fleets ----
 
 TEST_CASE(
-    "hundreds spread over the fleet and spare a cold runner, also if late reports show it alone as free") {
+    "hundreds of dispatchers do not flood a runner in slow start, even if stale reports show only it as "
+    "free") {
     for (const bool late : {false, true}) {
         std::map<RunnerId, int> got;
         for (unsigned me = 0; me < 400; ++me) {
-            FakeHost host(orders_with({{"dispatchers", "400"}, {"rules.fall_multiple", "40"}}), me + 1);
+            FakeHost host(settings_with({{"dispatchers", "400"}, {"rules.fall_multiple", "40"}}), me + 1);
             auto list = host.entries(20);
             list[0].started_at = host.now;
             host.fleet(list);
@@ -434,44 +435,44 @@
     }
 }
 
-TEST_CASE("a hundred with tasks waiting feed a cold runner together, in no second more than it may be sent") {
+TEST_CASE("a hundred dispatchers with queued tasks together keep the budget of a runner in slow start") {
     constexpr unsigned kAll = 100;
     const Micros start = 10'000'000, step = 40'000, work = 700'000;
     std::vector<std::unique_ptr<FakeHost>> all;
     for (unsigned me = 0; me < kAll; ++me) {
-        all.push_back(std::make_unique<FakeHost>(orders_with({{"dispatchers", "100"},
-                                                              {"me", std::to_string(me)},
-                                                              {"caps.probes", "true"},
-                                                              {"rules.cold_from", "0.32"},
-                                                              {"rules.warm_after_us", "9000000"},
-                                                              {"rules.fall_multiple", "2.5"},
-                                                              {"rules.tip_after_us", "1000000"},
-                                                              {"workloads.0.due_time_us", "700000"}}),
+        all.push_back(std::make_unique<FakeHost>(settings_with({{"dispatchers", "100"},
+                                                                {"me", std::to_string(me)},
+                                                                {"caps.probes", "true"},
+                                                                {"rules.cold_from", "0.32"},
+                                                                {"rules.warm_after_us", "9000000"},
+                                                                {"rules.fall_multiple", "2.5"},
+                                                                {"rules.tip_after_us", "1000000"},
+                                                                {"workloads.0.due_time_us", "700000"}}),
                                                  me + 1));
         auto list = FakeHost::entries(2);
         list[1].started_at = start;
         all.back()->fleet(list);
         all.back()->report(1, 0, 3);
     }
-    // What the runner does: three slots, at its warmth's speed; reports tell at once.
-    std::vector<std::pair<unsigned, double>> runs;  // who sent it, work left
+    // Emulates the runner: three slots, a speed that rises during slow start, reports without delay.
+    std::vector<std::pair<unsigned, double>> runs;  // dispatcher and remaining work
     std::vector<Micros> sends;
-    double most = 0;
+    double max_part = 0;
     for (Micros age = 0; age < 8'000'000; age += step) {
-        const double warmth = 0.32 + 0.68 * static_cast<double>(age) / 9e6;
-        for (auto& run : runs) run.second -= warmth * static_cast<double>(step);
-        const auto held = [&] { return static_cast<double>(runs.size()); };
+        const double factor = 0.32 + 0.68 * static_cast<double>(age) / 9e6;
+        for (auto& run : runs) run.second -= factor * static_cast<double>(step);
+        const auto in_flight = [&] { return static_cast<double>(runs.size()); };
         for (std::size_t n = runs.size(); n-- > 0;) {
             if (runs[n].second > 0) continue;
             FakeHost& host = *all[runs[n].first];
             runs.erase(runs.begin() + static_cast<std::ptrdiff_t>(n));
-            host.end(Outcome::finished, work, 0, {3 - held(), 0, held()});
+            host.end(Outcome::finished, work, 0, {3 - in_flight(), 0, in_flight()});
         }
         for (unsigned me = 0; me < kAll; ++me) {
             FakeHost& host = *all[me];
             host.now = start + age;
             const std::size_t before = host.assigned.size();
-            host.report(2, std::max(0.0, 3 - held()), held());
+            host.report(2, std::max(0.0, 3 - in_flight()), in_flight());
             if ((age / step + me) % 10 == 0) host.ask();
             host.pass(0);
             for (std::size_t n = before; n < host.assigned.size(); ++n)
@@ -479,15 +480,18 @@
         }
         double sent = 0;
         for (const Micros at : sends) sent += at > age - 1'000'000 ? static_cast<double>(work) : 0;
-        most = std::max(most, sent / (2.5 * 3e6 * warmth));
+        max_part = std::max(max_part, sent / (2.5 * 3e6 * factor));
     }
-    MESSAGE(sends.size(), " tasks sent in 8 s, at most ", most, " of what a second allows");
-    CHECK(most <= 1);
-    // It could end some 23 of them in that time; one lot a start for each dispatcher gave it next to none.
+    MESSAGE(sends.size(), " tasks sent in 8 s, at most ", max_part, " of what a second allows");
+    CHECK(max_part <= 1);
+    // The runner can finish about 23 of them in that time. With a single order for the whole slow start,
+    // instead of one for each window, it got next to none.
     CHECK(sends.size() >= 12);
 }
 
-TEST_CASE("one failure that loses its task is enough where the next try is far away, not where it is near") {
+TEST_CASE(
+    "one failure that loses its task ejects a runner if its next task would come late, not if it comes "
+    "soon") {
     for (const bool large : {false, true}) {
         FakeHost host;
         host.fleet(large ? 60 : 2, 1);
@@ -502,18 +506,17 @@
     }
 }
 
-// One of several dispatchers where runners report nothing and tell when a task begins.
-static SettingsMap silent_orders(int dispatchers, int me = 0, SettingsMap more = {}) {
-    SettingsMap orders = orders_with({{"trade.tells_start", "true"}, {"reports.names", ""}});
-    orders["dispatchers"] = std::to_string(dispatchers), orders["me"] = std::to_string(me);
-    for (const auto& [name, value] : more) orders[name] = value;
-    return orders;
+// The settings of one of several dispatchers, with runners that report no load but report when a task begins.
+static SettingsMap settings_without_reports(int dispatchers, int me = 0, SettingsMap more = {}) {
+    SettingsMap settings = settings_with({{"trade.tells_start", "true"}, {"reports.names", ""}});
+    settings["dispatchers"] = std::to_string(dispatchers), settings["me"] = std::to_string(me);
+    for (const auto& [name, value] : more) settings[name] = value;
+    return settings;
 }
 
-TEST_CASE("what waits at a runner stays there, and is answered once no length of it would end it in time") {
-    for (const char* stretch :
-         {"1", "2"}) {  // due after 1 s, given up after 5 s: hopeless after 1 s, or after 3
-        FakeHost host(silent_orders(2, 0, {{"workloads.0.aim_stretch", stretch}}));
+TEST_CASE("a task that waits at a runner stays there, and is answered once it can no longer finish in time") {
+    for (const char* stretch : {"1", "2"}) {  // due after 1 s, expiry 5 s: must begin within 1 s or 3 s
+        FakeHost host(settings_without_reports(2, 0, {{"workloads.0.aim_stretch", stretch}}));
         host.fleet(3, 2);
         const TaskId task = host.ask();
         host.pass(stretch[0] == '1' ? 900'000 : 2'900'000);
@@ -525,10 +528,10 @@
     }
 }
 
-TEST_CASE("where only own sendings tell, each runner is near to two dispatchers, sizes counted") {
+TEST_CASE("without reports, each runner is near to two dispatchers, by weight") {
     std::map<RunnerId, int> first, all;
     for (int me = 0; me < 20; ++me) {
-        FakeHost host(silent_orders(20, me));
+        FakeHost host(settings_without_reports(20, me));
         std::vector<EndpointEntry> entries = FakeHost::entries(20);
         for (EndpointEntry& e : entries) e.weight = static_cast<unsigned>(e.runner) % 2 ? 0.7 : 1.3;
         host.fleet(std::move(entries));
@@ -541,17 +544,17 @@
     for (const auto& [runner, n] : all) CHECK(n <= 3);
 }
 
-TEST_CASE("the first fractions follow the sizes that the list names") {
-    FakeHost host(silent_orders(2));
+TEST_CASE("the first fractions follow the weights in the list") {
+    FakeHost host(settings_without_reports(2));
     std::vector<EndpointEntry> entries = FakeHost::entries(2);
     entries[0].weight = 3;
     host.fleet(std::move(entries));
     CHECK(host.balancer.fractions().at(RunnerId{1}) == doctest::Approx(0.75));
 }
 
-TEST_CASE("where what is sent beyond the own part waits there, hardly any more is") {
+TEST_CASE("if tasks wait at far runners, hardly any more are sent there") {
     for (const bool waits : {true, false}) {
-        FakeHost host(silent_orders(10));
+        FakeHost host(settings_without_reports(10));
         host.fleet(FakeHost::entries(10));
         for (int batch = 0; batch < 5; ++batch) {
             host.assigned.clear();
@@ -569,14 +572,14 @@
     }
 }
 
-TEST_CASE("a cold runner is sent to by those who have it near, all together within the rule's budget") {
+TEST_CASE("dispatchers that have a runner in slow start near keep its budget together") {
     int all_sent = 0;
     for (int me = 0; me < 10; ++me) {
-        FakeHost host(silent_orders(10, me,
-                                    {{"rules.fall_multiple", "4"},
-                                     {"rules.tip_after_us", "1500000"},
-                                     {"rules.cold_from", "0.4"},
-                                     {"workloads.0.due_time_us", "300000"}}));
+        FakeHost host(settings_without_reports(10, me,
+                                               {{"rules.fall_multiple", "4"},
+                                                {"rules.tip_after_us", "1500000"},
+                                                {"rules.cold_from", "0.4"},
+                                                {"workloads.0.due_time_us", "300000"}}));
         std::vector<EndpointEntry> entries = FakeHost::entries(10);
         entries[4].started_at = host.now - 1;
         host.fleet(std::move(entries));
@@ -586,19 +589,18 @@
         all_sent += sent;
     }
     CHECK(all_sent >= 1);
-    CHECK(all_sent * 0.3 <= 4 * 0.4 * 1.5);  // seconds of work, in the rule's window
+    CHECK(all_sent * 0.3 <= 4 * 0.4 * 1.5);  // seconds of work within the window
 }
 
-TEST_CASE(
-    "with more dispatchers than a runner has slots, all who have a cold one near still keep its budget") {
-    double sent = 0;  // seconds of work, to a runner just started, in less than the rule's window
+TEST_CASE("with more dispatchers than slots, those near a runner in slow start still keep its budget") {
+    double sent = 0;  // seconds of work, to a started runner, in less than one window
     for (int me = 0; me < 40; ++me) {
-        FakeHost host(silent_orders(40, me,
-                                    {{"rules.fall_multiple", "4"},
-                                     {"rules.tip_after_us", "1500000"},
-                                     {"rules.cold_from", "0.4"},
-                                     {"workloads.0.due_time_us", "500000"}}));
-        std::vector<EndpointEntry> entries = FakeHost::entries(4);  // ten to a runner
+        FakeHost host(settings_without_reports(40, me,
+                                               {{"rules.fall_multiple", "4"},
+                                                {"rules.tip_after_us", "1500000"},
+                                                {"rules.cold_from", "0.4"},
+                                                {"workloads.0.due_time_us", "500000"}}));
+        std::vector<EndpointEntry> entries = FakeHost::entries(4);  // ten dispatchers per runner
         entries[1].started_at = host.now - 1;
         host.fleet(std::move(entries));
         for (int i = 0; i < 10; ++i) host.ask();
@@ -607,21 +609,21 @@
     CHECK(sent <= 4 * 0.4 * 1.5);
 }
 
-TEST_CASE("a list that names sizes of nothing still has its runners drawn") {
-    FakeHost host(silent_orders(2));
+TEST_CASE("runners with a weight of zero are still used") {
+    FakeHost host(settings_without_reports(2));
     std::vector<EndpointEntry> entries = FakeHost::entries(4);
     for (EndpointEntry& e : entries) e.weight = 0;
     host.fleet(std::move(entries));
     CHECK(sum_of(host.balancer.fractions()) == doctest::Approx(1));
 }
 
-TEST_CASE("a further slot that had to wait is not tried again for long") {
-    FakeHost host(silent_orders(2));
+TEST_CASE("an extra slot that did not exist is not tried again soon") {
+    FakeHost host(settings_without_reports(2));
     host.fleet(FakeHost::entries(1));
     host.ask();
     host.tell(Progress{TaskId{1}, 0, RunnerId{1}, 0, Stage::begun});
     host.ask();
-    REQUIRE(host.assigned.size() == 2);  // one more is tried
+    REQUIRE(host.assigned.size() == 2);  // one extra slot is tried
     host.pass(800'000);
     host.tell(Progress{TaskId{2}, 0, RunnerId{1}, 0, Stage::begun});
     host.end(Outcome::finished, 800'000), host.end(Outcome::finished, 800'000, 1);
@@ -630,22 +632,24 @@
     CHECK(host.assigned.size() == 1);
 }
 
-TEST_CASE("orders restated with another number of dispatchers settle anew who is near") {
-    FakeHost restated(silent_orders(10)), from_start(silent_orders(10, 5));
+TEST_CASE("new settings with another number of dispatchers change which runners are near") {
+    FakeHost updated(settings_without_reports(10)), from_start(settings_without_reports(10, 5));
     std::set<RunnerId> near, expected;
-    restated.fleet(FakeHost::entries(10));
+    updated.fleet(FakeHost::entries(10));
     from_start.fleet(FakeHost::entries(10));
-    restated.tell(SettingsChanged{silent_orders(10, 5), {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
-    for (int i = 0; i < 2; ++i) restated.ask(), from_start.ask();
-    for (const Assign& a : restated.assigned) near.insert(a.runner);
+    updated.tell(
+        SettingsChanged{settings_without_reports(10, 5), {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}}});
+    for (int i = 0; i < 2; ++i) updated.ask(), from_start.ask();
+    for (const Assign& a : updated.assigned) near.insert(a.runner);
     for (const Assign& a : from_start.assigned) expected.insert(a.runner);
     CHECK(near.size() == 2);
     CHECK(near == expected);
 }
 
-TEST_CASE("hundreds close a connection that they will hardly use again, a few keep it") {
+TEST_CASE("hundreds of dispatchers close connections that they rarely use, a few keep them") {
     for (const bool many : {true, false}) {
-        FakeHost host(orders_with({{"dispatchers", many ? "900" : "3"}, {"caps.keepalive_us", "60000000"}}));
+        FakeHost host(
+            settings_with({{"dispatchers", many ? "900" : "3"}, {"caps.keepalive_us", "60000000"}}));
         host.fleet(200, 2);
         for (int i = 0; i < 3; ++i, host.pass(1'000'000))
             host.ask(), host.pass(100'000), host.end(Outcome::finished);
@@ -653,7 +657,7 @@
     }
 }
 
-TEST_CASE("a runner never tried is judged by its kind") {
+TEST_CASE("a runner without samples gets the estimate of its instance type") {
     FakeHost host;
     auto list = host.entries(4);
     list[1].instance_type = list[3].instance_type = InstanceTypeId{1};
@@ -668,25 +672,26 @@
     CHECK(host.balancer.fractions().at(RunnerId{4}) < 0.5 * host.balancer.fractions().at(RunnerId{3}));
 }
 
-TEST_CASE("on old news a runner is asked before work goes to it, the less often the longer that waits") {
-    FakeHost host(orders_with({{"caps.probes", "true"}}));
+TEST_CASE("a runner with a stale report is probed first, less often the longer the task waits") {
+    FakeHost host(settings_with({{"caps.probes", "true"}}));
     host.fleet({host.entry(1)});
     host.ask();
-    std::vector<int> asked{0};
+    std::vector<int> probes{0};
     for (int span = 0; span < 2; ++span) {
         for (int i = 0, answered = 0; i < 200; ++i, host.pass(2'000))
             if (host.count<Probe>() > answered) answered = host.count<Probe>(), host.report(1, 0, 4);
-        asked.push_back(host.count<Probe>());
+        probes.push_back(host.count<Probe>());
     }
-    CHECK(asked[2] > asked[1]);
-    CHECK(asked[2] < 2 * asked[1]);
+    CHECK(probes[2] > probes[1]);
+    CHECK(probes[2] < 2 * probes[1]);
     CHECK(host.assigned.empty());
     host.report(1, 4, 0);
     CHECK(host.assigned.size() == 1);
 }
 
 TEST_CASE(
-    "events about what is not known are passed over; a client that left has its work withdrawn, unanswered") {
+    "events about unknown tasks and runners are ignored; a disconnected client's task is withdrawn, "
+    "unanswered") {
     FakeHost host;
     host.fleet(1, 1);
     host.ask();
@@ -702,22 +707,21 @@
     CHECK(host.answers.empty());
 }
 
-TEST_CASE(
-    "a standing order that cannot be read fails the start with its name; a missing effect is the safe one") {
-    CHECK_THROWS_WITH_AS(FakeHost(orders_with({{"rules.fall_multiple", "four"}})),
+TEST_CASE("a malformed setting is refused with its name; a missing effect gets the safe default") {
+    CHECK_THROWS_WITH_AS(FakeHost(settings_with({{"rules.fall_multiple", "four"}})),
                          doctest::Contains("rules.fall_multiple"), std::runtime_error);
-    CHECK_THROWS_AS(FakeHost(orders_with({{"caps.probes", "maybe"}})), std::runtime_error);
-    SettingsMap orders = plain_orders();
-    orders.erase("workloads.0.effect");
-    FakeHost host(orders);
+    CHECK_THROWS_AS(FakeHost(settings_with({{"caps.probes", "maybe"}})), std::runtime_error);
+    SettingsMap settings = plain_orders();
+    settings.erase("workloads.0.effect");
+    FakeHost host(settings);
     host.fleet(2, 2);
     host.ask(0);
     host.end(Outcome::error);
     CHECK(host.count<Abandon>() == 1);
 }
 
-// A newcomer's fleet: reports come with answers only, and an answer does not count the task that it ends.
-TEST_CASE("a report that comes with an end and does not count it any more gives the runner its slots") {
+// Runners that report only with answers, and whose report does not count the task that has just ended.
+TEST_CASE("a report that comes with an end and no longer counts that task still yields the runner's slots") {
     FakeHost host;
     host.fleet(FakeHost::entries(1));
     for (int i = 0; i < 40; ++i) {
@@ -730,15 +734,15 @@
     CHECK(host.assigned.size() == before + 4);
 }
 
-TEST_CASE("where nobody reports, slots are found within as many answers, not seconds") {
-    SettingsMap orders = plain_orders();
-    orders.erase("reports.names");
-    FakeHost host(orders);
+TEST_CASE("without reports, learning the slots takes a number of answers, not of seconds") {
+    SettingsMap settings = plain_orders();
+    settings.erase("reports.names");
+    FakeHost host(settings);
     host.fleet(FakeHost::entries(1));
     for (int i = 0; i < 30; ++i) host.ask();
     const Micros began = host.now;
     std::size_t ended = 0;
-    for (int i = 0; i < 12; ++i) {  // twelve round trips of 5 ms, every answer as quick as the first
+    for (int i = 0; i < 12; ++i) {  // twelve round trips of 5 ms, all equally fast
         const std::size_t out = host.assigned.size();
         host.pass(5'000);
         for (; ended < out; ++ended)
@@ -749,11 +753,12 @@
 }
 
 TEST_CASE(
-    "where only draining binds, what a list calls gone goes on by its own answers, and a drain holds until a "
-    "start") {
-    SettingsMap orders = plain_orders();
-    orders["rules.only_draining_binds"] = "true";
-    FakeHost host(orders);
+    "if only draining is binding, a runner listed as gone is used while it answers, and a drained one not "
+    "until "
+    "it restarts") {
+    SettingsMap settings = plain_orders();
+    settings["rules.only_draining_binds"] = "true";
+    FakeHost host(settings);
     const auto sent_to = [&](unsigned id) {
         for (int i = 0; i < 60; ++i) {
             host.ask();
@@ -764,23 +769,23 @@
         return false;
     };
     host.fleet(3, 9);
-    host.fleet({FakeHost::entry(1)});  // a wrong list: two that live are left out
+    host.fleet({FakeHost::entry(1)});  // a wrong list that omits two live runners
     CHECK(sent_to(2));
     host.fleet({FakeHost::entry(3, RunnerState::gone)}, UpdateScope::delta);
     CHECK(sent_to(3));
     host.fleet({FakeHost::entry(2, RunnerState::draining)}, UpdateScope::delta);
     CHECK_FALSE(sent_to(2));
     host.fleet({FakeHost::entry(1)});
-    CHECK_FALSE(sent_to(2));  // dropped after its drain
+    CHECK_FALSE(sent_to(2));  // missing after its drain
     host.fleet(FakeHost::entries(3));
-    CHECK_FALSE(sent_to(2));  // an old list come back
+    CHECK_FALSE(sent_to(2));  // an outdated list
     EndpointEntry again = FakeHost::entry(2);
     again.started_at = host.now;
     host.fleet({again}, UpdateScope::delta);
     host.report(2, 9, 0);
     host.pass(40'000'000);
     CHECK(sent_to(2));
-    // Of one that is called gone its own failure is believed, and no trial follows.
+    // A runner listed as gone is dropped on its own failure, without a trial.
     host.fleet({FakeHost::entry(3, RunnerState::gone)}, UpdateScope::delta);
     host.report(1, 0, 9), host.report(2, 0, 9);  // the others are full
     host.ask();
@@ -789,20 +794,21 @@
     host.report(1, 9, 0);
     host.pass(6'000'000);
     CHECK_FALSE(sent_to(3));
-    orders["rules.only_draining_binds"] = "perhaps";
-    CHECK_THROWS_WITH(Balancer(orders, 1),
+    settings["rules.only_draining_binds"] = "perhaps";
+    CHECK_THROWS_WITH(Balancer(settings, 1),
                       "standing order rules.only_draining_binds is neither true nor false: perhaps");
 }
 
 TEST_CASE(
-    "a large fleet spreads its first calls for the list and waits longer after each failure; a small one "
-    "asks at once") {
-    // When each of a fleet first asks, and when again after failures in a row, from its start.
-    const auto asks = [](int dispatchers, std::uint64_t seed) {
-        SettingsMap orders = plain_orders();
-        orders["roster.how"] = "on_request", orders["rules.must_ask_in_us"] = "10000000";
-        orders["dispatchers"] = std::to_string(dispatchers);
-        FakeHost host(orders, seed);
+    "a large fleet spreads its first requests for the list and backs off longer after each failure; a small "
+    "one "
+    "requests it at once") {
+    // The times, from the start, of a dispatcher's first request and of those after consecutive failures.
+    const auto request_times = [](int dispatchers, std::uint64_t seed) {
+        SettingsMap settings = plain_orders();
+        settings["roster.how"] = "on_request", settings["rules.must_ask_in_us"] = "10000000";
+        settings["dispatchers"] = std::to_string(dispatchers);
+        FakeHost host(settings, seed);
         const Micros from = host.now;
         host.fleet(FakeHost::entries(4), UpdateScope::cached);
         std::vector<Micros> at;
@@ -816,12 +822,12 @@
         REQUIRE(at.size() == 7);
         return at;
     };
-    CHECK(asks(3, 1).front() == 0);
-    CHECK(asks(3, 1).back() - asks(3, 1)[5] <= 3'800'000);
+    CHECK(request_times(3, 1).front() == 0);
+    CHECK(request_times(3, 1).back() - request_times(3, 1)[5] <= 3'800'000);
     std::set<Micros> first;
     Micros longest = 0;
     for (std::uint64_t seed = 1; seed <= 48; ++seed) {
-        const auto at = asks(48, seed);
+        const auto at = request_times(48, seed);
         first.insert(at.front() / 100'000);
         CHECK(at.front() <= 2'500'000);
         CHECK(at[1] - at[0] >= 1'250'000);
--- a/tests/recorded/days.cpp
+++ b/tests/recorded/days.cpp
@@ -1,9 +1,9 @@
-// Plays days of the rehearsal in virtual time and digests their results. What is digested is the shape and
-// the numbers of the JSON that a run writes; names of members and texts are left out, and the members of an
-// object are taken in the order of their contents, so that a renamed label changes no digest.
+// Plays the emulator's days in virtual time and digests their results: the structure and the numbers of the
+// JSON that a run writes. Names of members and texts are left out, and the members of an object are sorted by
+// their contents, so that a renamed label does not change a digest.
 //
 //   recorded_days REHEARSE DIGESTS PART PARTS            plays every PARTS-th line from line PART on
-//   recorded_days REHEARSE DIGESTS PART PARTS --print    shows the lines as measured now
+//   recorded_days REHEARSE DIGESTS PART PARTS --print    prints the measured lines
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -32,10 +32,10 @@
     return value.is_object() ? "{" + joined + "}" : "[" + joined + "]";
 }
 
-struct Folder {
+struct TemporaryFolder {
     const std::string path = "recorded-days-" + std::to_string(getpid());
-    Folder() { files::create_directory(path); }
-    ~Folder() {
+    TemporaryFolder() { files::create_directory(path); }
+    ~TemporaryFolder() {
         std::error_code ignored;
         files::remove_all(path, ignored);
     }
@@ -50,16 +50,16 @@
     throw std::runtime_error("the run wrote no result");
 }
 
-// "day seed" to "day seed digest numbers:N exit:N". Status 1 says that a goal or rule did not hold, which is
-// a result like any other; beyond it there is none.
+// Returns "day seed digest numbers:N exit:N". Exit status 1 means that a goal or a rule was missed, which is
+// a valid result; with any other failure there is none.
 std::string play(const std::string& program, const std::string& day, const std::string& seed) {
-    const Folder folder;
+    const TemporaryFolder folder;
     const std::string command = "'" + program + "' run '" + day + "' --seed '" + seed + "' --out '" +
                                 folder.path + "' > '" + folder.path + "/output' 2>&1";
     const int status = std::system(command.c_str());
     if (!WIFEXITED(status) || WEXITSTATUS(status) > 1) {
         std::cerr << std::ifstream(folder.path + "/output").rdbuf();
-        throw std::runtime_error("the run of " + day + " ended badly");
+        throw std::runtime_error("the run of " + day + " failed");
     }
     std::uint64_t numbers = 0;
     recorded::Digest digest;
@@ -68,14 +68,14 @@
            " exit:" + std::to_string(WEXITSTATUS(status));
 }
 
-int play_part(char** words, bool print) {
-    const auto part = std::stoul(words[3]), parts = std::stoul(words[4]);
-    const std::vector<std::string> committed = recorded::lines_of(words[2]);
+int play_part(char** arguments, bool print) {
+    const auto part = std::stoul(arguments[3]), parts = std::stoul(arguments[4]);
+    const std::vector<std::string> committed = recorded::lines_of(arguments[2]);
     std::size_t played = 0, different = 0;
     for (std::size_t i = part; i < committed.size(); i += parts, ++played) {
         std::string day, seed;
         std::istringstream(committed[i]) >> day >> seed;
-        const std::string measured = play(words[1], day, seed);
+        const std::string measured = play(arguments[1], day, seed);
         if (print) std::cout << measured << std::endl;
         if (measured == committed[i] || print) continue;
         ++different;
@@ -87,14 +87,14 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const bool print = count == 6 && std::string(words[5]) == "--print";
+int main(int count, char** arguments) {
+    const bool print = count == 6 && std::string(arguments[5]) == "--print";
     if (count != 5 && !print) {
         std::cerr << "usage: recorded_days REHEARSE DIGESTS PART PARTS [--print]\n";
         return 2;
     }
     try {
-        return play_part(words, print);
+        return play_part(arguments, print);
     } catch (const std::exception& e) {
         std::cerr << "recorded_days: " << e.what() << '\n';
         return 1;
--- a/tests/recorded/events.cpp
+++ b/tests/recorded/events.cpp
@@ -1,7 +1,7 @@
-// Seeded streams of those events that the bench's line protocol cannot carry (guests that pull, room told by
-// them, orders restated in service, the last call, beliefs handed on, a copy of the module), mixed with all
-// the others, played straight into the module. Every action, and at the end what was learned and what an
-// operator would see, goes into the digest as numbers.
+// Plays seeded streams of events into the decision module: those that the simulation host's protocol cannot
+// carry (dynamic workers, their capacity, new settings, the drain deadline, restored state, a copy of the
+// module), mixed with all others. The digest covers every action and, at the end, the learned state and the
+// operators' view, as numbers.
 //
 //   recorded_events DIGESTS|--print
 #include <stdexcept>
@@ -21,15 +21,15 @@
     return static_cast<std::uint64_t>(id);
 }
 
-// An action's code in the digest is fixed here and does not follow the order of the variant's alternatives.
-// Of texts only that they came: their wording is no behaviour of the module's.
+// The code of each action in the digest. It does not depend on the order of the variant's alternatives. Of a
+// text only its presence is digested, since its wording is not behaviour.
 struct Codes {
     Digest& digest;
     std::map<int, std::uint64_t>& counts;
     void put(int code, std::initializer_list<std::uint64_t> values = {}) const {
         ++counts[code];
-        digest.whole(static_cast<std::uint64_t>(code));
-        for (const std::uint64_t value : values) digest.whole(value);
+        digest.integer(static_cast<std::uint64_t>(code));
+        for (const std::uint64_t value : values) digest.integer(value);
     }
     void operator()(const Assign& a) const { put(1, {raw(a.task), raw(a.runner), raw(a.deadline)}); }
     void operator()(const Bounce& a) const { put(2, {raw(a.task), raw(a.retry_after)}); }
@@ -49,31 +49,33 @@
     for (const auto bin : histogram.bins()) digest.real(bin);
 }
 
-void digest_lore(Digest& digest, const LearnedState& lore) {
-    for (const RunnerEstimates& r : lore.runners) {
-        digest.whole(raw(r.runner)), digest_histogram(digest, r.latency);
+void digest_learned_state(Digest& digest, const LearnedState& learned) {
+    for (const RunnerEstimates& r : learned.runners) {
+        digest.integer(raw(r.runner)), digest_histogram(digest, r.latency);
         digest.real(r.min_latency), digest.real(r.slots), digest.real(r.fraction);
-        digest.whole(raw(r.ejected_for)), digest.whole(raw(r.warming_for));
+        digest.integer(raw(r.ejected_for)), digest.integer(raw(r.warming_for));
     }
-    digest.whole(lore.table_size);
-    for (const InstanceTypeEstimates& k : lore.instance_types)
-        digest.whole(raw(k.instance_type)), digest_histogram(digest, k.latency), digest.real(k.weight);
-    for (const Histogram& w : lore.workloads) digest_histogram(digest, w);
-    digest.real(lore.typical_cost);
+    digest.integer(learned.table_size);
+    for (const InstanceTypeEstimates& k : learned.instance_types)
+        digest.integer(raw(k.instance_type)), digest_histogram(digest, k.latency), digest.real(k.weight);
+    for (const Histogram& w : learned.workloads) digest_histogram(digest, w);
+    digest.real(learned.typical_cost);
 }
 
 void digest_view(Digest& digest, const Balancer& balancer) {
-    for (const auto& [id, fraction] : balancer.fractions()) digest.whole(raw(id)), digest.real(fraction);
+    for (const auto& [id, fraction] : balancer.fractions()) digest.integer(raw(id)), digest.real(fraction);
     for (const RunnerView& v : balancer.runners()) {
-        digest.whole(raw(v.runner)), digest.whole(v.ready * 4U + v.trial * 2U + v.suspected);
+        digest.integer(raw(v.runner)), digest.integer(v.ready * 4U + v.trial * 2U + v.suspected);
         digest.real(v.fraction), digest.real(v.slots), digest.real(v.free_slots),
             digest.real(v.slow_start_factor);
-        digest.whole(raw(v.in_flight)), digest.whole(raw(v.reported_at)), digest.whole(raw(v.ejected_until));
+        digest.integer(raw(v.in_flight)), digest.integer(raw(v.reported_at)),
+            digest.integer(raw(v.ejected_until));
     }
 }
 
-// Workloads only ever come: a place that tasks may hold is never taken away (src/orders/terms.hpp).
-SettingsMap orders_of(int workloads, bool restated) {
+// The number of workloads never falls: an id that tasks may use is never removed
+// (src/settings/workload_registry.hpp).
+SettingsMap settings_of(int workloads, bool is_changed) {
     SettingsMap all{{"workloads.count", std::to_string(workloads)},
                     {"caps.max_assignments", "4"},
                     {"caps.cancelling", "true"},
@@ -93,13 +95,14 @@
     for (int i = 0; i < 4; ++i) {
         const std::string at = "workloads." + std::to_string(i) + ".";
         all[at + "effect"] = effects[i], all[at + "importance"] = std::to_string(1 + 3 * i);
-        all[at + "due_time_us"] = restated && i == 0 ? "200000" : "400000", all[at + "expiry_us"] = "2000000";
+        all[at + "due_time_us"] = is_changed && i == 0 ? "200000" : "400000",
+                 all[at + "expiry_us"] = "2000000";
     }
     all["workloads.1.group"] = "cell", all["workloads.1.window_us"] = "1000000";
     return all;
 }
 
-struct Out {
+struct OpenAssignment {
     TaskId task{};
     RunnerId runner{};
     int assignment = 0;
@@ -109,20 +112,20 @@
 
 class Stream {
   public:
-    explicit Stream(std::uint64_t seed) : random_(seed), balancer_(orders_of(3, false), seed) {}
+    explicit Stream(std::uint64_t seed) : random_(seed), balancer_(settings_of(3, false), seed) {}
     std::string play(const std::string& name, int events);
 
   private:
-    void tell(const Event& event);
-    void take(const std::vector<Action>& actions);
+    void apply(const Event& event);
+    void record(const std::vector<Action>& actions);
     void begin();
     void happen();
     void arrive();
     void end_one();
-    void change_roster();
-    void restate();
+    void change_membership();
+    void change_settings();
     void rare_event();
-    void hand_on();
+    void restore_copy();
     Report report() {
         return {static_cast<double>(random_.below(6)), static_cast<double>(random_.below(3)),
                 static_cast<double>(random_.below(5))};
@@ -134,18 +137,18 @@
     Digest digest_;
     std::map<int, std::uint64_t> counts_;
     Micros now_ = 50'000'000;
-    std::vector<Out> out_;
+    std::vector<OpenAssignment> open_;
     std::vector<RunnerId> probed_;
     std::map<TaskId, int> assignments_;
     std::uint64_t next_task_ = 1;
     std::uint32_t version_ = 1;
-    bool restated_ = false;
+    bool is_changed_ = false;
     int workloads_ = 3;
-    static constexpr unsigned kRunners = 7, kGuests = 3;
+    static constexpr unsigned kRunners = 7, kWorkers = 3;
 };
 
-void Stream::tell(const Event& event) {
-    Balancer copy(balancer_);  // from the same events comes the same
+void Stream::apply(const Event& event) {
+    Balancer copy(balancer_);  // has to give the same actions for the same events
     std::vector<Action> actions, of_copy;
     balancer_.apply(now_, event), balancer_.collect_actions(now_, actions);
     copy.apply(now_, event), copy.collect_actions(now_, of_copy);
@@ -154,15 +157,15 @@
     for (const Action& a : actions) std::visit(Codes{one, ignored}, a);
     for (const Action& a : of_copy) std::visit(Codes{other, ignored}, a);
     if (one.text() != other.text()) throw std::runtime_error("a copy of the module decided otherwise");
-    take(actions);
+    record(actions);
 }
 
-void Stream::take(const std::vector<Action>& actions) {
-    digest_.whole(static_cast<std::uint64_t>(now_));
+void Stream::record(const std::vector<Action>& actions) {
+    digest_.integer(static_cast<std::uint64_t>(now_));
     for (const Action& action : actions) {
         std::visit(Codes{digest_, counts_}, action);
         if (const auto* a = std::get_if<Assign>(&action))
-            out_.push_back({a->task, a->runner, assignments_[a->task]++, now_});
+            open_.push_back({a->task, a->runner, assignments_[a->task]++, now_});
         if (const auto* p = std::get_if<Probe>(&action)) probed_.push_back(p->runner);
     }
 }
@@ -178,16 +181,16 @@
 void Stream::begin() {
     std::vector<EndpointEntry> all;
     for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
-    tell(MembershipUpdate{UpdateScope::cached, version_++, all});
-    tell(MembershipUpdate{UpdateScope::complete, version_++, all});
-    std::vector<EndpointEntry> guests;
-    for (unsigned id = kRunners + 1; id <= kRunners + kGuests; ++id) {
-        guests.push_back(entry(id));
-        guests.back().pulls = true;
-        guests.back().workloads = WorkloadSet().set(id % 3);
-        guests.back().started_at = id % 2 ? now_ : 0;
+    apply(MembershipUpdate{UpdateScope::cached, version_++, all});
+    apply(MembershipUpdate{UpdateScope::complete, version_++, all});
+    std::vector<EndpointEntry> workers;
+    for (unsigned id = kRunners + 1; id <= kRunners + kWorkers; ++id) {
+        workers.push_back(entry(id));
+        workers.back().pulls = true;
+        workers.back().workloads = WorkloadSet().set(id % 3);
+        workers.back().started_at = id % 2 ? now_ : 0;
     }
-    tell(MembershipUpdate{UpdateScope::dynamic_workers, version_++, guests});
+    apply(MembershipUpdate{UpdateScope::dynamic_workers, version_++, workers});
 }
 
 void Stream::arrive() {
@@ -198,29 +201,29 @@
     a.key = static_cast<std::uint64_t>(random_.below(100)), a.expiry = now_ + 2'000'000;
     a.hint_valid = random_.one_in(3), a.cost_hint = a.hint_valid ? 60'000 : 0;
     a.client_retry = random_.one_in(9), a.write = random_.one_in(5), a.after_disconnect = random_.one_in(15);
-    tell(a);
+    apply(a);
 }
 
 void Stream::end_one() {
-    if (out_.empty()) return;
-    const auto at = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(out_.size())));
-    const Out one = out_[at];
+    if (open_.empty()) return;
+    const auto at = static_cast<std::size_t>(random_.below(static_cast<std::int64_t>(open_.size())));
+    const OpenAssignment one = open_[at];
     if (!one.begun && !random_.one_in(4)) {
-        out_[at].begun = true;
-        return tell(Progress{one.task, 0, one.runner, one.assignment, Stage::begun});
+        open_[at].begun = true;
+        return apply(Progress{one.task, 0, one.runner, one.assignment, Stage::begun});
     }
-    if (random_.one_in(8)) return tell(StreamBegun{one.task, one.assignment, one.runner, now_ - one.since});
-    if (random_.one_in(8)) return tell(Progress{one.task, 0.5, one.runner, one.assignment, Stage::progress});
-    out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(at));
+    if (random_.one_in(8)) return apply(StreamBegun{one.task, one.assignment, one.runner, now_ - one.since});
+    if (random_.one_in(8)) return apply(Progress{one.task, 0.5, one.runner, one.assignment, Stage::progress});
+    open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
     constexpr Outcome kFailures[] = {Outcome::error,          Outcome::full,  Outcome::timed_out,
                                      Outcome::connect_failed, Outcome::reset, Outcome::withdrawn,
                                      Outcome::not_started};
     const Outcome how = random_.one_in(5) ? kFailures[random_.below(7)] : Outcome::finished;
-    tell(AssignmentEnded{one.task, how == Outcome::finished, 0, now_ - one.since, one.runner, one.assignment,
-                         how, report()});
+    apply(AssignmentEnded{one.task, how == Outcome::finished, 0, now_ - one.since, one.runner, one.assignment,
+                          how, report()});
 }
 
-void Stream::change_roster() {
+void Stream::change_membership() {
     constexpr RunnerState kStates[] = {RunnerState::draining, RunnerState::gone, RunnerState::ready,
                                        RunnerState::ready};
     // Drawn one after the other: the order in which arguments are evaluated is the compiler's choice.
@@ -228,45 +231,46 @@
     const auto runner = 1 + static_cast<unsigned>(random_.below(kRunners));
     EndpointEntry e = entry(runner, state);
     e.started_at = random_.one_in(2) ? now_ - 100'000 : 0;
-    tell(MembershipUpdate{UpdateScope::delta, version_++, {e}});
+    apply(MembershipUpdate{UpdateScope::delta, version_++, {e}});
 }
 
-void Stream::hand_on() {
-    const LearnedState lore = balancer_.learned_state(0, kRunners);
-    digest_lore(digest_, lore);
-    Balancer next(orders_of(workloads_, restated_), 5);
+void Stream::restore_copy() {
+    const LearnedState learned = balancer_.learned_state(0, kRunners);
+    digest_learned_state(digest_, learned);
+    Balancer next(settings_of(workloads_, is_changed_), 5);
     std::vector<Action> actions;
     std::vector<EndpointEntry> all;
     for (unsigned id = 1; id <= kRunners; ++id) all.push_back(entry(id));
     next.apply(now_, MembershipUpdate{UpdateScope::cached, 1, all});
-    next.restore(lore);
+    next.restore(learned);
     next.collect_actions(now_, actions);
     for (const Action& a : actions) std::visit(Codes{digest_, counts_}, a);
     digest_view(digest_, next);
-    digest_lore(digest_, next.learned_state());
+    digest_learned_state(digest_, next.learned_state());
 }
 
-void Stream::restate() {
-    restated_ = !restated_;
-    const auto last = static_cast<WorkloadId>(std::exchange(workloads_, 4) == 4 ? 3 : 256);  // 256: nobody's
-    tell(SettingsChanged{orders_of(workloads_, restated_),
-                         {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}, last}});
+void Stream::change_settings() {
+    is_changed_ = !is_changed_;
+    const auto last =
+        static_cast<WorkloadId>(std::exchange(workloads_, 4) == 4 ? 3 : 256);  // 256: no workload
+    apply(SettingsChanged{settings_of(workloads_, is_changed_),
+                          {WorkloadId{0}, WorkloadId{1}, WorkloadId{2}, last}});
 }
 
 void Stream::rare_event() {
     switch (random_.below(6)) {
         case 0:
-            return change_roster();
+            return change_membership();
         case 1:
-            return tell(MembershipUpdate{UpdateScope::failed, version_++, {}});
+            return apply(MembershipUpdate{UpdateScope::failed, version_++, {}});
         case 2:
-            return tell(ClientDisconnected{TaskId{next_task_ - 1}});
+            return apply(ClientDisconnected{TaskId{next_task_ - 1}});
         case 3:
-            return tell(PeerMessage{PeerId{1}, "a word"});
+            return apply(PeerMessage{PeerId{1}, "a word"});
         case 4:
-            return restate();
+            return change_settings();
         default:
-            return hand_on();
+            return restore_copy();
     }
 }
 
@@ -275,18 +279,18 @@
     const auto chance = random_.below(100);
     if (chance < 30) return arrive();
     if (chance < 72) return end_one();
-    if (chance < 84) return tell(TimerFired{});
+    if (chance < 84) return apply(TimerFired{});
     if (chance < 90) {
-        const auto guest = static_cast<unsigned>(kRunners + 1 + random_.below(kGuests));
-        return tell(CapacityReported{RunnerId{guest}, static_cast<double>(random_.below(4))});
+        const auto worker = static_cast<unsigned>(kRunners + 1 + random_.below(kWorkers));
+        return apply(CapacityReported{RunnerId{worker}, static_cast<double>(random_.below(4))});
     }
     if (chance < 97) {
         if (probed_.empty()) return;
-        const RunnerId asked = probed_.back();
+        const RunnerId probed = probed_.back();
         probed_.pop_back();
         constexpr Outcome kEnds[] = {Outcome::finished, Outcome::finished, Outcome::finished,
                                      Outcome::connect_failed, Outcome::timed_out};
-        return tell(ProbeEnded{asked, kEnds[random_.below(5)], 1'000, report()});
+        return apply(ProbeEnded{probed, kEnds[random_.below(5)], 1'000, report()});
     }
     rare_event();
 }
@@ -295,15 +299,15 @@
     begin();
     for (int i = 0; i < events; ++i) happen();
     digest_view(digest_, balancer_);
-    digest_lore(digest_, balancer_.learned_state());
-    tell(DrainDeadline{});
+    digest_learned_state(digest_, balancer_.learned_state());
+    apply(DrainDeadline{});
     digest_view(digest_, balancer_);
     return name + " " + digest_.text() + recorded::counts_text(counts_);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     if (count != 2) {
         std::cerr << "usage: recorded_events DIGESTS|--print\n";
         return 2;
@@ -312,7 +316,7 @@
         std::vector<std::string> lines;
         for (const std::uint64_t seed : {1, 2, 3, 4, 5, 6})
             lines.push_back(Stream(seed).play("seed-" + std::to_string(seed), 4'000));
-        return recorded::conclude(lines, words[1]);
+        return recorded::finish(lines, arguments[1]);
     } catch (const std::exception& e) {
         std::cerr << "recorded_events: " << e.what() << '\n';
         return 1;
--- a/tests/recorded/recording.hpp
+++ b/tests/recorded/recording.hpp
@@ -1,5 +1,5 @@
-// What the recorded tests share: a random generator and a digest that are the same on every machine, and the
-// comparison of what a run gave with the lines that are committed.
+// Shared by the recorded tests: a random generator and a digest that are the same on every machine, and the
+// comparison of the measured lines with the committed ones.
 #pragma once
 
 #include <algorithm>
@@ -16,8 +16,7 @@
 
 namespace recorded {
 
-// splitmix64: the distributions of the standard library may differ between versions of it, whole numbers do
-// not.
+// splitmix64. Integers only: the distributions of the standard library differ between its versions.
 class Random {
   public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -43,10 +42,10 @@
     void bytes(std::string_view text) {
         for (const char c : text) byte(static_cast<unsigned char>(c));
     }
-    void whole(std::uint64_t value) {
+    void integer(std::uint64_t value) {
         for (int shift = 56; shift >= 0; shift -= 8) byte(static_cast<unsigned char>(value >> shift));
     }
-    void real(double value) { whole(std::bit_cast<std::uint64_t>(value)); }
+    void real(double value) { integer(std::bit_cast<std::uint64_t>(value)); }
     std::string text() const {
         char shown[17];
         std::snprintf(shown, sizeof shown, "%016llx", static_cast<unsigned long long>(sum_));
@@ -57,7 +56,7 @@
     std::uint64_t sum_ = 0xcbf29ce484222325;
 };
 
-// "code:count" for every code that occurred, so that a line also shows what a stream exercised.
+// " code:count" for every code that occurred, so that a line also shows what a stream covers.
 inline std::string counts_text(const std::map<int, std::uint64_t>& counts) {
     std::string text;
     for (const auto& [code, count] : counts) text += " " + std::to_string(code) + ":" + std::to_string(count);
@@ -72,24 +71,24 @@
     return lines;
 }
 
-// The exit status: 0 where both have the same lines in the same order. An empty or missing file is no match.
+// Returns the exit status: 0 if both have the same lines in the same order. No lines at all are a failure.
 inline int compare(const std::vector<std::string>& measured, const std::string& committed_path) {
     const std::vector<std::string> committed = lines_of(committed_path);
     std::size_t different = 0;
     for (std::size_t i = 0; i < std::max(measured.size(), committed.size()); ++i) {
-        const std::string was = i < committed.size() ? committed[i] : "(no such line)";
-        const std::string is = i < measured.size() ? measured[i] : "(no such line)";
-        if (was == is) continue;
+        const std::string old_line = i < committed.size() ? committed[i] : "(no such line)";
+        const std::string new_line = i < measured.size() ? measured[i] : "(no such line)";
+        if (old_line == new_line) continue;
         ++different;
-        std::cout << "committed: " << was << "\n measured: " << is << "\n";
+        std::cout << "committed: " << old_line << "\n measured: " << new_line << "\n";
     }
     std::cout << measured.size() << " lines measured, " << committed.size() << " committed, " << different
               << " differ\n";
     return different == 0 && !measured.empty() ? 0 : 1;
 }
 
-// The end of every recorded program: `--print` shows the lines for a new file, otherwise they are compared.
-inline int conclude(const std::vector<std::string>& measured, const std::string& committed_or_print) {
+// Ends a recorded test: `--print` prints the lines for a new file, any other argument is the file to compare.
+inline int finish(const std::vector<std::string>& measured, const std::string& committed_or_print) {
     if (committed_or_print != "--print") return compare(measured, committed_or_print);
     for (const std::string& line : measured) std::cout << line << "\n";
     return 0;
--- a/tests/recorded/stable_formats_test.cpp
+++ b/tests/recorded/stable_formats_test.cpp
@@ -1,5 +1,5 @@
-// Bytes that pass between two processes, as the text before the renaming wrote and read them: the words of a
-// handover, and the names in both files of settings. tests/snapshot has those of stored snapshots.
+// Formats that must not change, since other processes and operators' files use them: the messages of a
+// handover, and the names in both settings files. tests/snapshot covers stored snapshots.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -27,7 +27,7 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The smallest configuration, with one more line among the settings or beside them.
+// The smallest valid configuration, with further text inside or beside its settings.
 std::string configuration(const std::string& settings, const std::string& beside = "",
                           const std::string& of_workload = "") {
     return R"({"name": "n0", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500")" + beside +
@@ -54,7 +54,7 @@
     return "";
 }
 
-// deploy/operator.toml with every example that stands there behind a # taken in.
+// Enables every example that is commented out in deploy/operator.toml.
 std::string uncommented(const std::string& text) {
     std::istringstream lines(text);
     std::string all;
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE("the words of a handover keep their bytes") {
+TEST_CASE("the messages of a handover keep their bytes") {
     using namespace handover;
     CHECK(spell(Greeting{1, "n0", 2}) == R"({"name":"n0","others":2,"v":1})");
     const Troubles troubles{{"s-1", {2'500'000, -1}}, {"s-2", {0, 700}}, {"s-3", {5, 6}}};
@@ -89,7 +89,7 @@
     CHECK((greeting->version == 1 && greeting->name == "n0" && greeting->others == 2));
 }
 
-TEST_CASE("every number among the dispatcher's settings is read: nonsense in it is refused by its name") {
+TEST_CASE("every numeric setting of the dispatcher is read: a malformed value is refused with its name") {
     for (const std::string& name : std::vector<std::string>{"balancers",
                                                             "me",
                                                             "resolution_us",
@@ -121,10 +121,10 @@
                                                                     name.substr(dot + 1) + "\": \"x\"}";
         CAPTURE(name);
         CHECK(refusal(configuration("")) == "");
-        const std::string told = refusal(configuration(nonsense));
-        // Two are refused by the module's own word for them; then the value is what can be looked for.
-        const bool by_name = told.find(name.substr(name.find('.') + 1)) != std::string::npos;
-        CHECK((by_name || told.ends_with(" is not a number: x")));
+        const std::string message = refusal(configuration(nonsense));
+        // Two are refused under their internal names, so that only the value can be matched.
+        const bool by_name = message.find(name.substr(name.find('.') + 1)) != std::string::npos;
+        CHECK((by_name || message.ends_with(" is not a number: x")));
     }
     for (const std::string& name : std::vector<std::string>{"window_us", "importance", "tardy_importance",
                                                             "aim_stretch", "machine_kind"}) {
@@ -143,7 +143,7 @@
     }
 }
 
-TEST_CASE("settings that are read without bounds arrive with their value") {
+TEST_CASE("settings without bounds are read with their value") {
     for (const std::string& name : std::vector<std::string>{
              "dcs", "kinds", "reporting.names", "reporting.how", "caps.connect_timeout_us", "caps.max_open",
              "caps.may_tell", "specifics.class_kind"}) {
@@ -158,12 +158,12 @@
     }
 }
 
-TEST_CASE("a name that the dispatcher's configuration does not know is passed over") {
+TEST_CASE("unknown names in the dispatcher's configuration are ignored") {
     CHECK(refusal(configuration(R"(, "no_such_setting": 3, "caps": {"no_such_cap": "x"})",
                                 R"(, "no_such_name": "x")", R"(, "no_such_term": "x")")) == "");
 }
 
-TEST_CASE("the operators' file that is deployed is read whole, with every example in it") {
+TEST_CASE("the deployed operators' file can be read, with and without its examples") {
     const std::string text = whole_file(DEPLOYED "/operator.toml");
     CHECK(refusal_of_operators_file(text) == "");
     const std::string all = uncommented(text);
@@ -178,7 +178,7 @@
     CHECK(settings.shadow.configuration == "/etc/gannethold/next.json");
 }
 
-TEST_CASE("every name of the operators' file is read: of another kind it is refused by its name") {
+TEST_CASE("every name of the operators' file is read: a value of a wrong type is refused with its name") {
     const std::vector<std::pair<std::string, std::vector<std::string>>> tables{
         {"[log]", {"form"}},
         {"[control]", {"socket", "clients", "remembered_changes"}},
@@ -198,9 +198,9 @@
         for (const std::string& name : each.second) {
             CAPTURE(table);
             CAPTURE(name);
-            const std::string told = refusal_of_operators_file(table + "\n" + name + " = {}\n");
-            CHECK(told.find(name) != std::string::npos);
-            CHECK(told.find("no such name") == std::string::npos);
+            const std::string message = refusal_of_operators_file(table + "\n" + name + " = {}\n");
+            CHECK(message.find(name) != std::string::npos);
+            CHECK(message.find("no such name") == std::string::npos);
         }
         CHECK(refusal_of_operators_file(table + "\nno_such_name = 1\n") != "");
     }
--- a/tests/recorded/streams.cpp
+++ b/tests/recorded/streams.cpp
@@ -1,7 +1,7 @@
-// Plays seeded streams of events against gannethold_simhost over its line protocol and digests every action
-// that comes back. The program knows the bytes of the protocol and the operators' names of settings only, and
-// uses no source of the project, so that a renaming or a move of files cannot change it along with what it
-// checks. A small emulated fleet closes the loop: what is assigned is answered, fails, times out or hangs.
+// Plays seeded streams of events against gannethold_simhost over its binary protocol and digests every action
+// that it returns. This program uses no source of the project, only the bytes of the protocol and the
+// operators' names of settings, so that a rename cannot change it along with what it checks. A small emulated
+// fleet closes the loop: assignments finish, fail, time out or hang.
 //
 //   recorded_streams HOST DIGESTS|--print
 #include <sys/wait.h>
@@ -22,32 +22,54 @@
 constexpr Time kMillisecond = 1'000, kSecond = 1'000'000;
 
 // The codes of the protocol.
-enum Event { create = 10, roster = 20, arrival = 30, begun = 40, ended = 50, left = 60, timer = 70 };
-enum FurtherEvent { probe_ended = 80, peer_said = 90, kill_instance = 100, progress = 110, instance = 120 };
+enum Event {
+    create = 10,
+    membership = 20,
+    arrival = 30,
+    begun = 40,
+    ended = 50,
+    disconnected = 60,
+    timer = 70
+};
+enum FurtherEvent {
+    probe_ended = 80,
+    peer_message = 90,
+    kill_instance = 100,
+    progress = 110,
+    instance = 120
+};
 enum Action { assign = 10, bounce = 20, abandon = 30, withdraw = 40, wake = 50, probe = 60, close_idle = 70 };
 enum FurtherAction {
-    tell_code = 80,
+    send_to_peer = 80,
     log_line = 90,
     failure = 100,
-    follow = 110,
-    ask_roster = 120,
+    watch_membership = 110,
+    fetch_membership = 120,
     reply_of = 130
 };
-enum Ending { finished = 0, error = 5, full = 11, reset = 104, timed_out = 110, refused = 111, moot = 114 };
+enum Ending {
+    finished = 0,
+    error = 5,
+    full = 11,
+    reset = 104,
+    timed_out = 110,
+    refused = 111,
+    not_started = 114
+};
 constexpr int kWithdrawn = 125;
-enum ListKind { list_failed = 0, list_complete = 1, list_remembered = 3, list_changes = 4 };
+enum ListKind { list_failed = 0, list_complete = 1, list_cached = 3, list_delta = 4 };
 enum RunnerState { gone = 0, draining = 1, ready = 2 };
 
 class Bytes {
   public:
-    Bytes& whole(std::int64_t value, int width) {
+    Bytes& integer(std::int64_t value, int width) {
         while (width--) made_.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * width)));
         return *this;
     }
-    Bytes& real(float value) { return whole(std::bit_cast<std::uint32_t>(value), 4); }
-    Bytes& text(const std::string& words, int width) {
-        whole(static_cast<std::int64_t>(words.size()), width);
-        made_ += words;
+    Bytes& real(float value) { return integer(std::bit_cast<std::uint32_t>(value), 4); }
+    Bytes& text(const std::string& value, int width) {
+        integer(static_cast<std::int64_t>(value.size()), width);
+        made_ += value;
         return *this;
     }
     const std::string& made() const { return made_; }
@@ -61,14 +83,14 @@
     explicit Reader(std::string bytes) : bytes_(std::move(bytes)) {}
     bool done() const { return at_ == bytes_.size(); }
     std::size_t at() const { return at_; }
-    std::int64_t whole(int width) {
+    std::int64_t integer(int width) {
         std::uint64_t value = 0;
         for (const char c : take(static_cast<std::size_t>(width)))
             value = value << 8 | static_cast<unsigned char>(c);
         return static_cast<std::int64_t>(value);
     }
     std::string take(std::size_t n) {
-        if (n > bytes_.size() - at_) throw std::runtime_error("the host's reply is cut short");
+        if (n > bytes_.size() - at_) throw std::runtime_error("the host's reply is truncated");
         at_ += n;
         return bytes_.substr(at_ - n, n);
     }
@@ -78,7 +100,7 @@
     std::size_t at_ = 0;
 };
 
-// The host as a child process, asked and heard over a pair of pipes.
+// The host as a child process, connected by a pair of pipes.
 class Host {
   public:
     explicit Host(const char* program) {
@@ -107,9 +129,9 @@
     }
     std::string answer(Time now, const std::string& records, int count) {
         Bytes head;
-        head.whole(now, 8).whole(static_cast<std::int64_t>(records.size()), 4).whole(count, 4);
+        head.integer(now, 8).integer(static_cast<std::int64_t>(records.size()), 4).integer(count, 4);
         write_all(head.made() + records);
-        return read_exactly(static_cast<std::size_t>(Reader(read_exactly(4)).whole(4)));
+        return read_exactly(static_cast<std::size_t>(Reader(read_exactly(4)).integer(4)));
     }
 
   private:
@@ -124,7 +146,7 @@
         std::string bytes(length, '\0');
         for (std::size_t done = 0; done < length;) {
             const ssize_t n = read(in_, bytes.data() + done, length - done);
-            if (n <= 0) throw std::runtime_error("the host has ended");
+            if (n <= 0) throw std::runtime_error("the host has exited");
             done += static_cast<std::size_t>(n);
         }
         return bytes;
@@ -134,17 +156,17 @@
     int in_ = -1, out_ = -1;
 };
 
-// What a stream is made of. Rates are of the whole stream, times in microseconds.
+// The parameters of a stream. Rates apply to the whole stream, times are in microseconds.
 struct Plan {
     std::string name;
     std::uint64_t seed;
-    std::string settings;  // beside those that all streams have
+    std::string settings;  // in addition to kCommonSettings
     int instances = 2, runners = 6, slots = 4;
-    int dispatchers = 0;  // so many the settings name; 0: as there are instances
+    int dispatchers = 0;  // the number in the settings; 0: the number of instances
     Time length = 20 * kSecond, between_arrivals = 5 * kMillisecond, work = 40 * kMillisecond;
     int errors_one_in = 0, resets_one_in = 0, clients_leave_one_in = 0, repeats_one_in = 0;
-    bool reports = true, crash = false, hang = false, cold = false, roster_moves = false;
-    bool discovery_fails = false, restart = false, surge = false, peers_speak = false;
+    bool reports = true, crash = false, hang = false, slow_start = false, membership_changes = false;
+    bool discovery_fails = false, restart = false, surge = false, peer_messages = false;
 };
 
 struct Runner {
@@ -157,7 +179,7 @@
     int instance, workload;
     int assignments = 0;
     bool answered = false;
-    std::map<int, int> runner_of;  // by assignment, as long as it is out
+    std::map<int, int> runner_of;  // by assignment, while it is in flight
 };
 
 class Stream {
@@ -166,30 +188,30 @@
     std::string play();
 
   private:
-    using Deed = std::function<void()>;
+    using Callback = std::function<void()>;
     struct Due {
         Time at;
         std::uint64_t order;
-        Deed deed;
+        Callback callback;
         bool operator<(const Due& other) const {
             return std::pair(at, order) > std::pair(other.at, other.order);
         }
     };
 
-    void after(Time span, Deed deed) { due_.push({now_ + span, order_++, std::move(deed)}); }
-    Bytes& tell(int to, int code) {
-        records_.whole(instance, 1).whole(to, 2).whole(code, 1);
+    void after(Time span, Callback callback) { due_.push({now_ + span, order_++, std::move(callback)}); }
+    Bytes& send_event(int to, int code) {
+        records_.integer(instance, 1).integer(to, 2).integer(code, 1);
         count_ += 2;
         return records_;
     }
     void prepare();
-    void prepare_troubles();
+    void schedule_faults();
     void create_instance(int which);
     void send_list(int to, int kind, const std::vector<Runner>& entries);
     void arrive();
     void send_frame();
-    void heed(Reader& reply);
-    void heed_action(int from, int code, Reader& reply);
+    void on_reply(Reader& reply);
+    void on_action(int from, int code, Reader& reply);
     void take_assignment(std::int64_t task, int runner);
     void begin_work(std::int64_t task, int number, Runner& runner);
     void end(std::int64_t task, int number, int how, Time elapsed);
@@ -235,17 +257,19 @@
                            "balancers=" + std::to_string(std::max(plan_.dispatchers, plan_.instances)) +
                            "\nme=" + std::to_string(which) + "\n";
     if (plan_.reports) settings += "reporting.names=x0,q,rif\nspecifics.report_x0=free_slots\n";
-    tell(which, create).whole(static_cast<std::int64_t>(plan_.seed) * 100 + which, 8).text(settings, 4);
-    send_list(which, list_remembered, runners_);
+    send_event(which, create)
+        .integer(static_cast<std::int64_t>(plan_.seed) * 100 + which, 8)
+        .text(settings, 4);
+    send_list(which, list_cached, runners_);
     after(2 * kMillisecond, [this, which] { send_list(which, list_complete, runners_); });
 }
 
 void Stream::send_list(int to, int kind, const std::vector<Runner>& entries) {
-    Bytes& out = tell(to, roster);
-    out.whole(kind, 1).whole(list_version_++, 4).whole(static_cast<std::int64_t>(entries.size()), 4);
+    Bytes& out = send_event(to, membership);
+    out.integer(kind, 1).integer(list_version_++, 4).integer(static_cast<std::int64_t>(entries.size()), 4);
     for (const Runner& r : entries) {
-        out.whole(r.id, 4).whole(r.zone, 1).whole(r.kind, 1).whole(r.group, 2).whole(r.state, 1);
-        out.real(r.kind == 1 ? 0.5F : 1.0F).whole(r.started_at, 8);
+        out.integer(r.id, 4).integer(r.zone, 1).integer(r.kind, 1).integer(r.group, 2).integer(r.state, 1);
+        out.real(r.kind == 1 ? 0.5F : 1.0F).integer(r.started_at, 8);
     }
 }
 
@@ -262,27 +286,27 @@
     const bool repeat = plan_.repeats_one_in && random_.one_in(plan_.repeats_one_in);
     const Time expiry = now_ + kExpiry[task.workload] - (repeat ? 500 * kMillisecond : 0);
     const bool hinted = random_.one_in(3);
-    // Drawn one after the other: the order in which operands are evaluated is the compiler's choice.
+    // Drawn in separate statements, since the order in which operands are evaluated is unspecified.
     const int write_flag = random_.one_in(7) ? 4 : 0;
     const int after_break_flag = random_.one_in(11) ? 16 : 0;
     const int flags = (hinted ? 1 : 0) | (repeat ? 2 : 0) | write_flag | after_break_flag;
-    tell(task.instance, arrival).whole(id, 8).whole(task.workload, 1).whole(random_.below(2), 4);
-    records_.whole(random_.below(1'000), 8).whole(expiry, 8).whole(hinted ? plan_.work : 0, 4);
-    records_.real(1).real(0.25F).whole(flags, 1);
+    send_event(task.instance, arrival).integer(id, 8).integer(task.workload, 1).integer(random_.below(2), 4);
+    records_.integer(random_.below(1'000), 8).integer(expiry, 8).integer(hinted ? plan_.work : 0, 4);
+    records_.real(1).real(0.25F).integer(flags, 1);
     if (plan_.clients_leave_one_in && random_.one_in(plan_.clients_leave_one_in))
         after(random_.below(200 * kMillisecond), [this, id] {
             Task& one = tasks_[id];
-            if (!std::exchange(one.answered, true)) tell(one.instance, left).whole(id, 8);
+            if (!std::exchange(one.answered, true)) send_event(one.instance, disconnected).integer(id, 8);
         });
 }
 
 void Stream::put_report(const Runner& runner) {
     if (!plan_.reports) {
-        records_.whole(0, 1);
+        records_.integer(0, 1);
         return;
     }
     const int free = std::max(0, plan_.slots - runner.out), waiting = std::max(0, runner.out - plan_.slots);
-    records_.whole(3, 1).real(static_cast<float>(free)).real(static_cast<float>(waiting));
+    records_.integer(3, 1).real(static_cast<float>(free)).real(static_cast<float>(waiting));
     records_.real(static_cast<float>(runner.out));
 }
 
@@ -294,8 +318,12 @@
     task.runner_of.erase(out);
     --runner.out;
     if (how == finished) task.answered = true;
-    tell(task.instance, ended).whole(id, 8).whole(task.answered, 1).whole(0, 4).whole(elapsed, 4);
-    records_.whole(runner.id, 4).whole(number, 1).whole(how, 2);
+    send_event(task.instance, ended)
+        .integer(id, 8)
+        .integer(task.answered, 1)
+        .integer(0, 4)
+        .integer(elapsed, 4);
+    records_.integer(runner.id, 4).integer(number, 1).integer(how, 2);
     put_report(runner);
 }
 
@@ -310,19 +338,28 @@
     after(kMillisecond, [this, id, number, where] {
         Task& task = tasks_[id];
         if (!task.runner_of.contains(number)) return;
-        tell(task.instance, progress).whole(id, 8).real(0).whole(where, 4).whole(number, 1).whole(1, 1);
+        send_event(task.instance, progress)
+            .integer(id, 8)
+            .real(0)
+            .integer(where, 4)
+            .integer(number, 1)
+            .integer(1, 1);
     });
     if (how == finished && random_.one_in(4))
         after(span * 3 / 4 + 1, [this, id, number, where, span] {
             Task& task = tasks_[id];
             if (!task.runner_of.contains(number)) return;
-            tell(task.instance, progress)
-                .whole(id, 8)
+            send_event(task.instance, progress)
+                .integer(id, 8)
                 .real(0.5F)
-                .whole(where, 4)
-                .whole(number, 1)
-                .whole(2, 1);
-            tell(task.instance, begun).whole(id, 8).whole(number, 1).whole(where, 4).whole(span, 4);
+                .integer(where, 4)
+                .integer(number, 1)
+                .integer(2, 1);
+            send_event(task.instance, begun)
+                .integer(id, 8)
+                .integer(number, 1)
+                .integer(where, 4)
+                .integer(span, 4);
         });
     after(span + 2 * kMillisecond, [this, id, number, where, how, span] {
         if (!runner_at(where).hung) end(id, number, runner_at(where).crashed ? int{reset} : how, span);
@@ -335,30 +372,30 @@
     Runner& runner = runner_at(where);
     task.runner_of[number] = where;
     ++runner.out;
-    constexpr Time kPatience = 700 * kMillisecond;
+    constexpr Time kTimeout = 700 * kMillisecond;
     if (runner.crashed) {
         after(kMillisecond, [this, id, number] { end(id, number, refused, kMillisecond); });
     } else if (runner.out > 3 * plan_.slots) {
         after(kMillisecond, [this, id, number] { end(id, number, full, kMillisecond); });
     } else {
         if (!runner.hung) begin_work(id, number, runner);
-        after(kPatience, [this, id, number] { end(id, number, timed_out, kPatience); });
+        after(kTimeout, [this, id, number] { end(id, number, timed_out, kTimeout); });
     }
 }
 
 void Stream::withdraw_assignment(std::int64_t id, int number) {
     const bool never_ran = random_.one_in(2);
     after(kMillisecond, [this, id, number, never_ran] {
-        end(id, number, never_ran ? int{moot} : kWithdrawn, kMillisecond);
+        end(id, number, never_ran ? int{not_started} : kWithdrawn, kMillisecond);
     });
 }
 
 void Stream::answer_probe(int from, int where) {
-    const Runner& asked = runner_at(where);
-    after(asked.hung ? 300 * kMillisecond : 2 * kMillisecond, [this, from, where] {
+    const Runner& probed = runner_at(where);
+    after(probed.hung ? 300 * kMillisecond : 2 * kMillisecond, [this, from, where] {
         const Runner& runner = runner_at(where);
         const int how = runner.crashed ? refused : runner.hung ? timed_out : finished;
-        tell(from, probe_ended).whole(where, 4).whole(how, 2).whole(2 * kMillisecond, 4);
+        send_event(from, probe_ended).integer(where, 4).integer(how, 2).integer(2 * kMillisecond, 4);
         put_report(runner);
     });
 }
@@ -370,63 +407,63 @@
     });
 }
 
-void Stream::heed_action(int from, int code, Reader& reply) {
+void Stream::on_action(int from, int code, Reader& reply) {
     switch (code) {
         case assign: {
-            const std::int64_t task = reply.whole(8);
-            const int runner = static_cast<int>(reply.whole(4));
-            reply.whole(8);
+            const std::int64_t task = reply.integer(8);
+            const int runner = static_cast<int>(reply.integer(4));
+            reply.integer(8);
             return take_assignment(task, runner);
         }
         case bounce:
-            tasks_[reply.whole(8)].answered = true;
-            return static_cast<void>(reply.whole(4));
+            tasks_[reply.integer(8)].answered = true;
+            return static_cast<void>(reply.integer(4));
         case abandon:
-            tasks_[reply.whole(8)].answered = true;
+            tasks_[reply.integer(8)].answered = true;
             return;
         case withdraw: {
-            const std::int64_t task = reply.whole(8);
-            return withdraw_assignment(task, static_cast<int>(reply.whole(1)));
+            const std::int64_t task = reply.integer(8);
+            return withdraw_assignment(task, static_cast<int>(reply.integer(1)));
         }
         case wake: {
-            const Time at = reply.whole(8);
-            const std::int64_t mark = reply.whole(8);
+            const Time at = reply.integer(8);
+            const std::int64_t mark = reply.integer(8);
             return after(std::max<Time>(1, at - now_),
-                         [this, from, mark] { tell(from, timer).whole(mark, 8); });
+                         [this, from, mark] { send_event(from, timer).integer(mark, 8); });
         }
         case probe:
-            return answer_probe(from, static_cast<int>(reply.whole(4)));
+            return answer_probe(from, static_cast<int>(reply.integer(4)));
         case close_idle:
-            return static_cast<void>(reply.whole(4));
-        case follow:
-            reply.whole(1);
+            return static_cast<void>(reply.integer(4));
+        case watch_membership:
+            reply.integer(1);
             return answer_list(from);
-        case ask_roster:
+        case fetch_membership:
             return answer_list(from);
         default:
-            throw std::runtime_error("the host acts by a code that is none: " + std::to_string(code));
+            throw std::runtime_error("unknown action code: " + std::to_string(code));
     }
 }
 
-// The text of log lines and failures is left out of the digest: that one came is behaviour, its wording not.
-void Stream::heed(Reader& reply) {
+// The texts of log lines and failures are not digested: their presence is behaviour, their wording is not.
+void Stream::on_reply(Reader& reply) {
     int from = -1;
     while (!reply.done()) {
         Reader before = reply;
-        const int code = static_cast<int>(reply.whole(1));
+        const int code = static_cast<int>(reply.integer(1));
         if (code == reply_of) {
-            from = static_cast<int>(reply.whole(2));
-            digest_.whole(static_cast<std::uint64_t>(from));
+            from = static_cast<int>(reply.integer(2));
+            digest_.integer(static_cast<std::uint64_t>(from));
             continue;
         }
         ++actions_[code];
-        if (code == log_line || code == failure || code == tell_code) {
-            if (code == tell_code) reply.whole(2);
-            reply.take(static_cast<std::size_t>(reply.whole(2)));
+        if (code == log_line || code == failure || code == send_to_peer) {
+            if (code == send_to_peer) reply.integer(2);
+            reply.take(static_cast<std::size_t>(reply.integer(2)));
             digest_.byte(static_cast<unsigned char>(code));
             continue;
         }
-        heed_action(from, code, reply);
+        on_action(from, code, reply);
         digest_.bytes(before.take(reply.at() - before.at()));
     }
 }
@@ -437,8 +474,8 @@
     records_ = Bytes();
     const int count = std::exchange(count_, 0);
     Reader reply(host_.answer(now_, records, count));
-    digest_.whole(static_cast<std::uint64_t>(now_));
-    heed(reply);
+    digest_.integer(static_cast<std::uint64_t>(now_));
+    on_reply(reply);
 }
 
 void Stream::prepare() {
@@ -450,26 +487,26 @@
     }
     for (int which = 0; which < plan_.instances; ++which) create_instance(which);
     after(10 * kMillisecond, [this] { arrive(); });
-    prepare_troubles();
+    schedule_faults();
 }
 
-void Stream::prepare_troubles() {
+void Stream::schedule_faults() {
     const Time third = plan_.length / 3;
     const auto change = [this](int id, int state) {
         Runner& r = runner_at(id);
         r.state = state;
-        for (int to = 0; to < plan_.instances; ++to) send_list(to, list_changes, {r});
+        for (int to = 0; to < plan_.instances; ++to) send_list(to, list_delta, {r});
     };
     if (plan_.crash) after(third, [this] { runner_at(2).crashed = true; });
     if (plan_.crash) after(2 * third, [this] { runner_at(2).crashed = false; });
     if (plan_.hang) after(third, [this] { runner_at(3).hung = true; });
     if (plan_.hang) after(2 * third, [this] { runner_at(3).hung = false; });
-    if (plan_.cold)
+    if (plan_.slow_start)
         after(third, [this, change] {
             runner_at(1).started_at = now_, change(1, ready);
             runner_at(4).started_at = now_, change(4, ready);
         });
-    if (plan_.roster_moves) {
+    if (plan_.membership_changes) {
         after(third / 2, [change] { change(1, draining), change(5, gone); });
         after(third, [change] { change(1, gone); });
         after(2 * third,
@@ -484,7 +521,7 @@
     }
     if (plan_.restart)
         after(third, [this] {
-            tell(0, kill_instance);
+            send_event(0, kill_instance);
             for (auto& [id, task] : tasks_)
                 if (task.instance == 0) {
                     for (const auto& [number, where] : task.runner_of) --runner_at(where).out;
@@ -492,9 +529,9 @@
                 }
             create_instance(0);
         });
-    if (plan_.peers_speak)
+    if (plan_.peer_messages)
         for (int i = 0; i < 5; ++i)
-            after(i * third / 2, [this] { tell(0, peer_said).whole(1, 4).text("a word", 2); });
+            after(i * third / 2, [this] { send_event(0, peer_message).integer(1, 4).text("a word", 2); });
 }
 
 std::string Stream::play() {
@@ -504,13 +541,13 @@
     while (!due_.empty() && due_.top().at <= until) {
         now_ = due_.top().at;
         while (!due_.empty() && due_.top().at == now_) {
-            const Deed deed = due_.top().deed;
+            const Callback callback = due_.top().callback;
             due_.pop();
-            deed();
+            callback();
         }
         send_frame();
     }
-    if (host_.finish() != 0) throw std::runtime_error(plan_.name + ": the host ended badly");
+    if (host_.finish() != 0) throw std::runtime_error(plan_.name + ": the host failed");
     return plan_.name + " " + digest_.text() + " tasks:" + std::to_string(next_task_ - 1) +
            recorded::counts_text(actions_);
 }
@@ -527,12 +564,12 @@
     crash.crash = true, crash.errors_one_in = 40;
     Plan& hang = plan("hang", "caps.probes=true\ncaps.parallel_tries=true\n");
     hang.hang = true, hang.clients_leave_one_in = 20;
-    Plan& cold = plan("cold", "rules.cold_from=0.3\nrules.warm_after_us=8000000\n");
-    cold.cold = true, cold.runners = 4;
+    Plan& slow_start = plan("cold", "rules.cold_from=0.3\nrules.warm_after_us=8000000\n");
+    slow_start.slow_start = true, slow_start.runners = 4;
     Plan& moves = plan("roster-moves", "rules.only_draining_binds=true\n");
-    moves.roster_moves = true;
+    moves.membership_changes = true;
     Plan& on_request = plan("on-request", "registry_mode=on_request\nrules.must_ask_in_us=4000000\n");
-    on_request.discovery_fails = on_request.roster_moves = true;
+    on_request.discovery_fails = on_request.membership_changes = true;
     Plan& overload = plan("overload", "importance_by=work\nspecifics.class_stretch=2,3,4\n");
     overload.surge = true, overload.between_arrivals = 3 * kMillisecond, overload.repeats_one_in = 9;
     Plan& silent_overload = plan("silent-overload", "caps.cancelling=false\nclients.marks_retry=true\n");
@@ -542,10 +579,11 @@
     restart.restart = restart.crash = true, restart.resets_one_in = 30;
     Plan& wide = plan("wide", "caps.parallel_tries=true\ncaps.keepalive_us=500000\nzone=1\ndcs=x,y\n");
     wide.runners = 60, wide.instances = 4, wide.dispatchers = 40, wide.slots = 2,
-    wide.peers_speak = wide.crash = true;
+    wide.peer_messages = wide.crash = true;
     wide.between_arrivals = 2 * kMillisecond, wide.length = 10 * kSecond;
     Plan& medley = plan("medley", "caps.probes=true\ncaps.parallel_tries=true\nspecifics.tells_start=true\n");
-    medley.crash = medley.hang = medley.cold = medley.roster_moves = medley.surge = medley.restart = true;
+    medley.crash = medley.hang = medley.slow_start = medley.membership_changes = medley.surge =
+        medley.restart = true;
     medley.errors_one_in = 30, medley.resets_one_in = 50, medley.clients_leave_one_in = 30;
     medley.runners = 8, medley.instances = 3;
     return all;
@@ -553,15 +591,15 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     if (count != 3) {
         std::cerr << "usage: recorded_streams HOST DIGESTS|--print\n";
         return 2;
     }
     try {
         std::vector<std::string> lines;
-        for (const Plan& plan : plans()) lines.push_back(Stream(plan, words[1]).play());
-        return recorded::conclude(lines, words[2]);
+        for (const Plan& plan : plans()) lines.push_back(Stream(plan, arguments[1]).play());
+        return recorded::finish(lines, arguments[2]);
     } catch (const std::exception& e) {
         std::cerr << "recorded_streams: " << e.what() << '\n';
         return 1;
--- a/tests/workload_registry_test.cpp
+++ b/tests/workload_registry_test.cpp
@@ -1,5 +1,4 @@
-// New settings in service: the terms of workloads over changes, the module's part in it, and reloads on
-// sockets.
+// Changes of settings in service: the ids of workloads, the decision module, and a dispatcher's reloads.
 #include "helpers.hpp"
 #include "settings/workload_registry.hpp"
 
@@ -8,9 +7,9 @@
 
 namespace {
 
-using Rows = std::vector<std::pair<std::string, std::string>>;  // name, effect
+using NamesAndEffects = std::vector<std::pair<std::string, std::string>>;  // name, effect
 
-SettingsMap stated(const Rows& rows, const std::string& attempts = "3") {
+SettingsMap settings_of(const NamesAndEffects& rows, const std::string& attempts = "3") {
     SettingsMap all{{"workloads.count", std::to_string(rows.size())},
                     {"caps.max_assignments", attempts},
                     {"caps.cancelling", "true"},
@@ -29,10 +28,10 @@
 
 }  // namespace
 
-TEST_CASE("what keeps its terms keeps its place, wherever it stands; what changes them gets another") {
-    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"b", "side-effecting"}}), 2);
-    // Stretches go by the order in the file, so they are terms of those that stood there.
-    SettingsMap moved = stated({{"b", "side-effecting"}, {"a", "idempotent"}, {"c", "idempotent"}});
+TEST_CASE("a workload keeps its id wherever it stands in the file; with other settings it gets another id") {
+    WorkloadRegistry registry(settings_of({{"a", "idempotent"}, {"b", "side-effecting"}}), 2);
+    // The list of stretches follows the order in the file, so it changes along with it.
+    SettingsMap moved = settings_of({{"b", "side-effecting"}, {"a", "idempotent"}, {"c", "idempotent"}});
     moved["trade.class_stretch"] = "2.5,1.5,1.5";
     auto change = registry.update(kSecond, moved, none_open);
     CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{0}, WorkloadId{2}});
@@ -49,25 +48,26 @@
     CHECK(registry.name_of(WorkloadId{3}) == "a");
 }
 
-TEST_CASE("a workload that comes back as it was is the one it was, and one that comes otherwise is another") {
-    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"b", "idempotent"}}), 2);
+TEST_CASE("a workload that returns unchanged gets its old id, a changed one gets another") {
+    WorkloadRegistry registry(settings_of({{"a", "idempotent"}, {"b", "idempotent"}}), 2);
     const auto open = [](WorkloadId place) { return place == WorkloadId{1}; };
-    CHECK(registry.update(0, stated({{"a", "idempotent"}}), open).dropped == std::vector<std::string>{"b"});
-    registry.update(kSecond, stated({{"a", "idempotent"}, {"b", "idempotent"}}), open);
+    CHECK(registry.update(0, settings_of({{"a", "idempotent"}}), open).dropped ==
+          std::vector<std::string>{"b"});
+    registry.update(kSecond, settings_of({{"a", "idempotent"}, {"b", "idempotent"}}), open);
     CHECK(registry.active_workloads().at(1) == WorkloadId{1});
-    // Never the place of one that is open, or only just was.
-    registry.update(2 * kSecond, stated({{"a", "idempotent"}, {"b", "side-effecting"}}), open);
+    // The id of a workload that has open tasks, or had them just now, is not reused.
+    registry.update(2 * kSecond, settings_of({{"a", "idempotent"}, {"b", "side-effecting"}}), open);
     CHECK(registry.active_workloads().at(1) == WorkloadId{2});
-    registry.update(100 * kSecond, stated({{"a", "idempotent"}, {"b", "fingerprinted"}}), open);
+    registry.update(100 * kSecond, settings_of({{"a", "idempotent"}, {"b", "fingerprinted"}}), open);
     CHECK(registry.active_workloads().at(1) == WorkloadId{3});
-    registry.update(101 * kSecond, stated({{"a", "side-effecting"}, {"b", "fingerprinted"}}), none_open);
-    CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{3}});  // at rest since 2 s
+    registry.update(101 * kSecond, settings_of({{"a", "side-effecting"}, {"b", "fingerprinted"}}), none_open);
+    CHECK(registry.active_workloads() == std::vector{WorkloadId{1}, WorkloadId{3}});  // retired at 2 s
 }
 
-TEST_CASE("changes for ever stay within their places, and one too many changes nothing") {
-    WorkloadRegistry registry(stated({{"a", "idempotent"}}), 1);
+TEST_CASE("endless changes do not exhaust the ids, and an update beyond the limit changes nothing") {
+    WorkloadRegistry registry(settings_of({{"a", "idempotent"}}), 1);
     for (int i = 1; i <= 1'000; ++i) {
-        SettingsMap next = stated({{"a", "idempotent"}});
+        SettingsMap next = settings_of({{"a", "idempotent"}});
         next["workloads.0.due_time_us"] = std::to_string(1'000'000 + i);
         registry.update(i * 11 * kSecond, next, none_open);
     }
@@ -76,7 +76,7 @@
     SettingsMap next;
     bool refused = false;
     for (int i = 0; i < 300 && !refused; ++i) {
-        next = stated({{"a", "idempotent"}});
+        next = settings_of({{"a", "idempotent"}});
         next["workloads.0.importance"] = std::to_string(i + 2);
         const SettingsMap before = registry.settings();
         try {
@@ -89,32 +89,32 @@
     CHECK(refused);
 }
 
-TEST_CASE("tubes keep their places behind the configuration's workloads") {
-    WorkloadRegistry registry(stated({{"a", "idempotent"}, {"tube", "side-effecting"}}), 1);
-    registry.update(0, stated({{"a", "side-effecting"}, {"b", "idempotent"}}), none_open);
+TEST_CASE("tubes keep their ids after the configuration's workloads") {
+    WorkloadRegistry registry(settings_of({{"a", "idempotent"}, {"tube", "side-effecting"}}), 1);
+    registry.update(0, settings_of({{"a", "side-effecting"}, {"b", "idempotent"}}), none_open);
     CHECK(registry.active_workloads() == std::vector{WorkloadId{2}, WorkloadId{3}});
     CHECK(registry.settings().at("workloads.1.name") == "tube");
 }
 
-TEST_CASE("the module: what is open keeps the effect and the assignments under which it came") {
-    WorkloadRegistry registry(stated({{"a", "idempotent"}}), 1);
+TEST_CASE("the module: an open task keeps the effect and the number of assignments under which it arrived") {
+    WorkloadRegistry registry(settings_of({{"a", "idempotent"}}), 1);
     FakeHost host(registry.settings());
     host.fleet(4, 4);
     const TaskId before = host.ask();
-    const auto change = registry.update(host.now, stated({{"a", "side-effecting"}}, "1"), none_open);
+    const auto change = registry.update(host.now, settings_of({{"a", "side-effecting"}}, "1"), none_open);
     host.tell(SettingsChanged{registry.settings(), change.learn_from});
-    const unsigned place = static_cast<unsigned>(registry.active_workloads().at(0));
-    CHECK(place == 1);
-    host.end(Outcome::reset);  // it may have run, and may run again
+    const unsigned id = static_cast<unsigned>(registry.active_workloads().at(0));
+    CHECK(id == 1);
+    host.end(Outcome::reset);  // it may have run, and may be retried
     REQUIRE(host.assigned.size() == 2);
     CHECK(host.assigned[1].task == before);
     host.end(Outcome::finished);
-    const TaskId after = host.ask(place);
+    const TaskId after = host.ask(id);
     host.end(Outcome::reset);
     CHECK(host.assigned.size() == 3);
     CHECK(host.answers.at(after) == 1);
-    // One attempt only, even where nothing ran.
-    const TaskId one = host.ask(place);
+    // Only one attempt, even if it did not run.
+    const TaskId one = host.ask(id);
     host.end(Outcome::connect_failed);
     CHECK(std::count_if(host.assigned.begin(), host.assigned.end(),
                         [&](const Assign& a) { return a.task == one; }) == 1);
@@ -122,8 +122,8 @@
 }
 
 TEST_CASE(
-    "on sockets: a new workload is served by its own rules, open tasks by the old, a dropped one is not "
-    "known") {
+    "on sockets: new settings apply to new tasks, open tasks keep the old ones, and a dropped workload is "
+    "unknown") {
     DispatcherFixture fixture(3, "pure", "", "\"memory_mb\":64,\"sockets\":64");
     TestConnection open = fixture.client();
     open.send(DispatcherFixture::post("o"));
@@ -137,8 +137,8 @@
           std::string::npos);
     TestConnection proof = fixture.client();
     const auto post = [](const std::string& id, const std::string& more) {
-        std::string words = DispatcherFixture::post(id, "X-Timeout: 700m\r\n" + more);
-        return words.replace(words.find("/render/"), 8, "/proof/");
+        std::string request = DispatcherFixture::post(id, "X-Timeout: 700m\r\n" + more);
+        return request.replace(request.find("/render/"), 8, "/proof/");
     };
     proof.send(post("p", "Idempotency-Key: k1\r\n"));
     fixture.at_runner("p").send(DispatcherFixture::done("p", "proof"));
@@ -146,7 +146,7 @@
     TestConnection keyless = fixture.client();
     keyless.send(post("q", ""));
     CHECK(fixture.until([&] { return keyless.has("400"); }));
-    // The first is dropped while one of it is open.
+    // The first workload is dropped while it has an open task.
     const auto from = two.find("{\"name\":\"render\""), to = two.find("{\"name\":\"proof\"");
     fixture.reload(two.substr(0, from) + two.substr(to));
     CHECK(fixture.said.str().find("dropped: render") != std::string::npos);
@@ -161,11 +161,11 @@
     CHECK(fixture.dispatcher->counters().reloads_applied() == 2);
 }
 
-TEST_CASE("a file that is short of something, or has nonsense in it, changes nothing at all") {
+TEST_CASE("a configuration with a missing or malformed value changes nothing") {
     DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64");
-    const auto without = [&](const std::string& words) { return fixture.with(words, ""); };
+    const auto without = [&](const std::string& removed) { return fixture.with(removed, ""); };
     std::uint64_t refused = 0;
-    for (const auto& [words, why] : std::vector<std::pair<std::string, std::string>>{
+    for (const auto& [text, why] : std::vector<std::pair<std::string, std::string>>{
              {" ", "is not JSON"},
              {fixture.text.substr(0, fixture.text.size() - 3), "is not JSON"},
              {without("\"name\":\"n0\","), "is short of name"},
@@ -185,9 +185,9 @@
              {fixture.with("\"effect\":\"pure\"", "\"effect\":\"purple\""),
               "knows an effect that is none"}}) {
         fixture.said.str("");
-        // Another address of discovery in the same file must not be believed either.
+        // A new address of discovery in the same file must not take effect either.
         const std::string moved = "127.0.0.1:9", at = fixture.discovery.address();
-        std::string file = words;
+        std::string file = text;
         if (const auto found = file.find(at); found != std::string::npos)
             file.replace(found, at.size(), moved);
         fixture.reload(file);
@@ -203,10 +203,10 @@
 }
 
 TEST_CASE(
-    "a setting that cannot be meant is refused with its name and what was expected, before any of it is "
-    "believed") {
+    "an impossible setting is refused with its name and what was expected, before any part of the file takes "
+    "effect") {
     const DispatcherFixture fixture;
-    for (const auto& [words, why] : std::vector<std::pair<std::string, std::string>>{
+    for (const auto& [text, why] : std::vector<std::pair<std::string, std::string>>{
              {fixture.with("\"max_assignments\":3", "\"max_assignments\":-1"), "and a number from 1"},
              {fixture.with("\"max_assignments\":3", "\"max_assignments\":\"three\""),
               "is not a number: three"},
@@ -218,7 +218,7 @@
               "settings.rules.cold_from = 1.5, and a number from 0 to 1"},
              {fixture.with("\"importance\":1", "\"importance\":1,\"aim_stretch\":-0.5"),
               "aim_stretch = -0.5"}}) {
-        CHECK_THROWS_WITH_AS(dispatcher::Posting::read(words), doctest::Contains(why.c_str()),
+        CHECK_THROWS_WITH_AS(dispatcher::Posting::read(text), doctest::Contains(why.c_str()),
                              std::runtime_error);
     }
     CHECK_THROWS_WITH_AS(
