--- a/rehearsal/ceiling/ceiling.cpp
+++ b/rehearsal/ceiling/ceiling.cpp
@@ -33,7 +33,7 @@
 constexpr Micros kComesUpIn = 5'000'000;
 
 net::Address address(const std::string& text) {
-    const auto read = net::Address::read(text);
+    const auto read = net::Address::parse(text);
     if (!read) throw std::runtime_error("no address: " + text);
     return *read;
 }
@@ -224,7 +224,7 @@
         while (net::Loop::now() < end) {
             net::Timer wake(loop_, [] {});
             wake.set(std::min(end, net::Loop::now() + 50'000));
-            loop_.turn(true);
+            loop_.run_once(true);
             for (std::size_t i = 0; i < wires_.size(); ++i)
                 if (wires_[i]->closed) ++counted_.failed, connect_one(i), ask(*wires_[i]);
         }
--- a/rehearsal/ceiling/keeping.cpp
+++ b/rehearsal/ceiling/keeping.cpp
@@ -78,7 +78,7 @@
     Life life;
     life.start_ms = static_cast<double>(net::Loop::now() - begun) / 1e3;
     for (const Micros end = begun + 60'000'000; snapshots > 0 && net::Loop::now() < end; usleep(200)) {
-        loop.turn(false);
+        loop.run_once(false);
         one.end_turn();
         if (const snapshot::SnapshotStats* const stats = one.snapshot_stats();
             stats && stats->written + stats->failed >= snapshots) {
--- a/rehearsal/results/json_report.cpp
+++ b/rehearsal/results/json_report.cpp
@@ -11,7 +11,7 @@
 namespace gannethold::rehearsal {
 namespace {
 
-using json::List;
+using json::Array;
 using json::Number;
 using json::Object;
 using json::Value;
@@ -23,27 +23,27 @@
     return Value(Number{wrong == std::errc() ? std::string(text, end) : "0"});
 }
 Value row(const std::vector<double>& values) {
-    List list;
+    Array list;
     for (const double v : values) list.push_back(real(v));
     return Value(std::move(list));
 }
 Value lines(const std::vector<std::string>& texts) {
-    List list;
+    Array list;
     for (const std::string& t : texts) list.push_back(Value(t));
     return Value(std::move(list));
 }
 
 std::uint64_t count(const Value& v, const char* name) {
-    return static_cast<std::uint64_t>(v.number(name).value_or(0));
+    return static_cast<std::uint64_t>(v.find_number(name).value_or(0));
 }
 std::string text(const Value& v, const char* name) {
-    const std::string* const t = v.text(name);
+    const std::string* const t = v.find_string(name);
     return t ? *t : "";
 }
-const List& list(const Value& v, const char* name) {
-    static const List none;
+const Array& list(const Value& v, const char* name) {
+    static const Array none;
     const Value* const found = v.find(name);
-    const List* const all = found ? found->get<List>() : nullptr;
+    const Array* const all = found ? found->get<Array>() : nullptr;
     return all ? *all : none;
 }
 std::vector<double> numbers(const Value& v, const char* name) {
@@ -85,7 +85,7 @@
         after["steady_s"] = real(r.aftermath.steady_s);
         o["aftermath"] = Value(std::move(after));
     }
-    List seconds;
+    Array seconds;
     for (const Second& s : r.seconds) {
         Object one;
         one["offered"] = whole(s.offered), one["in_time"] = whole(s.in_time), one["late"] = whole(s.late);
@@ -97,7 +97,7 @@
         seconds.push_back(Value(std::move(one)));
     }
     o["seconds"] = Value(std::move(seconds));
-    List shades;
+    Array shades;
     for (const Shade& s : r.shades) {
         Object one;
         one["from_us"] = whole(static_cast<std::uint64_t>(s.from)),
@@ -114,10 +114,10 @@
         workloads[name] = Value(std::move(one));
     }
     o["workloads"] = Value(std::move(workloads));
-    List broken;
+    Array broken;
     for (int rule = 1; rule <= 4; ++rule) broken.push_back(whole(r.broken[static_cast<std::size_t>(rule)]));
     o["broken"] = Value(std::move(broken));
-    List breaches;
+    Array breaches;
     for (const Breach& b : r.breaches) {
         Object one;
         one["rule"] = whole(static_cast<std::uint64_t>(b.rule)),
@@ -134,7 +134,7 @@
         o["cpu_us_a_task"] = real(r.cpu_us_a_task), o["memory_mb"] = real(r.memory_mb),
         o["wall_s"] = real(r.wall_s);
     }
-    return json::write(Value(std::move(o))) + "\n";
+    return json::serialize(Value(std::move(o))) + "\n";
 }
 
 Result from_json_file(const std::string& path) {
@@ -142,8 +142,8 @@
     if (!file) throw std::runtime_error(path + ": cannot be read");
     Value v;
     try {
-        v = json::read(std::string(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()));
-    } catch (const json::Malformed& e) {
+        v = json::parse(std::string(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()));
+    } catch (const json::ParseError& e) {
         throw std::runtime_error(path + ": is no result: " + e.what());
     }
     if (text(v, "format") != "gannethold-rehearsal-1")
@@ -157,11 +157,12 @@
     r.tries = count(v, "tries"), r.tasks = count(v, "tasks"), r.assignments = count(v, "assignments");
     r.effects = count(v, "effects"), r.toppled = count(v, "toppled"), r.probes = count(v, "probes");
     r.connections = count(v, "connections");
-    r.worth = v.number("worth").value_or(0);
+    r.worth = v.find_number("worth").value_or(0);
     r.p50 = static_cast<Micros>(count(v, "p50_us")), r.p99 = static_cast<Micros>(count(v, "p99_us"));
     if (const Value* const after = v.find("aftermath"))
-        r.aftermath = {static_cast<Micros>(count(*after, "at_us")), after->number("in_time").value_or(0),
-                       static_cast<Micros>(count(*after, "p99_us")), after->number("steady_s").value_or(0)};
+        r.aftermath = {static_cast<Micros>(count(*after, "at_us")), after->find_number("in_time").value_or(0),
+                       static_cast<Micros>(count(*after, "p99_us")),
+                       after->find_number("steady_s").value_or(0)};
     r.p999 = static_cast<Micros>(count(v, "p999_us")), r.most = static_cast<Micros>(count(v, "most_us"));
     for (const Value& one : list(v, "seconds")) {
         Second s;
@@ -188,8 +189,9 @@
     r.void_because = text(v, "void_because"), r.cut_short = text(v, "cut_short");
     r.lateness_p99 = static_cast<Micros>(count(v, "lateness_p99_us")),
     r.lateness_most = static_cast<Micros>(count(v, "lateness_most_us"));
-    r.cpu_us_a_task = v.number("cpu_us_a_task").value_or(0), r.memory_mb = v.number("memory_mb").value_or(0);
-    r.wall_s = v.number("wall_s").value_or(0);
+    r.cpu_us_a_task = v.find_number("cpu_us_a_task").value_or(0),
+    r.memory_mb = v.find_number("memory_mb").value_or(0);
+    r.wall_s = v.find_number("wall_s").value_or(0);
     return r;
 }
 
--- a/rehearsal/sockets/callers_stand_in.cpp
+++ b/rehearsal/sockets/callers_stand_in.cpp
@@ -19,7 +19,7 @@
     Line(CallersStandIn& callers, std::size_t dispatcher)
         : dispatcher(dispatcher),
           callers_(callers),
-          reader_(http::Kind::answer, callers.backstage_.loop.blocks()),
+          reader_(http::MessageKind::response, callers.backstage_.loop.block_pool()),
           connection_(callers.backstage_.loop, *this, callers.places_[dispatcher].address,
                       callers.backstage_.day.clients.connect_limit) {}
 
@@ -47,31 +47,31 @@
         const Origin& o = callers_.origins_[*origin];
         if (!o.sent_again) b.judge.handed_in(b.now(), {request, o.call.workload, dispatcher, o.deadline});
     }
-    void connected() override {
+    void on_connected() override {
         up_ = true;
         if (waiting_.empty()) return;
         connection_.write(std::exchange(waiting_, {}));
         written();
     }
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (over) return;
         any_byte_ = true;
         for (;;) {
             switch (reader_.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     // An answer that nobody waits for.
                     return;
-                case http::Found::fault:
+                case http::ReadResult::error:
                     close();
-                    return callers_.ended(*this, net::Ending::malformed, true);
-                case http::Found::head:
+                    return callers_.ended(*this, net::CloseReason::malformed, true);
+                case http::ReadResult::head:
                     break;
-                case http::Found::body:
-                    body_ += reader_.piece();
+                case http::ReadResult::body:
+                    body_ += reader_.body_piece();
                     break;
-                case http::Found::end: {
+                case http::ReadResult::end: {
                     const int status = reader_.head().status;
-                    const bool keeps = reader_.head().keeps_alive;
+                    const bool keeps = reader_.head().is_keep_alive;
                     std::optional<double> retry;
                     if (const auto field = reader_.head().field("Retry-After"); !field.empty()) {
                         double value = 0;
@@ -89,7 +89,7 @@
             }
         }
     }
-    void ended(net::Ending ending) override {
+    void on_closed(net::CloseReason ending) override {
         if (std::exchange(over, true)) return;
         callers_.ended(*this, ending, any_byte_);
     }
@@ -303,7 +303,7 @@
     return w.effect == Effects::idempotent || (w.effect == Effects::fingerprinted && w.group == Group::all);
 }
 
-void CallersStandIn::ended(Line& line, net::Ending ending, bool any_byte) {
+void CallersStandIn::ended(Line& line, net::CloseReason ending, bool any_byte) {
     Place& place = places_[line.dispatcher];
     if (line.looks) return void(place.healthy = false);
     std::erase(place.idle, &line);
@@ -314,8 +314,9 @@
     const std::uint64_t request = line.request;
     if (origin.over || origin.request != request || ending_) return;
     const Micros now = backstage_.now();
-    const bool never_there = !line.sent || ending == net::Ending::refused ||
-                             ending == net::Ending::unreachable || ending == net::Ending::connect_timed_out;
+    const bool never_there = !line.sent || ending == net::CloseReason::refused ||
+                             ending == net::CloseReason::unreachable ||
+                             ending == net::CloseReason::connect_timed_out;
     if (never_there) {
         // Nobody took it: the front sees that this one is gone, and the call goes to another.
         place.healthy = false;
--- a/rehearsal/sockets/callers_stand_in.hpp
+++ b/rehearsal/sockets/callers_stand_in.hpp
@@ -61,7 +61,7 @@
     void send(std::size_t origin, std::size_t dispatcher, std::uint64_t request);
     std::string text_of(std::size_t origin, std::uint64_t request) const;
     void answered(Line& line, int status, const std::string& body, std::optional<double> retry_after);
-    void ended(Line& line, net::Ending ending, bool any_byte);
+    void ended(Line& line, net::CloseReason ending, bool any_byte);
     void done_with(std::size_t origin, Fate fate);
     void free_line(Line& line);
     void check_health();
--- a/rehearsal/sockets/discovery_stand_in.cpp
+++ b/rehearsal/sockets/discovery_stand_in.cpp
@@ -31,7 +31,7 @@
     Session(DiscoveryStandIn& discovery, std::size_t dispatcher, evutil_socket_t socket)
         : dispatcher(dispatcher),
           discovery_(discovery),
-          reader_(http::Kind::request, discovery.backstage_.loop.blocks()),
+          reader_(http::MessageKind::request, discovery.backstage_.loop.block_pool()),
           connection_(discovery.backstage_.loop, *this, socket) {}
 
     void tell() {
@@ -51,17 +51,17 @@
     bool watching = false, over = false;
 
   private:
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         for (;;) {
             switch (reader_.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     return;
-                case http::Found::fault:
+                case http::ReadResult::error:
                     return close();
-                case http::Found::head:
-                case http::Found::body:
+                case http::ReadResult::head:
+                case http::ReadResult::body:
                     break;
-                case http::Found::end:
+                case http::ReadResult::end:
                     heed();
                     reader_.restart();
                     break;
@@ -93,7 +93,7 @@
         connection_.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         tell();
     }
-    void ended(net::Ending) override { over = true; }
+    void on_closed(net::CloseReason) override { over = true; }
 
     DiscoveryStandIn& discovery_;
     http::Reader reader_;
--- a/rehearsal/sockets/lane.cpp
+++ b/rehearsal/sockets/lane.cpp
@@ -37,7 +37,7 @@
 constexpr Micros kLateP99 = 20'000, kLateMost = 500'000;
 
 net::Address address(const std::string& text) {
-    const auto read = net::Address::read(text);
+    const auto read = net::Address::parse(text);
     if (!read) throw std::runtime_error("no address: " + text);
     return *read;
 }
@@ -274,7 +274,7 @@
 
     // ---- the loop ----
     void turn() {
-        loop_.turn(true);
+        loop_.run_once(true);
         for (auto& r : runners_) r->sweep();
         discovery_->sweep();
         if (callers_) callers_->sweep();
--- a/rehearsal/sockets/runner_stand_in.cpp
+++ b/rehearsal/sockets/runner_stand_in.cpp
@@ -44,7 +44,7 @@
         : id(id),
           dispatcher(dispatcher),
           runner_(runner),
-          reader_(http::Kind::request, runner.backstage_.loop.blocks()),
+          reader_(http::MessageKind::request, runner.backstage_.loop.block_pool()),
           connection_(runner.backstage_.loop, *this, socket),
           idle_(runner.backstage_.loop, [this] {
               if (!busy()) close(false);
@@ -165,19 +165,19 @@
         return out.str();
     }
 
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (deaf || over) return;
-        if (!reader_.begun()) first_byte_ = runner_.backstage_.now();
+        if (!reader_.has_started()) first_byte_ = runner_.backstage_.now();
         for (;;) {
             switch (reader_.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     return;
-                case http::Found::fault:
+                case http::ReadResult::error:
                     return close(true);
-                case http::Found::head:
-                case http::Found::body:
+                case http::ReadResult::head:
+                case http::ReadResult::body:
                     break;
-                case http::Found::end:
+                case http::ReadResult::end:
                     if (!whole()) return;
                     reader_.restart();
                     first_byte_ = runner_.backstage_.now();
@@ -241,7 +241,7 @@
             b.agenda.at(b.now() + wait, take);
         return !over;
     }
-    void ended(net::Ending) override {
+    void on_closed(net::CloseReason) override {
         if (std::exchange(over, true)) return;
         forget_token(true);
     }
--- a/rehearsal/system/platform_stand_in.cpp
+++ b/rehearsal/system/platform_stand_in.cpp
@@ -25,7 +25,7 @@
 
 PlatformStandIn::PlatformStandIn(net::Loop& loop)
     : loop_(loop),
-      api_(loop, *net::Address::read(platform_address()),
+      api_(loop, *net::Address::parse(platform_address()),
            {[this](ExchangeId exchange, HttpMessage&& request) { on_request(exchange, request); },
             [](ExchangeId) {}},
            kMaxConnections) {}
@@ -75,8 +75,8 @@
 }
 
 void PlatformStandIn::stop_runner(ExchangeId exchange, const std::string& body) {
-    const json::Value order = json::read(body);
-    const auto at = runners_.find(*order.text("runner_id"));
+    const json::Value order = json::parse(body);
+    const auto at = runners_.find(*order.find_string("runner_id"));
     if (at == runners_.end()) return answer(exchange, 404, "{}");
     ++stops_;
     at->second->http.reset();
@@ -86,9 +86,9 @@
 }
 
 void PlatformStandIn::start_runner(ExchangeId exchange, const std::string& body) {
-    const json::Value order = json::read(body);
-    const std::string service = *order.text("service");
-    const std::string nonce = service + "/" + *order.text("request_nonce");
+    const json::Value order = json::parse(body);
+    const std::string service = *order.find_string("service");
+    const std::string nonce = service + "/" + *order.find_string("request_nonce");
     const auto known = started_by_nonce_.find(nonce);
     if (known != started_by_nonce_.end() && runners_.contains(known->second))
         return answer_started(exchange, *runners_[known->second]);
@@ -98,7 +98,7 @@
     auto runner = std::make_unique<Runner>();
     runner->id = "i-" + std::to_string(created_);
     runner->service = service;
-    runner->worker = *order.text("worker_id");
+    runner->worker = *order.find_string("worker_id");
     runner->zone = zone_name(std::stoi(runner->worker.substr(2)));
     runner->address = runner_address(kFirstRunnerPort + created_);
     runner->function = function;
@@ -134,7 +134,7 @@
 
 void PlatformStandIn::open(Runner& runner) {
     runner.http = std::make_unique<cluster::HttpServer>(
-        loop_, *net::Address::read(runner.address),
+        loop_, *net::Address::parse(runner.address),
         cluster::HttpServer::Events{
             [this, &runner](ExchangeId exchange, HttpMessage&& request) { run(runner, exchange, request); },
             [](ExchangeId) {}},
--- a/rehearsal/tubes/bench.cpp
+++ b/rehearsal/tubes/bench.cpp
@@ -43,7 +43,7 @@
     Child child({program, "serve", "--configuration", folder + "/d.json", "--operator", folder + "/d.toml",
                  "--log-level", "error"},
                 folder + "/d.log");
-    const auto at = *net::Address::read(tubes);
+    const auto at = *net::Address::parse(tubes);
     net::Loop loop(64);
     TubeFigures f;
     f.connections = connections;
@@ -81,7 +81,7 @@
     }
     for (auto& r : all) r->wire->put("a job of thirty-two bytes, or so", 1024, 0, 60);
     const auto pass = [&](Micros span) {
-        for (const Micros until = net::Loop::now() + span; net::Loop::now() < until;) loop.turn(true);
+        for (const Micros until = net::Loop::now() + span; net::Loop::now() < until;) loop.run_once(true);
     };
     pass(500'000);
     const double before = child.cost().cpu_s;
@@ -107,8 +107,8 @@
     const auto used = [] { return static_cast<double>(mallinfo2().uordblks + mallinfo2().hblkhd); };
     const double before = used();
     JobQueue all({jobs, std::size_t{8} << 30, 16});
-    const TubeId tube = *all.tube("t");
-    all.used(tube);
+    const TubeId tube = *all.find_or_create_tube("t");
+    all.add_user(tube);
     Micros begun = net::Loop::now();
     for (std::size_t i = 0; i < jobs; ++i)
         if (!all.put(0, tube, 1024,
@@ -122,7 +122,7 @@
     Micros spent = 0;
     for (Micros now = 10 * kSecond; now <= 11 * kSecond + 200'000; now += 1'000) {
         begun = net::Loop::now();
-        all.pass(now, kAGo, stirred);
+        all.advance(now, kAGo, stirred);
         const Micros took = net::Loop::now() - begun;
         spent += took;
         f.longest_turn_us = std::max(f.longest_turn_us, static_cast<double>(took));
--- a/rehearsal/tubes/mixed.cpp
+++ b/rehearsal/tubes/mixed.cpp
@@ -35,7 +35,7 @@
 constexpr bool kHarmless[] = {false, true, true, true};
 
 net::Address address(const std::string& text) {
-    const auto read = net::Address::read(text);
+    const auto read = net::Address::parse(text);
     if (!read) throw std::runtime_error("no address: " + text);
     return *read;
 }
@@ -140,7 +140,7 @@
         return false;
     }
     void turn() {
-        loop_.turn(true);
+        loop_.run_once(true);
         for (auto& r : runners_) r->sweep();
         for (auto& c : clients_) c->sweep();
     }
@@ -281,7 +281,7 @@
                 : runner(r),
                   connection(r.day_.loop_, *this, socket),
                   done(r.day_.loop_, [this] { finish(); }) {}
-            void bytes(std::string_view more) override {
+            void on_bytes(std::string_view more) override {
                 got.append(more);
                 const auto end = got.find("\r\n\r\n");
                 if (end == std::string::npos || busy) return;
@@ -316,7 +316,7 @@
                                  "\r\n\r\n" + line);
                 if (!body.starts_with("http-")) runner.day_.ended_at_runner(body);
             }
-            void ended(net::Ending) override { over = true, done.cancel(); }
+            void on_closed(net::CloseReason) override { over = true, done.cancel(); }
             void hang_up() {
                 if (!busy || over) return;
                 connection.abort();
@@ -351,8 +351,8 @@
         struct Line final : net::Connection::Owner {
             Line(Client& c, const net::Address& to)
                 : client(c), connection(c.day.loop_, *this, to, 1'000'000) {}
-            void bytes(std::string_view more) override { client.heard(more); }
-            void ended(net::Ending) override { over = true; }
+            void on_bytes(std::string_view more) override { client.heard(more); }
+            void on_closed(net::CloseReason) override { over = true; }
             Client& client;
             net::Connection connection;
             bool over = false;
--- a/rehearsal/virtual/world.cpp
+++ b/rehearsal/virtual/world.cpp
@@ -124,7 +124,7 @@
     Node& n = nodes_[d];
     ++n.life;
     n.up = n.healthy = true, n.settling = n.watching = n.turns_away = false;
-    n.drain = drain::Drain(drain::Manners{kFrontNotices, 1'000'000});
+    n.drain = drain::Drain(drain::DrainSettings{kFrontNotices, 1'000'000});
     if (n.held.empty()) n.held.assign(day_.runners.size(), false);
     n.tasks.clear();
     n.version = 0;
@@ -605,19 +605,19 @@
     Node& n = nodes_[d];
     if (!n.up) return;
     const std::size_t left = unanswered(d);
-    const drain::Wanted wanted = n.drain.look(now_, {left, left});
-    n.turns_away = wanted.turns_away;
-    const bool healthy = wanted.healthy;
+    const drain::DrainDirective wanted = n.drain.evaluate(now_, {left, left});
+    n.turns_away = wanted.rejects_new_tasks;
+    const bool healthy = wanted.is_healthy;
     // The front finds out when it looks.
     if (healthy != n.healthy)
         at_for(d, now_ + kFrontLooks, [this, d, healthy] { nodes_[d].healthy = healthy; });
-    if (wanted.last_call) note(d, LastCall{});
-    if (wanted.exits) {
+    if (wanted.answers_waiting_tasks) note(d, LastCall{});
+    if (wanted.should_exit) {
         keep(d);
         n.up = false;
         at(now_ + kStartTakes, [this, d] { start_node(d); });
-    } else if (wanted.wake_at > now_) {
-        at_for(d, wanted.wake_at, [this, d, life = n.orders] {
+    } else if (wanted.next_evaluation_at > now_) {
+        at_for(d, wanted.next_evaluation_at, [this, d, life = n.orders] {
             if (nodes_[d].orders == life) look_at_drain(d);
         });
     }
@@ -649,7 +649,7 @@
     for (const WorkloadPlan& w : day_.workloads) longest = std::max(longest, w.expiry);
     const Micros last = now_ + std::min<Micros>(longest, 3'000'000) + 400'000;
     ++n.orders;
-    n.drain.leave(now_, last, now_ + std::max<Micros>(600'000, (last - now_) / 2));
+    n.drain.shut_down(now_, last, now_ + std::max<Micros>(600'000, (last - now_) / 2));
     look_at_drain(d);
 }
 
@@ -657,7 +657,7 @@
     Node& n = nodes_[d];
     if (!n.up) return;
     // One that leaves for good takes no order.
-    if (!n.drain.order(now_, now_ + within, n.drain.ticket(), "operator").granted) return;
+    if (!n.drain.request(now_, now_ + within, n.drain.ticket(), "operator").accepted) return;
     const std::uint64_t order = ++n.orders;
     look_at_drain(d);
     if (day_.goals.drained_in_time)
@@ -672,7 +672,7 @@
     Node& n = nodes_[d];
     if (!n.up) return;
     ++n.orders;
-    n.drain.undo(now_, n.drain.ticket(), "operator");
+    n.drain.cancel(now_, n.drain.ticket(), "operator");
     look_at_drain(d);
 }
 
--- a/rehearsal/virtual/world.hpp
+++ b/rehearsal/virtual/world.hpp
@@ -60,7 +60,7 @@
         std::vector<std::vector<Micros>> idle;  // by runner: since when each kept connection stands idle
         std::vector<bool> open;                 // by runner: what its list says
         std::uint64_t life = 1;                 // one more with each start
-        drain::Drain drain{drain::Manners{}};
+        drain::Drain drain{drain::DrainSettings{}};
         std::vector<bool> held;  // by runner: the operators hold it back
         std::uint64_t orders = 0;
         std::optional<Lore> kept;                 // outlives it
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -20,7 +20,7 @@
   public:
     Session(AdminServer& server, evutil_socket_t socket)
         : server_(server),
-          reader_(http::Kind::request, server.loop_.blocks()),
+          reader_(http::MessageKind::request, server.loop_.block_pool()),
           timeout_(server.loop_,
                    [this] {
                        respond({408, "the call came no further\n"});
@@ -42,36 +42,36 @@
     bool is_closed() const { return is_closed_; }
     bool has_responded() const { return has_responded_; }
     // Only the closing of the connection is left.
-    bool is_response_sent() const { return has_responded_ && !connection_.unsent(); }
+    bool is_response_sent() const { return has_responded_ && !connection_.has_unsent_bytes(); }
 
     Sessions::iterator position;  // in the server's list
 
   private:
     // ---- net::Connection::Owner ----
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         while (!has_responded_ && !is_closed_) {
-            const http::Found found = reader_.read(bytes);
-            if (found == http::Found::nothing) return;
+            const http::ReadResult found = reader_.read(bytes);
+            if (found == http::ReadResult::nothing) return;
             on_found(found);
         }
     }
-    void ended(net::Ending) override { close(); }
+    void on_closed(net::CloseReason) override { close(); }
 
-    void on_found(http::Found found) {
+    void on_found(http::ReadResult found) {
         switch (found) {
-            case http::Found::nothing:
+            case http::ReadResult::nothing:
                 return;
-            case http::Found::head:
+            case http::ReadResult::head:
                 return on_head(parse_request(reader_.head()));
-            case http::Found::body:
-                body_bytes_ += reader_.piece().size();
+            case http::ReadResult::body:
+                body_bytes_ += reader_.body_piece().size();
                 if (body_bytes_ > kMaxBodyBytes) respond({413, "no call is so long\n"});
                 return;
-            case http::Found::end:
+            case http::ReadResult::end:
                 // Not before: half a request is none, whatever its head asks for.
                 return respond(server_.handler_.on_admin_request(request_));
-            case http::Found::fault:
-                const bool is_overloaded = reader_.fault() == http::Fault::out_of_blocks;
+            case http::ReadResult::error:
+                const bool is_overloaded = reader_.error() == http::ReadError::out_of_blocks;
                 return respond({is_overloaded ? 503 : 400, "this cannot be read\n"});
         }
     }
@@ -85,11 +85,11 @@
         if (has_responded_ || is_closed_) return;
         has_responded_ = true;
         timeout_.cancel();
-        auto head = http::Writer::answer(response.status);
+        auto head = http::Writer::response(response.status);
         head.field("Content-Type", response.content_type)
             .field("Connection", "close")
-            .length(response.body.size());
-        net::Blocks out(server_.loop_.blocks());
+            .content_length(response.body.size());
+        net::BlockBuffer out(server_.loop_.block_pool());
         reader_.restart();
         if (!out.append(head.head()) || !out.append(response.body)) return close();
         connection_.write(std::move(out));
--- a/src/beanstalk/exchange.cpp
+++ b/src/beanstalk/exchange.cpp
@@ -31,7 +31,7 @@
 
 Exchange::Exchange(Trade trade, Places places, Floor& floor)
     : trade_(std::move(trade)), places_(std::move(places)), floor_(floor), queue_(trade_.bounds) {
-    queue_.used(*open_tube("default"));
+    queue_.add_user(*open_tube("default"));
 }
 
 // ---- tubes
@@ -41,7 +41,7 @@
     if (const auto known = queue_.find_tube(name)) return known;
     const auto named = places_.named.find(name);
     if (named == places_.named.end() && places_.free.empty()) return std::nullopt;
-    const auto tube = queue_.tube(name);
+    const auto tube = queue_.find_or_create_tube(name);
     if (!tube) return std::nullopt;
     of_tubes_.resize(std::max(of_tubes_.size(), static_cast<std::size_t>(*tube) + 1));
     OfTube& t = of(*tube) = {};
@@ -57,7 +57,7 @@
 
 void Exchange::leave_tube(TubeId tube) {
     const OfTube t = of(tube);
-    if (queue_.unused(tube) && t.own_place) places_.free.push_back(t.workload);
+    if (queue_.remove_user(tube) && t.own_place) places_.free.push_back(t.workload);
 }
 
 void Exchange::drop_job(Job& job) {
@@ -105,7 +105,7 @@
     s.id = id;
     s.used = *open_tube("default");
     s.watched = {s.used};
-    queue_.used(s.used), queue_.used(s.used);
+    queue_.add_user(s.used), queue_.add_user(s.used);
     regroup(s);
 }
 
@@ -119,7 +119,7 @@
     // Against a worker that is gone with a job in its hands: nobody knows how far it came.
     for (auto held = held_.begin(); s.held > 0 && held != held_.end();) {
         const auto next = std::next(held);
-        if (held->first.second == id) end(held, net::Ending::broken);
+        if (held->first.second == id) end(held, net::CloseReason::broken);
         held = next;
     }
     if (s.joined) {
@@ -197,7 +197,7 @@
         case Verb::use: {
             const auto tube = open_tube(c.tube);
             if (!tube) return say(s, "OUT_OF_MEMORY\r\n");
-            queue_.used(*tube);
+            queue_.add_user(*tube);
             leave_tube(std::exchange(s.used, *tube));
             return say(s, "USING " + c.tube + "\r\n");
         }
@@ -243,7 +243,7 @@
             return tell_tube(now, s, c.tube);
         case Verb::list_tubes: {
             Yaml all;
-            queue_.each_tube([&](TubeId, const Tube& t) { all.item(t.name); });
+            queue_.for_each_tube([&](TubeId, const Tube& t) { all.item(t.name); });
             return say(s, all.ok());
         }
         case Verb::list_tube_used:
@@ -282,7 +282,7 @@
     const auto tube = open_tube(name);
     if (!tube || s.watched.size() >= kMostWatched) return say(s, "OUT_OF_MEMORY\r\n");
     if (std::find(s.watched.begin(), s.watched.end(), *tube) == s.watched.end()) {
-        queue_.used(*tube);
+        queue_.add_user(*tube);
         s.watched.push_back(*tube);
         regroup(s);
     }
@@ -322,7 +322,7 @@
 void Exchange::reserve_job(Micros now, Session& s, JobId id) {
     Job* const job = queue_.find(id);
     // One in another's hands is not to be had; nor, without an operator's word, one that may have run.
-    if (!job || job->may_have_run || (job->state == State::handed && !entered_.contains(id)))
+    if (!job || job->may_have_run || (job->state == State::reserved && !entered_.contains(id)))
         return say(s, "NOT_FOUND\r\n");
     if (!places_.chosen.contains(of(job->tube).plan->effect)) return say(s, "NOT_FOUND\r\n");
     if (!s.joined) {
@@ -345,14 +345,14 @@
     while (!line.empty()) {
         Session& s = sessions_.at(line.front());
         Job* const job = queue_.find(s.asked);
-        s.asked_from = job && job->state != State::handed ? job->state : State::ready;
-        const bool free = job && !job->may_have_run && (job->state != State::handed || take_back(*job));
+        s.asked_from = job && job->state != State::reserved ? job->state : State::ready;
+        const bool free = job && !job->may_have_run && (job->state != State::reserved || take_back(*job));
         if (free) {
             floor_.worker_serves(s.worker, serves(s));
             const TaskId task = floor_.hand_in(*job, queue_.at(job->tube).name, *of(job->tube).plan,
                                                places_.chosen.at(effect));
             if (task != TaskId{}) {
-                queue_.hand(*job, task);
+                queue_.reserve(*job, task);
                 jobs_of_[task] = job->id;
                 entered_[job->id] = nullptr;
                 return;
@@ -383,11 +383,11 @@
         if (!first) return;
         if (Job* const job = queue_.find(id); job && take_back(*job) && s.asked_from != State::ready) {
             // As it lay before it was asked for.
-            queue_.hand(*job, {});
+            queue_.reserve(*job, {});
             if (s.asked_from == State::buried)
                 queue_.bury(*job), --job->buries;
             else
-                queue_.delay(*job, now_, std::max<Micros>(1, job->due - now_)), due(job->due);
+                queue_.delay(*job, now_, std::max<Micros>(1, job->due_at - now_)), due(job->due_at);
         }
         return choose_next(effect);
     }
@@ -399,7 +399,7 @@
     // Against an assignment that crosses the end of a reserve: it was never told of the job.
     if (!s || !s->waiting || errand.stop_at <= now_)
         return floor_.errand_ended(
-            {errand.task, errand.number, runner, net::Ending::stopped_unsent, 0, {}, {}});
+            {errand.task, errand.number, runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
     const auto known = jobs_of_.find(errand.task);
     const bool of_queue = known != jobs_of_.end();
     const JobId id = of_queue ? known->second : queue_.next_id();
@@ -428,7 +428,7 @@
     const Held& h = held->second;
     if (const Job* const job = h.of_queue ? queue_.find(id) : nullptr)
         return floor_.say(session, with_body("RESERVED", number(id), job->body));
-    floor_.say(session, with_body("RESERVED", number(id), h.errand.body ? h.errand.body->text() : ""));
+    floor_.say(session, with_body("RESERVED", number(id), h.errand.body ? h.errand.body->to_string() : ""));
 }
 
 void Exchange::set_limit(AllHeld::iterator place, Micros limit) {
@@ -441,7 +441,7 @@
 }
 
 // The one end of a job in a worker's hands. What becomes of the task is the module's to say.
-void Exchange::end(AllHeld::iterator place, net::Ending ending) {
+void Exchange::end(AllHeld::iterator place, net::CloseReason ending) {
     const auto [id, session] = place->first;
     const Held held = std::move(place->second);
     limits_.erase({held.limit, place->first});
@@ -458,7 +458,7 @@
         {held.errand.task, held.errand.number, held.worker, ending, now_ - held.since, {}, {}});
     // A harmless job whose worker is lost or late lies in its tube again, and goes to whoever asks next, also
     // to the same one. Of any other the module says what becomes of it.
-    const bool unsure = ending == net::Ending::stopped || ending == net::Ending::broken;
+    const bool unsure = ending == net::CloseReason::timed_out || ending == net::CloseReason::broken;
     Job* const job = unsure && held.of_queue ? queue_.find(id) : nullptr;
     if (job && job->task == held.errand.task && of(job->tube).plan->harmless() &&
         !held_of_.contains(job->task))
@@ -471,7 +471,7 @@
     for (const Grip& grip : found->second) {
         const auto held = held_.find(grip);
         if (held == held_.end() || held->second.errand.number != number) continue;
-        return end(held, net::Ending::withdrawn);
+        return end(held, net::CloseReason::cancelled);
     }
 }
 
@@ -484,12 +484,12 @@
 
 void Exchange::remove(Micros, Session& s, JobId id) {
     if (const auto held = held_.find({id, s.id}); held != held_.end()) {
-        end(held, net::Ending::done);
+        end(held, net::CloseReason::done);
         return say(s, "DELETED\r\n");
     }
     Job* const job = queue_.find(id);
     // In the hands of another, or at a runner: its end is theirs to say.
-    if (!job || (job->state == State::handed && !take_back(*job))) return say(s, "NOT_FOUND\r\n");
+    if (!job || (job->state == State::reserved && !take_back(*job))) return say(s, "NOT_FOUND\r\n");
     drop_job(*job);
     say(s, "DELETED\r\n");
 }
@@ -501,7 +501,7 @@
     if (held == held_.end()) return say(s, "NOT_FOUND\r\n");
     const TaskId task = held->second.errand.task;
     const bool of_queue = held->second.of_queue;
-    end(held, net::Ending::handed_back);
+    end(held, net::CloseReason::returned);
     // The queue has the job again, with the worker's own wish when; unless a copy of it is elsewhere, or it
     // has ended.
     Job* const job = of_queue ? queue_.find(JobId{c.id}) : nullptr;
@@ -511,7 +511,7 @@
         back(job->id);
         if (c.delay_s > 0) {
             queue_.delay(*job, now, micros(c.delay_s));
-            due(job->due);
+            due(job->due_at);
         }
     }
     say(s, "RELEASED\r\n");
@@ -525,17 +525,17 @@
     const bool ours = job && job->task == held->second.errand.task && copies != held_of_.end() &&
                       copies->second.size() == 1;
     if (!ours) {
-        end(held, net::Ending::failed);
+        end(held, net::CloseReason::failed);
     } else {
         // The worker's own word to leave it: nobody is asked whether once more, and it is no failing of the
         // worker.
         job->priority = c.priority;
         back(job->id);
-        end(held, net::Ending::withdrawn);
+        end(held, net::CloseReason::cancelled);
         job->may_have_run = !of(job->tube).plan->harmless();
         // Out of the order first, by the mark that it went in with.
         const bool mark = std::exchange(job->may_have_run, false);
-        queue_.hand(*job, {});
+        queue_.reserve(*job, {});
         job->may_have_run = mark;
         queue_.bury(*job);
     }
@@ -558,7 +558,7 @@
     // What one group gives back another may want; it ends, since none takes more than it waits for.
     while (!stirred_tubes_.empty() || !stirred_.empty()) {
         for (const TubeId tube : std::exchange(stirred_tubes_, {})) {
-            if (!queue_.has(tube)) continue;
+            if (!queue_.has_tube(tube)) continue;
             for (auto& [tubes, group] : groups_)
                 if (group.waiting > group.entered.size() &&
                     std::binary_search(tubes.begin(), tubes.end(), tube))
@@ -579,7 +579,8 @@
         Job* best = nullptr;
         for (const TubeId tube : group.tubes) {
             Job* const first = queue_.first_ready(tube, now_);
-            if (first && (!best || std::pair(first->rank, first->id) < std::pair(best->rank, best->id)))
+            if (first &&
+                (!best || std::pair(first->heap_key, first->id) < std::pair(best->heap_key, best->id)))
                 best = first;
         }
         if (!best || !enter(*best, &group)) return;
@@ -605,7 +606,7 @@
     const TaskId task =
         floor_.hand_in(job, queue_.at(job.tube).name, *of(job.tube).plan, of(job.tube).workload);
     if (task == TaskId{}) return false;
-    queue_.hand(job, task);
+    queue_.reserve(job, task);
     jobs_of_[task] = job.id;
     entered_[job.id] = group;
     if (group) group->entered.push_back(job.id);
@@ -626,7 +627,7 @@
 void Exchange::back(JobId id) {
     Job* const job = queue_.find(id);
     forget_entered(id);
-    if (!job || job->state != State::handed) return;
+    if (!job || job->state != State::reserved) return;
     if (pushed_.erase(id) > 0) --of(job->tube).pushed;
     const TaskId task = job->task;
     queue_.make_ready(*job);
@@ -658,7 +659,7 @@
             break;  // its tube may be gone with it
         case fronts::Answer::bounced:
             queue_.delay(*job, now_, std::clamp<Micros>(stay_away, 1'000, kLongestAway));
-            due(job->due);
+            due(job->due_at);
             break;
         case fronts::Answer::abandoned:
             // Never a second run by itself: it lies here until an operator says so.
@@ -672,7 +673,7 @@
     if (hands_out_ == yes) return;
     hands_out_ = yes;
     for (auto& [tubes, group] : groups_) stirred_.insert(&group);
-    queue_.each_tube([&](TubeId tube, const Tube&) { stir(tube); });
+    queue_.for_each_tube([&](TubeId tube, const Tube&) { stir(tube); });
     fill_stirred();
 }
 
@@ -683,7 +684,7 @@
     now_ = now;
     if (next_change_ > 0 && now >= next_change_) {
         std::vector<TubeId> tubes;
-        next_change_ = queue_.pass(now, kDueInOneGo, tubes);
+        next_change_ = queue_.advance(now, kDueInOneGo, tubes);
         if (next_change_ > 0 && next_change_ <= now)
             next_change_ = now + 1'000;  // the rest, once others have had a turn
         for (const TubeId tube : tubes) stir(tube);
@@ -693,7 +694,7 @@
         ++timeouts_;
         if (held->second.of_queue)
             if (Job* const job = queue_.find(held->first.first)) ++job->timeouts;
-        end(held, net::Ending::stopped);
+        end(held, net::CloseReason::timed_out);
     }
     while (!nearly_.empty() && nearly_.begin()->first <= now) {
         const Grip grip = nearly_.begin()->second;
@@ -735,7 +736,7 @@
     if (job.state != State::buried && job.state != State::delayed) return false;
     if (job.may_have_run && !for_good) return false;
     ++job.kicks;
-    queue_.hand(job, {});  // out of the order, by the mark that it went in with
+    queue_.reserve(job, {});  // out of the order, by the mark that it went in with
     job.may_have_run = false;
     queue_.make_ready(job);
     stir(job.tube);
@@ -775,16 +776,16 @@
     out.pair("id", number(id));
     out.text("tube", job ? queue_.at(job->tube).name : "");
     const bool entered = entered_.contains(id);
-    out.bare("state", in_hands                                  ? "reserved"
-                      : job->state == State::delayed            ? "delayed"
-                      : job->state == State::buried             ? "buried"
-                      : job->state == State::handed && !entered ? "reserved"
-                                                                : "ready");
+    out.bare("state", in_hands                                    ? "reserved"
+                      : job->state == State::delayed              ? "delayed"
+                      : job->state == State::buried               ? "buried"
+                      : job->state == State::reserved && !entered ? "reserved"
+                                                                  : "ready");
     out.pair("pri", job ? job->priority : 0);
     out.pair("age", job ? seconds(now - job->put_at) : seconds(now - held->second.since));
     out.pair("delay", job ? seconds(job->delay) : 0);
     out.pair("ttr", seconds(job ? job->time_to_run : held->second.run));
-    const Micros until = in_hands ? held->second.limit : job->state == State::delayed ? job->due : now;
+    const Micros until = in_hands ? held->second.limit : job->state == State::delayed ? job->due_at : now;
     out.pair("time-left", seconds(until - now));
     out.pair("file", 0);
     out.pair("reserves", job ? job->reserves : 1);
@@ -810,14 +811,14 @@
     out.text("name", t.name);
     out.pair("current-jobs-urgent", t.urgent);
     out.pair("current-jobs-ready", t.ready.size() + entered);
-    out.pair("current-jobs-reserved", t.handed - entered);
+    out.pair("current-jobs-reserved", t.reserved - entered);
     out.pair("current-jobs-delayed", t.delayed.size());
     out.pair("current-jobs-buried", t.buried.size() + t.withheld.size());
-    out.pair("total-jobs", t.total);
+    out.pair("total-jobs", t.total_jobs);
     out.pair("current-using", using_it);
     out.pair("current-watching", watching);
     out.pair("current-waiting", waiting);
-    out.pair("cmd-delete", t.deleted);
+    out.pair("cmd-delete", t.deleted_jobs);
     out.pair("cmd-pause-tube", t.pauses);
     out.pair("pause", seconds(t.pause));
     out.pair("pause-time-left", seconds(t.paused_until - now));
@@ -826,10 +827,10 @@
 
 void Exchange::tell_stats(Micros now, Session& s) {
     std::uint64_t urgent = 0, ready = entered_.size(), delayed = 0, buried = 0, handed = 0, tubes = 0;
-    queue_.each_tube([&](TubeId, const Tube& t) {
+    queue_.for_each_tube([&](TubeId, const Tube& t) {
         urgent += t.urgent, ready += t.ready.size(), delayed += t.delayed.size(),
             buried += t.buried.size() + t.withheld.size();
-        handed += t.handed, ++tubes;
+        handed += t.reserved, ++tubes;
     });
     std::uint64_t producers = 0, workers = 0, waiting = 0;
     for (const auto& [id, one] : sessions_)
--- a/src/beanstalk/exchange.hpp
+++ b/src/beanstalk/exchange.hpp
@@ -48,7 +48,7 @@
     TubePlan otherwise;            // any other
     std::size_t other_tubes = 16;  // so many of them at once, each with a workload of its own
     std::size_t longest_body = 65'535;
-    queue::Bounds bounds;
+    queue::QueueLimits bounds;
     Micros margin = 1'000'000;  // before a job's time is over, in which nothing more is reserved
     Micros least_run = 1'000'000;
     bool cold = true;  // whether a worker that has just connected counts as cold
@@ -191,7 +191,7 @@
     // A job in the hands of one session; of a harmless one two may have a copy.
     using Grip = std::pair<queue::JobId, SessionId>;
     using AllHeld = std::map<Grip, Held>;
-    void end(AllHeld::iterator held, net::Ending ending);
+    void end(AllHeld::iterator held, net::CloseReason ending);
     void set_limit(AllHeld::iterator held, Micros limit);
     void drop_job(queue::Job& job);
     bool take_back(queue::Job& job);
--- a/src/beanstalk/server.cpp
+++ b/src/beanstalk/server.cpp
@@ -25,7 +25,7 @@
           reader_(server.longest_body_),
           connection_(server.loop_, *this, socket) {}
 
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (over_) return;
         if (!reader_.half_said() && unread_.empty()) since_ = spoke_ ? net::Loop::now() : since_;
         // Against hundreds of commands piled up by who does not read the answers.
@@ -51,10 +51,10 @@
         unread_.erase(0, unread_.size() - left.size());
         obeying_ = false;
     }
-    void all_written() override {
+    void on_all_written() override {
         if (!over_ && !unread_.empty()) obey();
     }
-    void ended(net::Ending) override { close(); }
+    void on_closed(net::CloseReason) override { close(); }
     void say(std::string&& words) {
         if (over_) return;
         // Against a session that goes while the exchange is still busy with it: ended in the next look.
@@ -77,7 +77,7 @@
                now - since_ > kPatience;
     }
     bool never_spoke() const { return !spoke_; }
-    bool owed() const { return !over_ && connection_.unsent(); }
+    bool owed() const { return !over_ && connection_.has_unsent_bytes(); }
     std::size_t door() const { return door_; }
 
   private:
@@ -106,7 +106,7 @@
         doors_.push_back({e, std::make_unique<net::Listener>(
                                  loop, e.at, [this, door](evutil_socket_t socket) { accept(door, socket); },
                                  [this] { make_room(); })});
-        log_.info(net::Loop::now(), "beanstalkd's protocol on ", log::as("address", e.at.text));
+        log_.info(net::Loop::now(), "beanstalkd's protocol on ", log::field("address", e.at.text));
     }
     stalled_.set(net::Loop::now() + kLookForStalled);
 }
@@ -161,7 +161,7 @@
     exchange_.turn_away(true);
     exchange_.hand_out(false);
     if (const std::size_t lost = exchange_.waiting_jobs(); lost > 0)
-        log_.warning(net::Loop::now(), "leaving, and ", log::as("jobs", lost),
+        log_.warning(net::Loop::now(), "leaving, and ", log::field("jobs", lost),
                      " jobs that wait in tubes are lost with this process");
     std::vector<Session*> all;
     for (const auto& [id, session] : sessions_) all.push_back(session.get());
--- a/src/clients/request.cpp
+++ b/src/clients/request.cpp
@@ -96,7 +96,7 @@
 std::variant<Request, Refused> read_request(const http::Head& head, const Directory& directory) {
     if (head.method != "POST") return Refused{405, "tasks come by POST"};
     for (const char* const name : kSingle)
-        if (head.repeats(name)) return Refused{400, "a header that must be single is repeated"};
+        if (head.has_duplicate(name)) return Refused{400, "a header that must be single is repeated"};
     Request r;
     std::string_view path = head.path().substr(1);
     const auto workload = directory.workloads.find(path.substr(0, path.find('/')));
--- a/src/clients/server.cpp
+++ b/src/clients/server.cpp
@@ -17,13 +17,13 @@
 constexpr Micros kLookForStalled = 100'000;
 constexpr Micros kHalfCome = 100'000;  // what has come in part for longer may go when room is short
 
-int status_of(http::Fault fault) {
+int status_of(http::ReadError fault) {
     switch (fault) {
-        case http::Fault::too_large:
+        case http::ReadError::too_large:
             return 431;
-        case http::Fault::version:
+        case http::ReadError::version:
             return 505;
-        case http::Fault::out_of_blocks:
+        case http::ReadError::out_of_blocks:
             return 503;
         default:
             return 400;
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-Server::Server(net::Loop& loop, const net::Door& door, const Directory& directory, Taker& taker, Room room,
-               log::Log& log)
+Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, Taker& taker,
+               Room room, log::Log& log)
     : loop_(loop),
       directory_(directory),
       taker_(taker),
@@ -65,7 +65,9 @@
 void Server::make_room() {
     using State = Session::State;
     const Micros now = net::Loop::now();
-    const auto told = [](const Session& s) { return s.state_ == State::closing && !s.connection_.unsent(); };
+    const auto told = [](const Session& s) {
+        return s.state_ == State::closing && !s.connection_.has_unsent_bytes();
+    };
     const auto silent = [](const Session& s) { return s.state_ == State::idle && !s.served_; };
     const auto half_said = [now](const Session& s) {
         return s.state_ == State::reading && !s.served_ && now - s.since_ > kHalfCome;
@@ -75,9 +77,10 @@
          {std::function<bool(const Session&)>(told), {silent}, {half_said}, {idle}}) {
         for (const auto& session : sessions_) {
             // Against closing one whose request is here but was not read yet.
-            if (!goes(*session) || (session->state_ == State::idle && session->connection_.stale())) continue;
+            if (!goes(*session) || (session->state_ == State::idle && session->connection_.is_stale()))
+                continue;
             session->connection_.close();
-            return session->ended(net::Ending::closed);
+            return session->on_closed(net::CloseReason::closed);
         }
     }
 }
@@ -121,7 +124,7 @@
     return static_cast<std::size_t>(
         std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
             return session->state_ == Session::State::reading || session->state_ == Session::State::waiting ||
-                   session->connection_.unsent();
+                   session->connection_.has_unsent_bytes();
         }));
 }
 
@@ -136,7 +139,7 @@
     for (const auto& session : sessions_) {
         if (open <= most) return;
         // Against closing one whose request is here but was not read yet.
-        if (session->state_ != Session::State::idle || !session->served_ || session->connection_.stale())
+        if (session->state_ != Session::State::idle || !session->served_ || session->connection_.is_stale())
             continue;
         session->state_ = Session::State::closing;
         session->connection_.finish();
@@ -151,8 +154,8 @@
 Session::Session(Server& server, evutil_socket_t socket)
     : server_(server),
       connection_(server.loop_, *this, socket),
-      reader_(http::Kind::request, server.loop_.blocks()),
-      body_(server.loop_.blocks()),
+      reader_(http::MessageKind::request, server.loop_.block_pool()),
+      body_(server.loop_.block_pool()),
       since_(net::Loop::now()) {}
 
 void Session::touch() {
@@ -160,38 +163,39 @@
     server_.sessions_.splice(server_.sessions_.end(), server_.sessions_, place_);
 }
 
-void Session::bytes(std::string_view bytes) {
+void Session::on_bytes(std::string_view bytes) {
     touch();
     // Against a client that asks on and on and reads no answer: one that has not had the last answer whole
     // has nothing to ask, and what it is owed stays one answer.
-    if (state_ == State::idle && connection_.unsent()) {
+    if (state_ == State::idle && connection_.has_unsent_bytes()) {
         state_ = State::closing;
         return connection_.finish();
     }
     while (state_ == State::idle || state_ == State::reading) {
         const bool waits = state_ == State::idle;
         switch (reader_.read(bytes)) {
-            case http::Found::nothing:
-                if (waits && reader_.begun()) begin();
+            case http::ReadResult::nothing:
+                if (waits && reader_.has_started()) begin();
                 return;
-            case http::Found::head:
+            case http::ReadResult::head:
                 if (waits) begin();
                 if (!heed_head()) return;
                 break;
-            case http::Found::body:
-                if (body_.size() + reader_.piece().size() > kMostBody) return refuse(413, "body too large");
-                if (server_.loop_.blocks().scarce() || !body_.append(reader_.piece()))
+            case http::ReadResult::body:
+                if (body_.size() + reader_.body_piece().size() > kMostBody)
+                    return refuse(413, "body too large");
+                if (server_.loop_.block_pool().is_scarce() || !body_.append(reader_.body_piece()))
                     return refuse(503, "no buffer left");
                 break;
-            case http::Found::end:
+            case http::ReadResult::end:
                 // Against a length that is too small: what is behind the end is the rest of the body, or one
                 // request hides in another. A client sends one at a time here.
-                if (request_ && (!bytes.empty() || connection_.stale()))
+                if (request_ && (!bytes.empty() || connection_.is_stale()))
                     return refuse(400, "more than the request is long");
                 heed_end();
                 break;
-            case http::Found::fault:
-                return refuse(status_of(reader_.fault()), "malformed request");
+            case http::ReadResult::error:
+                return refuse(status_of(reader_.error()), "malformed request");
         }
     }
     // The same once the task is out already. It was never what the client meant, so it is not served.
@@ -210,7 +214,7 @@
 
 bool Session::heed_head() {
     const http::Head& head = reader_.head();
-    last_answer_ = !head.keeps_alive;
+    last_answer_ = !head.is_keep_alive;
     request_.reset();
     if (head.method == "GET" && head.path() == "/healthz") return true;
     auto read = read_request(head, server_.directory_);
@@ -220,7 +224,7 @@
     }
     request_ = std::move(std::get<Request>(read));
     // Said before the body has come: nobody is to send in vain what will not be taken.
-    if (reader_.length() > kMostBody) {
+    if (reader_.body_length() > kMostBody) {
         refuse(413, "body too large");
         return false;
     }
@@ -228,7 +232,7 @@
         refuse(409, "a request with this id is under way");
         return false;
     }
-    if (http::same_word(head.field("Expect"), "100-continue"))
+    if (http::equals_ignoring_case(head.field("Expect"), "100-continue"))
         connection_.write("HTTP/1.1 100 Continue\r\n\r\n");
     return true;
 }
@@ -248,7 +252,7 @@
     }
     if (server_.full()) {
         server_.log_.warning(last_byte_at_, "clients: no room, turned away ",
-                             log::as("request", request_->id), "; ", server_.waiting_, " tasks wait on ",
+                             log::field("request", request_->id), "; ", server_.waiting_, " tasks wait on ",
                              server_.sessions_.size(), " connections");
         return turn_away("no room\n");
     }
@@ -278,16 +282,16 @@
 }
 
 void Session::say(int status, std::string_view body, Micros stay_away) {
-    auto head = http::Writer::answer(status);
-    head.length(body.size());
+    auto head = http::Writer::response(status);
+    head.content_length(body.size());
     if (stay_away > 0) head.field("Retry-After", seconds(stay_away));
     if (server_.bearing_.last_answers) last_answer_ = true;
     if (last_answer_) head.field("Connection", "close");
-    net::Blocks out(server_.loop_.blocks());
+    net::BlockBuffer out(server_.loop_.block_pool());
     if (!out.append(head.head()) || !out.append(body)) {
         // No buffer for the answer: a connection that ends is all that can still be said.
         connection_.close();
-        return ended(net::Ending::closed);
+        return on_closed(net::CloseReason::closed);
     }
     connection_.write(std::move(out));
     if (last_answer_) {
@@ -302,14 +306,14 @@
 }
 
 void Session::refuse(int status, std::string_view why) {
-    server_.log_.debug(net::Loop::now(), "clients: refused with ", log::as("status", status), ": ", why);
+    server_.log_.debug(net::Loop::now(), "clients: refused with ", log::field("status", status), ": ", why);
     last_answer_ = true;
     reader_.restart();
     body_.clear();
     say(status, std::string(why) + "\n", status == 503 ? server_.room_.stay_away : 0);
 }
 
-void Session::ended(net::Ending) {
+void Session::on_closed(net::CloseReason) {
     if (state_ == State::over) return;
     const bool waited = state_ == State::waiting;
     set_waiting(false);
--- a/src/clients/server.hpp
+++ b/src/clients/server.hpp
@@ -33,8 +33,8 @@
 
 class Server {
   public:
-    Server(net::Loop& loop, const net::Door& door, const Directory& directory, Taker& taker, Room room,
-           log::Log& log);
+    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, Taker& taker,
+           Room room, log::Log& log);
     ~Server();
 
     // Who has connected is served on; who has not yet been let in is another's.
@@ -91,8 +91,8 @@
     friend class Server;
     enum class State { idle, reading, waiting, closing, over };
 
-    void bytes(std::string_view bytes) override;
-    void ended(net::Ending ending) override;
+    void on_bytes(std::string_view bytes) override;
+    void on_closed(net::CloseReason ending) override;
     bool heed_head();
     void heed_end();
     void say(int status, std::string_view body, Micros stay_away = 0);
@@ -105,7 +105,7 @@
     Server& server_;
     net::Connection connection_;
     http::Reader reader_;
-    net::Blocks body_;
+    net::BlockBuffer body_;
     std::optional<Request> request_;  // none for a check of health
     TaskId task_{};
     State state_ = State::idle;
--- a/src/cluster/controller/controller_status.cpp
+++ b/src/cluster/controller/controller_status.cpp
@@ -10,8 +10,8 @@
 
 json::Value json_number(Number number) { return json_value(static_cast<double>(number)); }
 
-json::List member_rows(Micros now, const Settings& settings, const Consensus& consensus) {
-    json::List rows;
+json::Array member_rows(Micros now, const Settings& settings, const Consensus& consensus) {
+    json::Array rows;
     for (const std::string& member : consensus.voters()) {
         const Micros last_contact = consensus.last_contact(member);
         rows.emplace_back(
@@ -41,7 +41,7 @@
     status["version"] = json_number(committed ? committed->version : 0);
     status["malformed_lines"] = json_number(MessageConnection::malformed_connections());
     if (part.empty() || part == "core") {
-        json::List rows = member_rows(now, settings, *consensus);
+        json::Array rows = member_rows(now, settings, *consensus);
         if (!rows.empty()) status["core"] = json::Value(std::move(rows));
     }
     if (coordinator) coordinator->explain(now, part, status);
--- a/src/cluster/controller/inbound_connections.cpp
+++ b/src/cluster/controller/inbound_connections.cpp
@@ -10,7 +10,8 @@
     : loop_(loop),
       callbacks_(std::move(callbacks)),
       listener_(
-          loop, net::Door(listen_at), [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {}
+          loop, net::ListenAddress(listen_at), [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {
+}
 
 void InboundConnections::on_accept(evutil_socket_t socket) {
     const Session session = ++last_session_;
--- a/src/cluster/controller/peer_connections.cpp
+++ b/src/cluster/controller/peer_connections.cpp
@@ -26,7 +26,7 @@
 }
 
 void PeerConnections::dial(const std::string& member, Peer& peer) {
-    const auto address = net::Address::read(settings_.internal_address_of(member));
+    const auto address = net::Address::parse(settings_.internal_address_of(member));
     if (!address) return;
     peer.last_dialed_at = net::Loop::now();
     MessageConnection::Events events;
--- a/src/cluster/coordinator/coordinator_status.cpp
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -14,8 +14,8 @@
     return json_value(name ? *name : std::string());
 }
 
-json::List action_rows(Micros now, const BoundedHistory<PlatformAction>& actions) {
-    json::List rows;
+json::Array action_rows(Micros now, const BoundedHistory<PlatformAction>& actions) {
+    json::Array rows;
     for (const PlatformAction& action : actions.entries()) {
         const bool is_start = action.kind == PlatformAction::Kind::start;
         rows.emplace_back(json::Object{{"ago_ms", json_ms(now - action.at)},
@@ -41,15 +41,15 @@
         {"load", json_value(function.load.slow())}});
 }
 
-json::List function_rows(const SlotTable& slot_table) {
-    json::List rows;
+json::Array function_rows(const SlotTable& slot_table) {
+    json::Array rows;
     for (const auto& [name, function] : slot_table.functions())
         if (function->active || !function->runners.empty()) rows.push_back(function_row(*function));
     return rows;
 }
 
-json::List waiting_rows(Micros now, const SlotTable& slot_table) {
-    json::List rows;
+json::Array waiting_rows(Micros now, const SlotTable& slot_table) {
+    json::Array rows;
     for (const auto& [name, function] : slot_table.functions())
         for (const auto& [place, waiting] : function->waiting.all())
             rows.emplace_back(json::Object{{"function", json_value(name)},
@@ -61,8 +61,8 @@
     return rows;
 }
 
-json::List inversion_rows(Micros now, const SlotTable& slot_table) {
-    json::List rows;
+json::Array inversion_rows(Micros now, const SlotTable& slot_table) {
+    json::Array rows;
     for (const PriorityInversion& inversion : slot_table.priority_inversions().entries())
         rows.emplace_back(json::Object{{"ago_ms", json_ms(now - inversion.at)},
                                        {"function", json_value(inversion.service)},
@@ -76,8 +76,8 @@
     return rows;
 }
 
-json::List proxy_rows(const std::map<Session, RegisteredProxy>& proxies) {
-    json::List rows;
+json::Array proxy_rows(const std::map<Session, RegisteredProxy>& proxies) {
+    json::Array rows;
     for (const auto& [session, proxy] : proxies)
         rows.emplace_back(json::Object{{"front", json_value(proxy.name)},
                                        {"version_held", json_number(proxy.configuration.held)},
--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/admin.cpp
@@ -38,7 +38,7 @@
     HttpMessage answer;
     answer.status = 200;
     answer.fields.emplace_back("Content-Type", "application/json");
-    answer.body = json::write(explain_(part));
+    answer.body = json::serialize(explain_(part));
     service_->respond(exchange, answer);
 }
 
--- a/src/cluster/programs/explain.cpp
+++ b/src/cluster/programs/explain.cpp
@@ -31,7 +31,7 @@
     if (const auto* text = value.get<std::string>()) return *text;
     if (const auto* number = value.get<json::Number>()) return number->text;
     if (const auto* boolean = value.get<bool>()) return *boolean ? "yes" : "no";
-    if (const auto* list = value.get<json::List>()) {
+    if (const auto* list = value.get<json::Array>()) {
         std::string joined;
         for (const auto& element : *list) joined += (joined.empty() ? "" : " ") + cell_text(element);
         return joined;
@@ -45,7 +45,7 @@
 }
 
 // The columns' names and how wide each has to be.
-std::map<std::string, std::size_t> column_widths(const json::List& rows) {
+std::map<std::string, std::size_t> column_widths(const json::Array& rows) {
     std::map<std::string, std::size_t> widths;
     for (const auto& row : rows)
         if (const auto* object = row.get<json::Object>())
@@ -61,7 +61,7 @@
 }
 
 // A list of objects, a row each, with a column for each name.
-void print_table(const std::string& title, const json::List& rows) {
+void print_table(const std::string& title, const json::Array& rows) {
     std::printf("\n%s (%zu)\n", title.c_str(), rows.size());
     const std::map<std::string, std::size_t> widths = column_widths(rows);
     for (const auto& [column, width] : widths) print_cell(column, width);
@@ -78,13 +78,13 @@
         std::printf("%s\n", body.c_str());
         return 0;
     }
-    const json::Value status = json::read(body);
+    const json::Value status = json::parse(body);
     const auto* const parts = status.get<json::Object>();
     if (!parts) return 1;
     for (const auto& [name, value] : *parts)
-        if (!value.get<json::List>()) std::printf("%-14s %s\n", name.c_str(), cell_text(value).c_str());
+        if (!value.get<json::Array>()) std::printf("%-14s %s\n", name.c_str(), cell_text(value).c_str());
     for (const auto& [name, value] : *parts)
-        if (const auto* rows = value.get<json::List>()) print_table(name, *rows);
+        if (const auto* rows = value.get<json::Array>()) print_table(name, *rows);
     return 0;
 }
 
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -110,7 +110,7 @@
 void StartSignalGuard::deliver() const { sigprocmask(SIG_UNBLOCK, &held_back_, nullptr); }
 
 net::Address address_or_end(const std::string& text, const char* key) {
-    auto address = net::Address::read(text);
+    auto address = net::Address::parse(text);
     if (!address) exit_with_error(std::string("settings_invalid: ") + key + " is no ip:port: " + text);
     return *address;
 }
--- a/src/cluster/programs/proxy_explain.cpp
+++ b/src/cluster/programs/proxy_explain.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 json::Value explain_requests(const RequestStatistics& statistics, Micros now) {
-    json::List requests;
+    json::Array requests;
     for (const RoutingDecision& decision : statistics.decisions().entries())
         requests.emplace_back(json::Object{{"ago_ms", json_ms(now - decision.at)},
                                            {"request", json_value(static_cast<double>(decision.request))},
@@ -20,7 +20,7 @@
 }
 
 json::Value explain_splits(const RequestHandler& handler) {
-    json::List splits;
+    json::Array splits;
     for (const RunnerShare& share : handler.shares())
         splits.emplace_back(json::Object{
             {"service", json_value(share.service)},
@@ -33,7 +33,7 @@
 }
 
 json::Value explain_losses(const RequestStatistics& statistics) {
-    json::List losses;
+    json::Array losses;
     for (std::size_t cause = 0; cause < ValueLoss::kCauses; ++cause)
         for (std::size_t outcome = 0; outcome < ValueLoss::kOutcomes; ++outcome) {
             const auto of_cause = static_cast<ValueLoss::Cause>(cause);
--- a/src/cluster/proxy_server/coordinator_client.cpp
+++ b/src/cluster/proxy_server/coordinator_client.cpp
@@ -51,7 +51,7 @@
     const std::optional<std::string> member = addresses_.take_next();
     if (!member) return;
     connect_began_at_ = now;
-    const auto address = net::Address::read(settings_.internal_address_of(*member));
+    const auto address = net::Address::parse(settings_.internal_address_of(*member));
     if (!address) return;
     MessageConnection::Events events;
     events.on_connected = [this] { connection_->send(events_.make_registration()); };
--- a/src/cluster/proxy_server/forwarding.cpp
+++ b/src/cluster/proxy_server/forwarding.cpp
@@ -12,7 +12,8 @@
 
 // These are stated anew for each attempt.
 bool is_set_by_proxy(std::string_view field) {
-    return http::same_word(field, kDeadlineHeader) || http::same_word(field, kExpectedRunnerHeader);
+    return http::equals_ignoring_case(field, kDeadlineHeader) ||
+           http::equals_ignoring_case(field, kExpectedRunnerHeader);
 }
 
 }  // namespace
--- a/src/cluster/transport/http_client.cpp
+++ b/src/cluster/transport/http_client.cpp
@@ -32,7 +32,7 @@
     UpstreamConnection(HttpClient& client, std::string address, const net::Address& resolved)
         : client_(client),
           address_(std::move(address)),
-          reader_(http::Kind::answer, client_.loop_.blocks()),
+          reader_(http::MessageKind::response, client_.loop_.block_pool()),
           connection_(client_.loop_, *this, resolved, client_.options_.connect_timeout) {}
 
     /// Sends the request, now or once the connection is established. REQUIRES: no call is in progress here.
@@ -41,7 +41,7 @@
         const std::string& id_field = client_.options_.id_field;
         request_id_ = id_field.empty() ? std::string() : std::string(request.field(id_field));
         has_received_ = false;
-        reader_.answers_head(request.method == "HEAD");
+        reader_.set_response_to_head(request.method == "HEAD");
         request_body_bytes_ = request.body.size();
         request_bytes_ = serialize(request);
         if (is_established_) send();
@@ -49,7 +49,7 @@
     void set_preconnect() { is_preconnect_ = true; }
 
     bool is_usable(Micros now) const {
-        return is_established_ && !is_closing_ && now < expires_at_ && !connection_.stale();
+        return is_established_ && !is_closing_ && now < expires_at_ && !connection_.is_stale();
     }
     bool is_expired(Micros now) const { return now >= expires_at_; }
     const std::string& address() const { return address_; }
@@ -61,7 +61,7 @@
   private:
     // net::Connection::Owner
 
-    void connected() override {
+    void on_connected() override {
         is_established_ = true;
         expires_at_ = net::Loop::now() + client_.options_.idle_timeout;
         if (call_) return send();
@@ -69,25 +69,26 @@
         if (std::exchange(is_preconnect_, false)) client_.events_.on_preconnected(address_);
     }
 
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (!call_) return close();  // they belong to no request
         has_received_ = true;
         while (call_) {
             switch (reader_.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     if (bytes.empty()) return;
                     continue;
-                case http::Found::head:
+                case http::ReadResult::head:
                     response_ = make_http_message(reader_.head());
                     continue;
-                case http::Found::body:
-                    if (response_.body.size() + reader_.piece().size() > client_.options_.max_response_bytes)
+                case http::ReadResult::body:
+                    if (response_.body.size() + reader_.body_piece().size() >
+                        client_.options_.max_response_bytes)
                         return abort_call();
-                    response_.body.append(reader_.piece());
+                    response_.body.append(reader_.body_piece());
                     continue;
-                case http::Found::fault:
+                case http::ReadResult::error:
                     return abort_call();
-                case http::Found::end:
+                case http::ReadResult::end:
                     break;
             }
             reader_.restart();
@@ -100,14 +101,14 @@
         }
     }
 
-    void ended(net::Ending ending) override {
+    void on_closed(net::CloseReason ending) override {
         if (!call_) {
             if (is_preconnect_) client_.events_.on_preconnect_failed(address_);
             return release();
         }
         if (!is_established_) return fail_call(CallResult::connect_failed);
         // A body that only the end of the connection delimits may have been truncated.
-        if (ending == net::Ending::ended_early && reader_.ends_by_close())
+        if (ending == net::CloseReason::ended_early && reader_.is_complete_at_close())
             return fail_call(CallResult::malformed_response);
         fail_call(is_head_truncated() && !has_received_ ? CallResult::not_sent : CallResult::connection_lost);
     }
@@ -134,7 +135,7 @@
 
     // Whether the kernel never accepted the whole head of the request. A server may execute a request once
     // it has the head: a truncated body proves nothing.
-    bool is_head_truncated() const { return connection_.unsent_at_end() > request_body_bytes_; }
+    bool is_head_truncated() const { return connection_.unsent_bytes_at_close() > request_body_bytes_; }
 
     void complete_call(bool has_surplus_bytes) {
         const Micros idle_timeout = idle_timeout_after(response_, client_.options_.idle_timeout);
@@ -142,7 +143,7 @@
         // Bytes behind a complete response, or another request's response before it: the two sides do not
         // agree on whose turn it is. If the response came before the request was sent completely, the rest
         // of it would precede the next request.
-        is_closing_ = has_surplus_bytes || discarded_responses_ > 0 || connection_.unsent() ||
+        is_closing_ = has_surplus_bytes || discarded_responses_ > 0 || connection_.has_unsent_bytes() ||
                       !response_.keeps_alive || idle_timeout == 0;
         const bool is_first = completed_calls_++ == 0 && discarded_responses_ == 0;
         const CallId call = *std::exchange(call_, std::nullopt);
@@ -246,7 +247,7 @@
                       bool on_new_connection) {
     UpstreamConnection* connection = on_new_connection ? nullptr : take_idle(address);
     if (!connection) {
-        const auto resolved = net::Address::read(address);
+        const auto resolved = net::Address::parse(address);
         if (!resolved) return fail_later(id, CallResult::connect_failed);
         connection = &open_connection(address, *resolved);
     }
@@ -279,7 +280,7 @@
 }
 
 void HttpClient::preconnect(const std::string& address) {
-    const auto resolved = net::Address::read(address);
+    const auto resolved = net::Address::parse(address);
     if (resolved) open_connection(address, *resolved).set_preconnect();
 }
 
--- a/src/cluster/transport/http_message.cpp
+++ b/src/cluster/transport/http_message.cpp
@@ -14,7 +14,7 @@
 
 std::string_view HttpMessage::field(std::string_view name) const {
     for (const auto& [key, value] : fields)
-        if (http::same_word(key, name)) return value;
+        if (http::equals_ignoring_case(key, name)) return value;
     return {};
 }
 
@@ -23,7 +23,7 @@
     message.method = std::string(head.method);
     message.target = std::string(head.target);
     message.status = head.status;
-    message.keeps_alive = head.keeps_alive;
+    message.keeps_alive = head.is_keep_alive;
     message.fields.reserve(head.fields.size());
     for (const http::Field& field : head.fields) message.fields.emplace_back(field.name, field.value);
     return message;
@@ -32,7 +32,7 @@
 bool is_hop_by_hop(std::string_view field_name) {
     for (const std::string_view name : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length",
                                         "TE", "Trailer", "Upgrade", "Proxy-Connection", "Expect"})
-        if (http::same_word(field_name, name)) return true;
+        if (http::equals_ignoring_case(field_name, name)) return true;
     return false;
 }
 
--- a/src/cluster/transport/http_server.cpp
+++ b/src/cluster/transport/http_server.cpp
@@ -40,7 +40,7 @@
   public:
     DownstreamConnection(HttpServer& server, evutil_socket_t socket)
         : server_(server),
-          reader_(http::Kind::request, server_.loop_.blocks()),
+          reader_(http::MessageKind::request, server_.loop_.block_pool()),
           last_activity_(net::Loop::now()),
           connection_(server_.loop_, *this, socket) {}
 
@@ -56,9 +56,11 @@
     }
 
     /// Nothing is pending, and no part of a request has been read.
-    bool is_idle() const { return !exchange_ && !is_reading_body_ && pipelined_.empty() && !reader_.begun(); }
+    bool is_idle() const {
+        return !exchange_ && !is_reading_body_ && pipelined_.empty() && !reader_.has_started();
+    }
     bool is_finishing() const { return is_finishing_; }
-    bool is_busy() const { return connection_.unsent() || !(is_finishing_ || is_idle()); }
+    bool is_busy() const { return connection_.has_unsent_bytes() || !(is_finishing_ || is_idle()); }
 
     bool is_expired(Micros now) const {
         if (exchange_ || is_finishing_) return false;
@@ -73,29 +75,29 @@
 
     /// Closes without reading on; a response that is still being written is written first. REQUIRES: idle.
     void close_idle() {
-        if (connection_.unsent()) return finish();
+        if (connection_.has_unsent_bytes()) return finish();
         close();
     }
 
   private:
     // net::Connection::Owner
 
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (is_finishing_) return;
-        if (!exchange_ && !connection_.unsent()) return read(bytes);
+        if (!exchange_ && !connection_.has_unsent_bytes()) return read(bytes);
         if (pipelined_.size() + bytes.size() > kMaxPipelinedBytes) return close();
         pipelined_.append(bytes);
     }
 
     // Pipelined requests are read once the response before them has been written: however many there are,
     // on_request is not nested, and no more than one response is in memory.
-    void all_written() override {
+    void on_all_written() override {
         if (exchange_ || is_finishing_ || pipelined_.empty()) return;
         const std::string bytes = std::exchange(pipelined_, {});
         read(bytes);
     }
 
-    void ended(net::Ending) override {
+    void on_closed(net::CloseReason) override {
         HttpServer& server = server_;
         const std::optional<ExchangeId> exchange = std::exchange(exchange_, std::nullopt);
         is_finishing_ = true;
@@ -109,25 +111,26 @@
 
     void read(std::string_view bytes) {
         for (;;) {
-            if (!is_reading_body_ && !reader_.begun()) last_activity_ = net::Loop::now();
+            if (!is_reading_body_ && !reader_.has_started()) last_activity_ = net::Loop::now();
             switch (reader_.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     if (bytes.empty()) return;
                     continue;
-                case http::Found::head:
+                case http::ReadResult::head:
                     request_ = make_http_message(reader_.head());
                     is_reading_body_ = true;
-                    if (reader_.length() > server_.limits_.max_body_bytes) return reject(kContentTooLarge);
+                    if (reader_.body_length() > server_.limits_.max_body_bytes)
+                        return reject(kContentTooLarge);
                     continue;
-                case http::Found::body:
-                    if (request_.body.size() + reader_.piece().size() > server_.limits_.max_body_bytes)
+                case http::ReadResult::body:
+                    if (request_.body.size() + reader_.body_piece().size() > server_.limits_.max_body_bytes)
                         return reject(kContentTooLarge);
-                    request_.body.append(reader_.piece());
+                    request_.body.append(reader_.body_piece());
                     continue;
-                case http::Found::end:
+                case http::ReadResult::end:
                     return begin_exchange(bytes);
-                case http::Found::fault:
-                    return on_fault(reader_.fault());
+                case http::ReadResult::error:
+                    return on_fault(reader_.error());
             }
         }
     }
@@ -145,9 +148,9 @@
         server_.events_.on_request(exchange, std::move(request_));
     }
 
-    void on_fault(http::Fault fault) {
-        if (fault == http::Fault::out_of_blocks) return close();
-        reject(fault == http::Fault::too_large ? kHeaderFieldsTooLarge : kBadRequest);
+    void on_fault(http::ReadError fault) {
+        if (fault == http::ReadError::out_of_blocks) return close();
+        reject(fault == http::ReadError::too_large ? kHeaderFieldsTooLarge : kBadRequest);
     }
 
     void reject(int status) {
@@ -166,7 +169,7 @@
 
     void close() {
         connection_.close();
-        ended(net::Ending::closed);
+        on_closed(net::CloseReason::closed);
     }
 
     HttpServer& server_;
--- a/src/cluster/transport/message_connection.cpp
+++ b/src/cluster/transport/message_connection.cpp
@@ -45,13 +45,13 @@
     events_.on_disconnected();
 }
 
-void MessageConnection::connected() {
+void MessageConnection::on_connected() {
     is_open_ = true;
     last_received_at_ = net::Loop::now();
     events_.on_connected();
 }
 
-void MessageConnection::bytes(std::string_view bytes) {
+void MessageConnection::on_bytes(std::string_view bytes) {
     last_received_at_ = net::Loop::now();
     frames_.add(bytes);
     bool more = true;
@@ -81,7 +81,7 @@
     return true;
 }
 
-void MessageConnection::ended(net::Ending) {
+void MessageConnection::on_closed(net::CloseReason) {
     if (is_closed_) return;
     is_closed_ = true;
     is_open_ = false;
--- a/src/cluster/transport/message_connection.hpp
+++ b/src/cluster/transport/message_connection.hpp
@@ -52,9 +52,9 @@
     static std::uint64_t malformed_connections();
 
   private:
-    void connected() override;
-    void bytes(std::string_view bytes) override;
-    void ended(net::Ending) override;
+    void on_connected() override;
+    void on_bytes(std::string_view bytes) override;
+    void on_closed(net::CloseReason) override;
     leaf::result<bool> receive_next();
     void disconnect();
 
--- a/src/control/caller.cpp
+++ b/src/control/caller.cpp
@@ -66,7 +66,7 @@
 
 json::Value Caller::ask(json::Object request) {
     request["v"] = json::Value(json::Number{std::to_string(kVersion)});
-    const std::string text = json::write(json::Value(std::move(request))) + "\n";
+    const std::string text = json::serialize(json::Value(std::move(request))) + "\n";
     for (std::size_t done = 0; done < text.size();) {
         const ssize_t n = send(socket_, text.data() + done, text.size() - done, MSG_NOSIGNAL);
         if (n <= 0) break;  // its last word may still be there to be read
@@ -74,17 +74,17 @@
     }
     const auto said = line(kAnswerWithin);
     if (!said) throw NobodyThere("the dispatcher does not answer");
-    const json::Value answer = json::read(*said);
+    const json::Value answer = json::parse(*said);
     const json::Value* const ok = answer.find("ok");
     if (ok && ok->get<bool>() && *ok->get<bool>()) return answer;
-    const std::string* const why = answer.text("why");
+    const std::string* const why = answer.find_string("why");
     throw Refused(why ? *why : "refused");
 }
 
 std::optional<json::Value> Caller::next(int milliseconds) {
     const auto said = line(milliseconds);
     if (!said) return std::nullopt;
-    return json::read(*said);
+    return json::parse(*said);
 }
 
 }  // namespace gannethold::control
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -48,9 +48,9 @@
     for (;;) {
         const json::Value status = caller.ask({{"do", json::Value(std::string("status"))}});
         const json::Value* const drain = status.find("drain");
-        const std::string* const phase = drain ? drain->text("phase") : nullptr;
+        const std::string* const phase = drain ? drain->find_string("phase") : nullptr;
         if (!phase) throw NobodyThere("the dispatcher says nothing of its drain");
-        const double left = drain->number("tasks_left").value_or(0);
+        const double left = drain->find_number("tasks_left").value_or(0);
         most = std::max(most, left);
         const bool over = *phase == "drained" || *phase == "serving";
         if (terminal) {
@@ -63,7 +63,7 @@
         if (over || interrupted) {
             if (terminal) std::cout << '\n';
             if (json)
-                std::cout << json::write(*drain) << '\n';
+                std::cout << json::serialize(*drain) << '\n';
             else if (!terminal)
                 std::cout << drain_line(*drain) << '\n';
             if (interrupted && !over)
@@ -79,16 +79,17 @@
     const json::Value answer = caller.ask(request_of(e));
     const json::Value* const missed = answer.find("missed");
     const bool all = missed && missed->get<bool>() && *missed->get<bool>();
-    const double some = answer.number("missed").value_or(0);
+    const double some = answer.find_number("missed").value_or(0);
     if (e.json)
-        std::cout << json::write(answer) << '\n' << std::flush;
+        std::cout << json::serialize(answer) << '\n' << std::flush;
     else if (all)
         std::cout << "(another dispatcher's sequence: what was before is not known here)\n" << std::flush;
     else if (some > 0)
         std::cout << "(" << static_cast<long long>(some) << " changes were missed)\n" << std::flush;
     while (!interrupted) {
         const auto change = caller.next(500);
-        if (change) std::cout << (e.json ? json::write(*change) : change_line(*change)) << '\n' << std::flush;
+        if (change)
+            std::cout << (e.json ? json::serialize(*change) : change_line(*change)) << '\n' << std::flush;
     }
     return kDone;
 }
@@ -127,7 +128,7 @@
         }
         const std::size_t width = terminal_width();
         if (e.json)
-            std::cout << json::write(answer) << '\n';
+            std::cout << json::serialize(answer) << '\n';
         else if (e.command == "status")
             write_status(std::cout, answer);
         else if (e.command == "runners")
--- a/src/control/desk.cpp
+++ b/src/control/desk.cpp
@@ -42,7 +42,7 @@
     o["v"] = number(kVersion);
     o["ok"] = json::Value(false);
     o["why"] = json::Value(why);
-    return json::write(json::Value(std::move(o))) + "\n";
+    return json::serialize(json::Value(std::move(o))) + "\n";
 }
 
 std::string name_of(uid_t user) {
@@ -110,12 +110,12 @@
     void heed(const std::string& line) {
         json::Value asked;
         try {
-            asked = json::read(line);
-        } catch (const json::Malformed& e) {
+            asked = json::parse(line);
+        } catch (const json::ParseError& e) {
             return refuse_and_close(std::string("not JSON: ") + e.what());
         }
-        const std::string* const what = asked.text("do");
-        const auto version = asked.number("v");
+        const std::string* const what = asked.find_string("do");
+        const auto version = asked.find_number("v");
         if (!version || !what) return say(refusal("a request is an object with \"v\" and \"do\""));
         if (*version != kVersion)
             return say(refusal("version " + std::to_string(static_cast<long>(*version)) +
@@ -125,14 +125,14 @@
             json::Object o = desk_.office_.answer(*what, asked, by_);
             o["v"] = number(kVersion);
             o["ok"] = json::Value(true);
-            say(json::write(json::Value(std::move(o))) + "\n");
+            say(json::serialize(json::Value(std::move(o))) + "\n");
         } catch (const Refused& e) {
             say(refusal(e.what()));
         }
         if (!over) wait();
     }
     void follow(const json::Value& asked) {
-        const auto after = asked.number("after");
+        const auto after = asked.find_number("after");
         const std::uint64_t from =
             after && *after >= 0 ? static_cast<std::uint64_t>(*after) : desk_.published_;
         const std::uint64_t first =
@@ -144,7 +144,7 @@
         // A sequence that is ahead of ours belongs to a process before this one: all of it was missed.
         const bool other = from > desk_.published_;
         o["missed"] = other ? json::Value(true) : number(from + 1 < first ? first - from - 1 : 0);
-        say(json::write(json::Value(std::move(o))) + "\n");
+        say(json::serialize(json::Value(std::move(o))) + "\n");
         follows = true;
         wait();
         for (const auto& [sequence, line] : desk_.changes_)
@@ -223,7 +223,7 @@
     };
     if (!known || (who.uid != geteuid() && who.uid != 0)) {
         log_.warning(net::Loop::now(), "control: turned away ",
-                     log::as("user", known ? name_of(who.uid) : "somebody"));
+                     log::field("user", known ? name_of(who.uid) : "somebody"));
         return turn_away("only the user that the dispatcher runs as, or root, may ask");
     }
     const auto live = static_cast<std::size_t>(
@@ -234,7 +234,7 @@
 
 void Desk::publish(json::Object change) {
     change["seq"] = number(++published_);
-    changes_.emplace_back(published_, json::write(json::Value(std::move(change))) + "\n");
+    changes_.emplace_back(published_, json::serialize(json::Value(std::move(change))) + "\n");
     if (changes_.size() > furniture_.remembered) changes_.pop_front();
     for (auto& s : sessions_)
         if (s->follows) s->say(changes_.back().second);
--- a/src/control/tables.cpp
+++ b/src/control/tables.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 std::string text(const json::Value& v, const char* name) {
-    const std::string* const t = v.text(name);
+    const std::string* const t = v.find_string(name);
     if (t) return *t;
     const json::Value* const found = v.find(name);
     const json::Number* const n = found ? found->get<json::Number>() : nullptr;
     return n ? n->text : "";
 }
-double number(const json::Value& v, const char* name) { return v.number(name).value_or(0); }
+double number(const json::Value& v, const char* name) { return v.find_number(name).value_or(0); }
 std::string fixed(double x, int places) {
     char out[32];
     std::snprintf(out, sizeof out, "%.*f", places, x);
     return out;
 }
-const json::List& list(const json::Value& v, const char* name) {
-    static const json::List none;
+const json::Array& list(const json::Value& v, const char* name) {
+    static const json::Array none;
     const json::Value* const found = v.find(name);
-    const json::List* const all = found ? found->get<json::List>() : nullptr;
+    const json::Array* const all = found ? found->get<json::Array>() : nullptr;
     return all ? *all : none;
 }
 std::string time_of(const json::Value& v, const char* name) {
-    return v.number(name) ? span(number(v, name)) : "";
+    return v.find_number(name) ? span(number(v, name)) : "";
 }
 
 }  // namespace
@@ -76,11 +76,11 @@
 
 std::string drain_line(const json::Value& drain) {
     std::string line = text(drain, "phase");
-    if (drain.number("deadline_in_ms")) {
+    if (drain.find_number("deadline_in_ms")) {
         const double left = number(drain, "deadline_in_ms");
         line += left > 0 ? ", deadline in " + span(left) : ", deadline was " + span(-left) + " ago";
     }
-    if (drain.number("ticket")) line += ", ticket " + text(drain, "ticket") + " by " + text(drain, "by");
+    if (drain.find_number("ticket")) line += ", ticket " + text(drain, "ticket") + " by " + text(drain, "by");
     line += ", " + text(drain, "tasks_left") + " tasks left";
     const json::Value* const by = drain.find("left_by_workload");
     const json::Object* const of = by ? by->get<json::Object>() : nullptr;
@@ -118,12 +118,12 @@
     Table table({"runner", "state", "share", "out", "free", "slots", "report", "why"});
     for (const json::Value& r : list(a, "runners")) {
         std::string why;
-        if (r.text("held_by"))
+        if (r.find_string("held_by"))
             why = "held by " + text(r, "held_by") + " for " + time_of(r, "held_for_ms") +
-                  (r.text("held_why") ? ": " + text(r, "held_why") : "");
-        if (r.number("aside_for_ms"))
+                  (r.find_string("held_why") ? ": " + text(r, "held_why") : "");
+        if (r.find_number("aside_for_ms"))
             why += (why.empty() ? "" : "; ") + std::string("aside for ") + time_of(r, "aside_for_ms");
-        if (number(r, "warmth") < 1 && r.number("warmth"))
+        if (number(r, "warmth") < 1 && r.find_number("warmth"))
             why += (why.empty() ? "" : "; ") + std::string("warm to ") + fixed(100 * number(r, "warmth"), 0) +
                    "%";
         std::string last;
@@ -131,9 +131,10 @@
             if (const auto* t = f.get<std::string>()) last += (last.empty() ? "last: " : ", ") + *t;
         if (!last.empty()) why += (why.empty() ? "" : "; ") + last;
         table.add({text(r, "runner"), text(r, "state"),
-                   r.number("share") ? fixed(100 * number(r, "share"), 1) + "%" : "", text(r, "out"),
-                   r.number("free") ? fixed(number(r, "free"), 0) : "",
-                   r.number("slots") ? fixed(number(r, "slots"), 0) : "", time_of(r, "report_age_ms"), why});
+                   r.find_number("share") ? fixed(100 * number(r, "share"), 1) + "%" : "", text(r, "out"),
+                   r.find_number("free") ? fixed(number(r, "free"), 0) : "",
+                   r.find_number("slots") ? fixed(number(r, "slots"), 0) : "", time_of(r, "report_age_ms"),
+                   why});
     }
     table.write(out, width);
 }
--- a/src/dispatcher/calling.cpp
+++ b/src/dispatcher/calling.cpp
@@ -34,18 +34,19 @@
         case admin::AdminRequest::take_out_of_service: {
             // Whoever ordered it before, it is being emptied: that is all that was asked for.
             if (drain_.phase() != drain::Phase::serving)
-                return {200, "out of service, " + drain_.by() + "\n"};
-            const drain::Ruling ruling =
-                drain_.order(now, now + drain_.manners().longest, 0, kCaller, &drain_.manners().brisk);
-            if (!ruling.granted) return {409, ruling.why + "\n"};
+                return {200, "out of service, " + drain_.requested_by() + "\n"};
+            const drain::DrainResult ruling =
+                drain_.request(now, now + drain_.settings().max_deadline_distance, 0, kCaller,
+                               &drain_.settings().short_notice);
+            if (!ruling.accepted) return {409, ruling.reason + "\n"};
             log_.info(now, "admin: out of service");
             look_at_drain();
             return {200, "out of service\n"};
         }
         case admin::AdminRequest::return_to_service: {
             if (drain_.phase() == drain::Phase::serving) return {200, "in service\n"};
-            const drain::Ruling ruling = drain_.undo(now, 0, kCaller);
-            if (!ruling.granted) return {409, ruling.why + "\n"};
+            const drain::DrainResult ruling = drain_.cancel(now, 0, kCaller);
+            if (!ruling.accepted) return {409, ruling.reason + "\n"};
             log_.info(now, "admin: in service again");
             look_at_drain();
             return {200, "in service\n"};
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -99,7 +99,7 @@
             [this](PeerId from, std::string_view words) {
                 note(PeerSaid{from, std::string(words)});
             }),
-      server_(loop, net::Door(posting_.listen, posting_.inherited), directory_, *this,
+      server_(loop, net::ListenAddress(posting_.listen, posting_.inherited), directory_, *this,
               room(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
       wake_(loop, [this] { wake(); }),
       farewell_(loop, [this] { look_at_drain(); }),
@@ -120,16 +120,16 @@
         admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
     heard(posting_.known, RosterScope::remembered);
-    all_blocks_ = loop.blocks().most();
+    all_blocks_ = loop.block_pool().max_blocks();
     if (!posting_.heirloom.empty())
         passage_ = std::make_unique<handover::Passage>(loop, posting_.heirloom, posting_.name, *this, log);
     if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
     follows_by_itself_ = Stated(posting_.orders).word("roster.how", "pushed") != "on_request";
     if (follows_by_itself_) follower_.follow(book_.since());
-    log_.info(net::Loop::now(), "serving as ", log::as("name", posting_.name), " on ",
-              log::as("listen", posting_.listen.text), ", ",
-              log::as("runners", posting_.known.entries.size()), " runners known");
+    log_.info(net::Loop::now(), "serving as ", log::field("name", posting_.name), " on ",
+              log::field("listen", posting_.listen.text), ", ",
+              log::field("runners", posting_.known.entries.size()), " runners known");
 }
 
 void Dispatcher::run() {
@@ -138,7 +138,7 @@
 }
 
 void Dispatcher::leave() {
-    if (drain_.leaves()) return;
+    if (drain_.is_shutting_down()) return;
     const Micros left_at = net::Loop::now();
     Micros longest = 0;
     for (const auto& [name, id] : directory_.workloads) {
@@ -149,15 +149,16 @@
     last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
     links_.stop_all_by(last_minute_);
     if (pullers_) pullers_->exchange().stop_all_by(last_minute_);
-    log_.info(left_at, "leaving, ", log::as("tasks", tasks_.size()), " tasks under way");
+    log_.info(left_at, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
     if (posting_.inherited) {
         // The socket outlives this process, and who else has it accepts. What waits in its queue is theirs to
         // take; so is whoever has a connection here, told so by the end of their answer or, idle, of the
         // connection.
         server_.stop_accepting();
-        drain_.leave(left_at, last_minute_, left_at, kHandingOver);
+        drain_.shut_down(left_at, last_minute_, left_at, kHandingOver);
     } else {
-        drain_.leave(left_at, last_minute_, left_at + std::max(kStillComing, (last_minute_ - left_at) / 2));
+        drain_.shut_down(left_at, last_minute_,
+                         left_at + std::max(kStillComing, (last_minute_ - left_at) / 2));
     }
     look_at_drain();
 }
@@ -173,7 +174,7 @@
         fresh = Posting::read_file(path);
         fresh.must_state_all_of(posting_);
         for (const std::string& name : posting_.differences_for_restart(fresh))
-            log_.warning(now, "reload: ", log::as("setting", name), " differs, and needs a restart");
+            log_.warning(now, "reload: ", log::field("setting", name), " differs, and needs a restart");
         fresh.keep_until_restart(posting_);
         if (shadow_) watched = Posting::read_file(watched_);
         if (fresh.orders != posting_.orders)
@@ -190,8 +191,8 @@
         log_.info(now, "reload: the settings stay");
     if (shadow_) shadow_->skip(), shadow_->restate(over_ours(watched));
     if (fresh.discovery.text == posting_.discovery.text) return log_.info(now, "reload: discovery stays");
-    log_.info(now, "reload: discovery moves from ", log::as("from", posting_.discovery.text), " to ",
-              log::as("to", fresh.discovery.text));
+    log_.info(now, "reload: discovery moves from ", log::field("from", posting_.discovery.text), " to ",
+              log::field("to", fresh.discovery.text));
     posting_.discovery = fresh.discovery;
     follower_.move(posting_.discovery);
     book_.count_anew();
@@ -227,52 +228,54 @@
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
         return all.empty() ? std::string("none") : all;
     };
-    log_.info(now, "reload: new settings; workloads added: ", log::as("added", list(change.added)),
-              "; dropped: ", log::as("dropped", list(change.dropped)),
-              "; changed: ", log::as("changed", list(change.changed)));
+    log_.info(now, "reload: new settings; workloads added: ", log::field("added", list(change.added)),
+              "; dropped: ", log::field("dropped", list(change.dropped)),
+              "; changed: ", log::field("changed", list(change.changed)));
 }
 
 // Carries out what the drain wants now: of the front, of the connections, and of whoever still waits.
 void Dispatcher::look_at_drain() {
     const Micros now = net::Loop::now();
-    const drain::Wanted wanted =
-        drain_.look(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->quiet())});
+    const drain::DrainDirective wanted =
+        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->quiet())});
     if (pullers_) {
         // A producer keeps its job, and needs no front to be told: from the order on, and at a restart once
         // others are told.
-        pullers_->exchange().turn_away(drain_.leaves() ? wanted.last_answers
-                                                       : drain_.phase() != drain::Phase::serving);
-        pullers_->exchange().hand_out(drain_.phase() == drain::Phase::serving ||
-                                      (drain_.phase() == drain::Phase::draining && !wanted.last_call));
-        if (wanted.last_answers && drain_.leaves()) pullers_->leave();
+        pullers_->exchange().turn_away(drain_.is_shutting_down() ? wanted.closes_after_response
+                                                                 : drain_.phase() != drain::Phase::serving);
+        pullers_->exchange().hand_out(
+            drain_.phase() == drain::Phase::serving ||
+            (drain_.phase() == drain::Phase::draining && !wanted.answers_waiting_tasks));
+        if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->leave();
     }
-    healthy_ = wanted.healthy;
-    if (!server_.leaving()) server_.bear({wanted.healthy, wanted.turns_away, wanted.last_answers});
-    if (wanted.last_answers && drain_.leaves() && wanted.idle_to_keep <= 0) {
+    healthy_ = wanted.is_healthy;
+    if (!server_.leaving())
+        server_.bear({wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
+    if (wanted.closes_after_response && drain_.is_shutting_down() && wanted.idle_fraction_to_keep <= 0) {
         if (!server_.leaving()) server_.leave();
-    } else if (wanted.last_answers) {
+    } else if (wanted.closes_after_response) {
         if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle();
         server_.keep_idle(
-            static_cast<std::size_t>(static_cast<double>(idle_at_closing_) * wanted.idle_to_keep));
+            static_cast<std::size_t>(static_cast<double>(idle_at_closing_) * wanted.idle_fraction_to_keep));
     } else {
         closing_ = false;
     }
     // Against a task that waits to the end: it cannot any more, and silence would lose it. Whether it may
     // have run is the module's to know, so each answer is the honest one, and what is still out is withdrawn.
-    if (wanted.last_call) note(LastCall{});
+    if (wanted.answers_waiting_tasks) note(LastCall{});
     if (drain_.phase() != told_phase_) {
         told_phase_ = drain_.phase();
-        log_.info(now, "drain: ", log::as("phase", drain::name_of(told_phase_)), ", ",
-                  log::as("tasks", unanswered()), " tasks wait");
+        log_.info(now, "drain: ", log::field("phase", drain::name_of(told_phase_)), ", ",
+                  log::field("tasks", unanswered()), " tasks wait");
         publish("drain", tell_drain());
     }
-    if (wanted.exits) {
+    if (wanted.should_exit) {
         if (snapshot_scheduler_) snapshot_scheduler_->write_final();
-        log_.info(now, "left after ", log::as("ms", (now - drain_.since()) / 1000), " ms");
+        log_.info(now, "left after ", log::field("ms", (now - drain_.changed_at()) / 1000), " ms");
         return loop_.stop();
     }
-    if (wanted.wake_at > 0)
-        farewell_.set(wanted.wake_at);
+    if (wanted.next_evaluation_at > 0)
+        farewell_.set(wanted.next_evaluation_at);
     else
         farewell_.cancel();
 }
@@ -299,7 +302,8 @@
     return true;
 }
 
-TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::Blocks&& body, Micros came_at) {
+TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::BlockBuffer&& body,
+                        Micros came_at) {
     const TaskId id{++tasks_taken_};
     if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
         return id;
@@ -309,7 +313,7 @@
         head.field("Host", "runner").field("X-Request-ID", request.id);
         if (!request.fingerprint.empty()) head.field("Idempotency-Key", request.fingerprint);
         if (!request.content_type.empty()) head.field("Content-Type", request.content_type);
-        head.length(body.size());
+        head.content_length(body.size());
         lines = head.head();
         lines.resize(lines.size() - 2);  // the empty line comes after the time it has
     }
@@ -356,14 +360,14 @@
     const auto task = tasks_.find(ended.task);
     if (task == tasks_.end()) return;
     --task->second.out;
-    if (ended.ending == net::Ending::out_of_sockets)
+    if (ended.ending == net::CloseReason::out_of_sockets)
         log_.warning(net::Loop::now(), "runners: no descriptor or buffer left for an assignment");
-    else if (ended.ending != net::Ending::done)
-        log_.debug(net::Loop::now(), "runners: assignment of ", log::as("request", task->second.request_id),
-                   " at ", log::as("runner", book_.name_of(ended.runner)),
-                   " ended: ", net::name_of(ended.ending), ", after ", log::as("ms", ended.elapsed / 1000),
-                   " ms");
-    if (ended.ending != net::Ending::done) keep_failure(task->second, ended);
+    else if (ended.ending != net::CloseReason::done)
+        log_.debug(net::Loop::now(), "runners: assignment of ",
+                   log::field("request", task->second.request_id), " at ",
+                   log::field("runner", book_.name_of(ended.runner)), " ended: ", net::name_of(ended.ending),
+                   ", after ", log::field("ms", ended.elapsed / 1000), " ms");
+    if (ended.ending != net::CloseReason::done) keep_failure(task->second, ended);
     AssignmentEnded e;
     e.task = ended.task;
     e.elapsed = ended.elapsed;
@@ -384,7 +388,7 @@
     note(Progress{task, share, runner, number, stage});
 }
 
-void Dispatcher::probe_ended(RunnerId runner, net::Ending ending, Micros elapsed, Report&& report) {
+void Dispatcher::probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
     note(ProbeEnded{runner, outcome_of(ending), elapsed, std::move(report)});
 }
 
@@ -455,9 +459,9 @@
     ++task->second.out;
     Micros stop_at = wanted.stop_at > 0 ? std::min(wanted.stop_at, task->second.expiry) : task->second.expiry;
     // At a restart nothing may still be out when the process is killed, whatever time its task has left.
-    if (drain_.leaves()) stop_at = std::min(stop_at, last_minute_);
+    if (drain_.is_shutting_down()) stop_at = std::min(stop_at, last_minute_);
     if (!task->second.asker || stop_at <= net::Loop::now()) {
-        errand_ended({wanted.task, number, wanted.runner, net::Ending::stopped_unsent, 0, {}, {}});
+        errand_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
         return;
     }
     runners::Port& port = port_of(wanted.runner);
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -38,7 +38,7 @@
 // What operators add beyond the platform's configuration.
 struct Extras {
     std::optional<control::Furniture> desk;  // none: no control socket
-    drain::Manners manners;
+    drain::DrainSettings manners;
     snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
     retry::DeduplicationSettings
         deduplication;            // disabled: a retry of what may have run is a task like any other
@@ -80,7 +80,7 @@
     struct Task {
         fronts::Asker* asker = nullptr;  // none once answered, or whoever asked has left
         std::string request_id, head;
-        net::Blocks body;
+        net::BlockBuffer body;
         Micros expiry = 0;
         WorkloadId workload{};
         Micros taken_at = 0;
@@ -99,12 +99,13 @@
     struct Failure {
         Micros at = 0;
         std::string request, runner, workload;
-        net::Ending ending{};
+        net::CloseReason ending{};
         Micros elapsed = 0;
     };
     using Tasks = std::unordered_map<TaskId, Task>;
 
-    TaskId take(fronts::Asker& asker, fronts::Handed&& handed, net::Blocks&& body, Micros came_at) override;
+    TaskId take(fronts::Asker& asker, fronts::Handed&& handed, net::BlockBuffer&& body,
+                Micros came_at) override;
     void left(TaskId task) override;
     bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
     bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
@@ -114,7 +115,7 @@
     void errand_ended(runners::ErrandEnded&& ended) override;
     void written_whole() override { counters_.on_assignment_written(); }
     void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
-    void probe_ended(RunnerId runner, net::Ending ending, Micros elapsed, Report&& report) override;
+    void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
 
     // What the front with tubes asks; in pulling.cpp.
     TaskId hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
@@ -124,7 +125,7 @@
     void worker_serves(RunnerId worker, const Serves& serves) override;
     void worker_leaves(RunnerId worker) override;
     void worker_room(RunnerId worker, double slots) override { note(RoomTold{worker, slots}); }
-    void probe_ended(RunnerId worker) override { probe_ended(worker, net::Ending::done, 0, {}); }
+    void probe_ended(RunnerId worker) override { probe_ended(worker, net::CloseReason::done, 0, {}); }
     runners::Port& port_of(RunnerId runner);
     std::size_t unanswered() const;
     json::Object tell_tubes() const;
--- a/src/dispatcher/handing_over.cpp
+++ b/src/dispatcher/handing_over.cpp
@@ -25,8 +25,8 @@
             if (list_is_own_) return;
             std::optional<roster::Listing> listing;
             try {
-                listing = roster::read_listing(json::read(word.body));
-            } catch (const json::Malformed&) {
+                listing = roster::read_listing(json::parse(word.body));
+            } catch (const json::ParseError&) {
             }
             if (!listing) return log_.warning(now, "handover: the list cannot be read");
             heard(*listing, RosterScope::remembered);
@@ -39,7 +39,7 @@
             try {
                 const std::size_t believed =
                     apply_snapshot(snapshot::decode(word.body), {}, std::exchange(troubles_, {}));
-                log_.info(now, "handover: what was learned of ", log::as("runners", believed),
+                log_.info(now, "handover: what was learned of ", log::field("runners", believed),
                           " runners goes on");
             } catch (const snapshot::FormatError& e) {
                 log_.warning(now, "handover: what was learned cannot be read: ", e.what());
@@ -54,9 +54,9 @@
 void Dispatcher::company(std::size_t others) {
     if (others == others_) return;
     others_ = others;
-    log_.info(net::Loop::now(), "handover: ", log::as("others", others),
+    log_.info(net::Loop::now(), "handover: ", log::field("others", others),
               " of this name beside this one; limits are shared");
-    loop_.blocks().bound(own_part(all_blocks_));
+    loop_.block_pool().set_max_blocks(own_part(all_blocks_));
     share_out();
 }
 
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -11,7 +11,7 @@
 namespace gannethold::dispatcher {
 namespace {
 
-using json::List;
+using json::Array;
 using json::Number;
 using json::Object;
 using json::Value;
@@ -33,18 +33,18 @@
 Value millis(Micros t) { return whole(t / 1000); }
 
 const std::string& runner_in(const Value& request) {
-    const std::string* const name = request.text("runner");
+    const std::string* const name = request.find_string("runner");
     if (!name || name->empty()) throw control::Refused("which runner? \"runner\" is missing");
     return *name;
 }
 
 std::string whose(const Value& request, const std::string& by) {
-    const std::string* const said = request.text("by");
+    const std::string* const said = request.find_string("by");
     return said && !said->empty() ? by + " (" + said->substr(0, 80) + ")" : by;
 }
 
 std::uint64_t ticket_in(const Value& request) {
-    const auto ticket = request.number("ticket");
+    const auto ticket = request.find_number("ticket");
     if (!ticket) return 0;
     if (!(*ticket >= 0 && *ticket < 1e15)) throw control::Refused("\"ticket\" is no ticket");
     return static_cast<std::uint64_t>(*ticket);
@@ -97,9 +97,9 @@
     o["tasks_left"] = whole(unanswered());
     if (const auto deadline = drain_.deadline()) {
         o["deadline_in_ms"] = millis(*deadline - now);
-        o["for_ms"] = millis(now - drain_.since());
+        o["for_ms"] = millis(now - drain_.changed_at());
     }
-    if (drain_.ticket() > 0) o["ticket"] = whole(drain_.ticket()), o["by"] = Value(drain_.by());
+    if (drain_.ticket() > 0) o["ticket"] = whole(drain_.ticket()), o["by"] = Value(drain_.requested_by());
     Object left;
     std::map<WorkloadId, std::size_t> by_workload;
     for (const auto& [id, task] : tasks_)
@@ -145,7 +145,7 @@
     const Micros now = net::Loop::now();
     std::map<std::string, Object> rows;
     const auto failures_of = [this](const std::string& name) {
-        List last;
+        Array last;
         for (auto f = failures_.rbegin(); f != failures_.rend() && last.size() < 3; ++f)
             if (f->runner == name) last.push_back(Value(std::string(net::name_of(f->ending))));
         return last;
@@ -177,7 +177,7 @@
         o["warmth"] = real(r.warmth);
         if (r.reported_at >= 0) o["report_age_ms"] = millis(now - r.reported_at);
         if (now < r.aside_until) o["aside_for_ms"] = millis(r.aside_until - now);
-        if (List last = failures_of(name); !last.empty()) o["last_failures"] = Value(std::move(last));
+        if (Array last = failures_of(name); !last.empty()) o["last_failures"] = Value(std::move(last));
         add_hold(o, name);
         rows[name] = std::move(o);
     }
@@ -188,7 +188,7 @@
         o["state"] = Value(std::string("held"));
         add_hold(o, name);
     }
-    List list;
+    Array list;
     for (auto& [name, row] : rows) list.push_back(Value(std::move(row)));
     return {{"runners", Value(std::move(list))}};
 }
@@ -210,26 +210,26 @@
         ++row.ages[static_cast<std::size_t>(std::lower_bound(kAges.begin(), kAges.end(), age) -
                                             kAges.begin())];
     }
-    List list;
+    Array list;
     for (const auto& [name, row] : rows) {
         Object o;
         o["workload"] = Value(name);
         o["waiting"] = whole(row.waiting);
         o["out"] = whole(row.out);
         o["oldest_ms"] = millis(row.oldest);
-        List ages;
+        Array ages;
         for (const std::size_t n : row.ages) ages.push_back(whole(n));
         o["ages"] = Value(std::move(ages));
         list.push_back(Value(std::move(o)));
     }
-    List limits;
+    Array limits;
     for (const Micros age : kAges) limits.push_back(millis(age));
     return {{"tasks", Value(std::move(list))}, {"age_limits_ms", Value(std::move(limits))}};
 }
 
 Object Dispatcher::tell_failures() const {
     const Micros now = net::Loop::now();
-    List list;
+    Array list;
     for (auto f = failures_.rbegin(); f != failures_.rend(); ++f) {
         Object o;
         o["ago_ms"] = millis(now - f->at);
@@ -245,23 +245,23 @@
 
 Object Dispatcher::order_drain(const Value& request, const std::string& by) {
     const Micros now = net::Loop::now();
-    const auto deadline = request.number("deadline_s");
+    const auto deadline = request.find_number("deadline_s");
     if (!deadline || !std::isfinite(*deadline))
         throw control::Refused("by when? \"deadline_s\" is missing or no number");
     const double bounded = std::clamp(*deadline, 0.0, 2 * kLongestDeadline);
-    const drain::Ruling ruling =
-        drain_.order(now, now + static_cast<Micros>(bounded * 1e6), ticket_in(request), by);
-    if (!ruling.granted) throw control::Refused(ruling.why);
-    log_.info(now, "control: drain within ", log::as("seconds", bounded), " s, ordered by ",
-              log::as("by", by));
+    const drain::DrainResult ruling =
+        drain_.request(now, now + static_cast<Micros>(bounded * 1e6), ticket_in(request), by);
+    if (!ruling.accepted) throw control::Refused(ruling.reason);
+    log_.info(now, "control: drain within ", log::field("seconds", bounded), " s, ordered by ",
+              log::field("by", by));
     look_at_drain();
     return tell_drain();
 }
 
 Object Dispatcher::undo_drain(const Value& request, const std::string& by) {
-    const drain::Ruling ruling = drain_.undo(net::Loop::now(), ticket_in(request), by);
-    if (!ruling.granted) throw control::Refused(ruling.why);
-    log_.info(net::Loop::now(), "control: drain undone by ", log::as("by", by));
+    const drain::DrainResult ruling = drain_.cancel(net::Loop::now(), ticket_in(request), by);
+    if (!ruling.accepted) throw control::Refused(ruling.reason);
+    log_.info(net::Loop::now(), "control: drain undone by ", log::field("by", by));
     look_at_drain();
     return tell_drain();
 }
@@ -288,10 +288,10 @@
                                         [&](const auto& g) { return book_.name_of(g.first) == runner; });
     if (!works_here && !book_.present(runner))
         throw control::Refused("no runner " + runner + " was ever listed");
-    const std::string* const why = request.text("why");
+    const std::string* const why = request.find_string("why");
     if (!holds_.add(runner, {net::Loop::now(), by, why ? why->substr(0, 200) : ""}))
         throw control::Refused(runner + " is held already, by " + holds_.all().at(runner).by);
-    log_.info(net::Loop::now(), "control: held ", log::as("runner", runner), " by ", log::as("by", by));
+    log_.info(net::Loop::now(), "control: held ", log::field("runner", runner), " by ", log::field("by", by));
     heard_anew(runner);
     publish("hold", {{"runner", Value(runner)}, {"by", Value(by)}});
     return {{"runner", Value(runner)}, {"held", whole(holds_.all().size())}};
@@ -300,7 +300,8 @@
 Object Dispatcher::release(const Value& request, const std::string& by) {
     const std::string& runner = runner_in(request);
     if (!holds_.remove(runner)) throw control::Refused(runner + " is not held");
-    log_.info(net::Loop::now(), "control: released ", log::as("runner", runner), " by ", log::as("by", by));
+    log_.info(net::Loop::now(), "control: released ", log::field("runner", runner), " by ",
+              log::field("by", by));
     heard_anew(runner);
     publish("release", {{"runner", Value(runner)}, {"by", Value(by)}});
     return {{"runner", Value(runner)}, {"held", whole(holds_.all().size())}};
--- a/src/dispatcher/outcomes.cpp
+++ b/src/dispatcher/outcomes.cpp
@@ -4,36 +4,36 @@
 
 // In doubt a task may have run: only what shows that no runner can have had the whole request proves
 // otherwise.
-Outcome outcome_of(net::Ending ending) {
-    using net::Ending;
+Outcome outcome_of(net::CloseReason ending) {
+    using net::CloseReason;
     switch (ending) {
-        case Ending::done:
+        case CloseReason::done:
             return Outcome::finished;
-        case Ending::failed:
-        case Ending::malformed:
+        case CloseReason::failed:
+        case CloseReason::malformed:
             return Outcome::error;
-        case Ending::handed_back:
-        case Ending::drained_unsent:
+        case CloseReason::returned:
+        case CloseReason::drained_unsent:
             return Outcome::full;
-        case Ending::refused:
-        case Ending::unreachable:
-        case Ending::connect_timed_out:
-        case Ending::broken_unsent:
+        case CloseReason::refused:
+        case CloseReason::unreachable:
+        case CloseReason::connect_timed_out:
+        case CloseReason::broken_unsent:
             return Outcome::connect_failed;
         // Ours, and no word on the runner: it was never asked.
-        case Ending::out_of_sockets:
-        case Ending::stopped_unsent:
-        case Ending::withdrawn_unsent:
+        case CloseReason::out_of_sockets:
+        case CloseReason::timed_out_unsent:
+        case CloseReason::cancelled_unsent:
             return Outcome::moot;
-        case Ending::lost:
-        case Ending::broken:
-        case Ending::ended_early:
-        case Ending::crossed:
-        case Ending::closed:
+        case CloseReason::lost:
+        case CloseReason::broken:
+        case CloseReason::ended_early:
+        case CloseReason::stale_connection:
+        case CloseReason::closed:
             return Outcome::reset;
-        case Ending::stopped:
+        case CloseReason::timed_out:
             return Outcome::timed_out;
-        case Ending::withdrawn:
+        case CloseReason::cancelled:
             return Outcome::withdrawn;
     }
     return Outcome::reset;
--- a/src/dispatcher/posting.cpp
+++ b/src/dispatcher/posting.cpp
@@ -37,7 +37,7 @@
     const std::string under = path.empty() ? "" : path + ".";
     if (const auto* object = value.get<json::Object>()) {
         for (const auto& [name, item] : *object) flatten(under + name, item, lines);
-    } else if (const auto* list = value.get<json::List>()) {
+    } else if (const auto* list = value.get<json::Array>()) {
         if (!list->empty() && list->front().get<json::Object>()) {
             lines += under + "count=" + std::to_string(list->size()) + "\n";
             for (std::size_t i = 0; i < list->size(); ++i)
@@ -56,16 +56,16 @@
 }
 
 net::Address address(const json::Value& all, const char* name) {
-    const std::string* const text = all.text(name);
+    const std::string* const text = all.find_string(name);
     if (!text) throw std::runtime_error(std::string("the configuration names no ") + name + " address");
-    const auto read = net::Address::read(*text);
+    const auto read = net::Address::parse(*text);
     if (!read) throw std::runtime_error(std::string("the ") + name + " address is none: " + *text);
     return *read;
 }
 
 std::size_t limit(const json::Value& all, const char* name, std::size_t otherwise) {
     const json::Value* const limits = all.find("limits");
-    const auto value = limits ? limits->number(name) : std::nullopt;
+    const auto value = limits ? limits->find_number(name) : std::nullopt;
     if (!value) return otherwise;
     if (!(*value >= 1 && *value < 1e9))
         throw std::runtime_error(std::string("the limit is no number: ") + name);
@@ -76,14 +76,14 @@
     peers::Neighbours n;
     if (all.find("peer_listen")) n.listen = address(all, "peer_listen");
     const json::Value* const listed = all.find("peers");
-    const json::List* const list = listed ? listed->get<json::List>() : nullptr;
-    for (const json::Value& one : list ? *list : json::List{}) {
-        const auto read = net::Address::read(scalar(one));
-        if (!read) throw std::runtime_error("a peer's address is none: " + json::write(one));
+    const json::Array* const list = listed ? listed->get<json::Array>() : nullptr;
+    for (const json::Value& one : list ? *list : json::Array{}) {
+        const auto read = net::Address::parse(scalar(one));
+        if (!read) throw std::runtime_error("a peer's address is none: " + json::serialize(one));
         n.all.push_back(*read);
     }
     if (const auto* settings = all.find("settings"))
-        n.me = static_cast<std::size_t>(std::max(0.0, settings->number("me").value_or(0)));
+        n.me = static_cast<std::size_t>(std::max(0.0, settings->find_number("me").value_or(0)));
     return n;
 }
 
@@ -193,17 +193,17 @@
 Posting Posting::read(const std::string& text) {
     json::Value all;
     try {
-        all = json::read(text);
-    } catch (const json::Malformed& e) {
+        all = json::parse(text);
+    } catch (const json::ParseError& e) {
         throw std::runtime_error(std::string("the configuration is not JSON: ") + e.what());
     }
     Posting p;
-    if (const auto* name = all.text("name")) p.name = *name;
+    if (const auto* name = all.find_string("name")) p.name = *name;
     p.listen = address(all, "listen");
     p.discovery = address(all, "discovery");
     if (all.find("admin")) p.window = address(all, "admin");
     p.neighbours = read_neighbours(all);
-    if (const auto* seed = all.text("seed")) {
+    if (const auto* seed = all.find_string("seed")) {
         const auto [end, wrong] = std::from_chars(seed->data(), seed->data() + seed->size(), p.seed, 16);
         if (wrong != std::errc() || end != seed->data() + seed->size())
             throw std::runtime_error("the seed is no hexadecimal number: " + *seed);
@@ -222,8 +222,8 @@
     flatten("", *settings, lines);
     p.orders = orders::read_lines(lines);
     if (const auto* reporting = settings->find("reporting"))
-        if (const auto* names = reporting->find("names"); names && names->get<json::List>())
-            for (const json::Value& name : *names->get<json::List>()) p.report_names.push_back(scalar(name));
+        if (const auto* names = reporting->find("names"); names && names->get<json::Array>())
+            for (const json::Value& name : *names->get<json::Array>()) p.report_names.push_back(scalar(name));
     collect_names("", all, 3, p.stated);
     must_make_sense(p);
     const Choice reads_every_order(p.orders, p.seed);
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -39,7 +39,7 @@
     handed.customer = CustomerId{std::numeric_limits<std::uint32_t>::max()};  // nobody's allowance
     handed.patience = plan.expiry;
     handed.pushable = plan.pushed > 0 || !plan.workload.empty();
-    net::Blocks body(loop_.blocks());
+    net::BlockBuffer body(loop_.block_pool());
     // No buffer is left: it stays in its tube.
     if (handed.pushable && !body.append(job.body)) return TaskId{};
     return take(pullers_->exchange(), std::move(handed), std::move(body), net::Loop::now());
@@ -60,7 +60,7 @@
     // Against a stranger held for its name: the next one to come may be given it.
     const std::string& name = book_.name_of(worker);
     if (holds_.remove(name))
-        log_.info(net::Loop::now(), "control: released ", log::as("runner", name), ", which has gone");
+        log_.info(net::Loop::now(), "control: released ", log::field("runner", name), ", which has gone");
 }
 
 void must_fit(const Posting& posting, const beanstalk::Furnishing& tubes) {
@@ -81,12 +81,12 @@
     all["in_hands"] = whole(x.tasks_out());
     all["jobs"] = whole(x.queue().size());
     all["bytes"] = whole(x.queue().bytes());
-    json::List tubes;
-    x.queue().each_tube([&](queue::TubeId, const queue::Tube& t) {
+    json::Array tubes;
+    x.queue().for_each_tube([&](queue::TubeId, const queue::Tube& t) {
         Object o;
         o["tube"] = Value(t.name);
         o["ready"] = whole(t.ready.size()), o["delayed"] = whole(t.delayed.size()),
-        o["handed"] = whole(t.handed);
+        o["handed"] = whole(t.reserved);
         o["buried"] = whole(t.buried.size()), o["may_have_run"] = whole(t.withheld.size());
         tubes.push_back(Value(std::move(o)));
     });
@@ -97,13 +97,13 @@
 // The explicit word that a job that may have run may run again.
 Object Dispatcher::kick(const Value& request, const std::string& by) {
     if (!pullers_) throw control::Refused("there are no tubes here");
-    const auto job = request.number("job");
+    const auto job = request.find_number("job");
     if (!job || !(*job >= 1 && *job < 1e15))
         throw control::Refused("which job? \"job\" is missing or no number");
     if (!pullers_->exchange().kick_for_good(static_cast<std::uint64_t>(*job)))
         throw control::Refused("no buried job has that number");
-    log_.info(net::Loop::now(), "control: job ", log::as("job", static_cast<std::uint64_t>(*job)),
-              " may run again, by ", log::as("by", by));
+    log_.info(net::Loop::now(), "control: job ", log::field("job", static_cast<std::uint64_t>(*job)),
+              " may run again, by ", log::field("by", by));
     return {{"job", Value(Number{std::to_string(static_cast<std::uint64_t>(*job))})}};
 }
 
--- a/src/dispatcher/remembering.cpp
+++ b/src/dispatcher/remembering.cpp
@@ -79,8 +79,8 @@
     const double weight = snapshot::weight_by_age(saved.written_ms, unix_ms(), settings.decay);
     restored_ = std::to_string(restored) + " of " + std::to_string(saved.runners.size()) +
                 " runners restored, at " + std::to_string(static_cast<int>(weight * 100 + 0.5)) + "%";
-    log_.info(now, "snapshot: ", log::as("file", loaded.file), ", ", restored_, ", ",
-              log::as("holds", saved.overrides.size()), " holds");
+    log_.info(now, "snapshot: ", log::field("file", loaded.file), ", ", restored_, ", ",
+              log::field("holds", saved.overrides.size()), " holds");
 }
 
 // Returns for how many runners the estimates counted. `troubles` come from a dispatcher that is still
--- a/src/dispatcher/watching.cpp
+++ b/src/dispatcher/watching.cpp
@@ -52,8 +52,8 @@
     for (std::size_t i = 0; i < shadow::kNames.size(); ++i)
         each += (i > 0 ? ", " : "") + std::string(shadow::kNames[i]) + " " +
                 std::to_string(shadow_->counts().differ[i]);
-    log_.info(now, "shadow: ", log::as("decisions", shadow_->counts().decisions),
-              " decisions compared; otherwise: ", log::as("differ", each));
+    log_.info(now, "shadow: ", log::field("decisions", shadow_->counts().decisions),
+              " decisions compared; otherwise: ", log::field("differ", each));
 }
 
 json::Object Dispatcher::tell_watched() const {
--- a/src/fronts/front.hpp
+++ b/src/fronts/front.hpp
@@ -40,7 +40,7 @@
 // Who takes the tasks.
 class Taker {
   public:
-    virtual TaskId take(Asker& asker, Handed&& handed, net::Blocks&& body, Micros came_at) = 0;
+    virtual TaskId take(Asker& asker, Handed&& handed, net::BlockBuffer&& body, Micros came_at) = 0;
     virtual void left(TaskId task) = 0;  // nobody waits for it any more
     virtual bool knows(const std::string& request_id) const = 0;
     virtual bool ready() const = 0;
--- a/src/handover/passage.cpp
+++ b/src/handover/passage.cpp
@@ -19,7 +19,7 @@
 
 std::optional<net::Address> at(const std::string& path) {
     net::Address a;
-    auto* const un = reinterpret_cast<sockaddr_un*>(&a.where);
+    auto* const un = reinterpret_cast<sockaddr_un*>(&a.storage);
     if (path.size() >= sizeof un->sun_path) return std::nullopt;
     un->sun_family = AF_UNIX;
     std::memcpy(un->sun_path, path.data(), path.size());
@@ -49,12 +49,12 @@
     void close() { connection_.close(); }
 
   private:
-    void bytes(std::string_view bytes) override {
+    void on_bytes(std::string_view bytes) override {
         if (!reader_.feed(bytes)) return give_up();
         while (const auto word = reader_.next()) passage_.heard(*this, *word);
         if (!reader_.feed({})) give_up();
     }
-    void ended(net::Ending) override { passage_.ended(*this); }
+    void on_closed(net::CloseReason) override { passage_.ended(*this); }
     void give_up() {
         connection_.close();
         passage_.ended(*this);
--- a/src/handover/words.cpp
+++ b/src/handover/words.cpp
@@ -22,15 +22,15 @@
 
 std::optional<json::Value> object(const std::string& body) {
     try {
-        json::Value value = json::read(body);
+        json::Value value = json::parse(body);
         if (value.get<json::Object>()) return value;
-    } catch (const json::Malformed&) {
+    } catch (const json::ParseError&) {
     }
     return std::nullopt;
 }
 
 Micros within(const json::Value& of, std::string_view name, Micros otherwise) {
-    const auto n = of.number(name);
+    const auto n = of.find_number(name);
     return n && *n >= 0 && *n <= static_cast<double>(kLongestTrouble) ? static_cast<Micros>(*n) : otherwise;
 }
 
@@ -81,16 +81,16 @@
     json::Object o;
     o["v"] = whole(greeting.version), o["name"] = json::Value(greeting.name);
     o["others"] = whole(static_cast<std::int64_t>(greeting.others));
-    return json::write(json::Value(std::move(o)));
+    return json::serialize(json::Value(std::move(o)));
 }
 
 std::optional<Greeting> read_greeting(const std::string& body) {
     const auto said = object(body);
-    const std::string* const name = said ? said->text("name") : nullptr;
-    const auto version = said ? said->number("v") : std::nullopt;
+    const std::string* const name = said ? said->find_string("name") : nullptr;
+    const auto version = said ? said->find_number("v") : std::nullopt;
     if (!name || !version) return std::nullopt;
     return Greeting{static_cast<int>(std::clamp(*version, 0.0, 1e6)), *name,
-                    static_cast<std::size_t>(std::clamp(said->number("others").value_or(0), 0.0, 8.0))};
+                    static_cast<std::size_t>(std::clamp(said->find_number("others").value_or(0), 0.0, 8.0))};
 }
 
 std::string spell(const Troubles& troubles) {
@@ -101,7 +101,7 @@
         if (t.cold_for >= 0) o["cold_us"] = whole(t.cold_for);
         all[name] = json::Value(std::move(o));
     }
-    return json::write(json::Value(std::move(all)));
+    return json::serialize(json::Value(std::move(all)));
 }
 
 Troubles read_troubles(const std::string& body) {
--- a/src/http/reader.hpp
+++ b/src/http/reader.hpp
@@ -1,5 +1,5 @@
-// Reads HTTP/1.1 messages from bytes that come in any pieces. No I/O: the caller feeds it and asks what it
-// found.
+// An incremental parser of HTTP/1.1 messages, for bytes that arrive in pieces of any size. No I/O: the caller
+// passes the bytes in and gets back what was found in them.
 #pragma once
 
 #include <cstdint>
@@ -10,53 +10,56 @@
 
 namespace gannethold::http {
 
+// A header field.
 struct Field {
     std::string_view name, value;
 };
 
-// Views into the reader's block: good until the reader starts anew.
+// The first line and the fields of a message. Views into the reader's block, valid until restart().
 struct Head {
     std::string_view method, target;  // of a request
-    int status = 0;                   // of an answer
-    bool keeps_alive = true;
+    int status = 0;                   // of a response
+    bool is_keep_alive = true;
     std::vector<Field> fields;
 
-    std::string_view field(std::string_view name) const;  // the first; empty where there is none
-    bool repeats(std::string_view name) const;
+    std::string_view field(std::string_view name) const;  // the first of that name; empty: none
+    bool has_duplicate(std::string_view name) const;
     std::string_view path() const { return target.substr(0, target.find('?')); }
 };
 
-enum class Kind { request, answer };
-enum class Found { nothing, head, body, end, fault };
-enum class Fault { none, malformed, too_large, version, out_of_blocks };
+enum class MessageKind { request, response };
+enum class ReadResult { nothing, head, body, end, error };
+enum class ReadError { none, malformed, too_large, version, out_of_blocks };
 
+// Parses the messages of one direction of a connection, one after the other.
 class Reader {
   public:
-    Reader(Kind kind, net::BlockPool& pool) : kind_(kind), pool_(pool) {}
+    Reader(MessageKind kind, net::BlockPool& pool) : kind_(kind), pool_(pool) {}
     ~Reader() { restart(); }
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    // Takes from the front of bytes. Call until it has found nothing; then it wants more bytes. After an end
-    // it takes none until restart().
-    Found read(std::string_view& bytes);
-    // Whether the answers that are read from here on are to a HEAD request: whatever length they state, no
-    // body follows.
-    void answers_head(bool head) { answers_head_ = head; }
-    // The peer will send no more. True if that is a proper end of the message.
-    bool ends_by_close() const { return state_ == State::until_close; }
+    // Consumes bytes from the front. To be called until it returns nothing, which means that it needs more
+    // bytes. After an end it consumes none until restart().
+    ReadResult read(std::string_view& bytes);
+    // Whether the next responses are to a HEAD request: no body follows, whatever length they state.
+    void set_response_to_head(bool is_response_to_head) { is_response_to_head_ = is_response_to_head; }
+    // Whether a close by the peer at this point is the regular end of the message.
+    bool is_complete_at_close() const { return state_ == State::until_close; }
     void restart();
 
     const Head& head() const { return head_; }
-    std::string_view piece() const { return piece_; }
-    Fault fault() const { return fault_; }
-    bool begun() const { return block_ != nullptr; }
-    std::uint64_t length() const { return left_; }  // after a head: of the body, 0 if it is not counted
+    std::string_view body_piece() const { return body_piece_; }
+    ReadError error() const { return error_; }
+    bool has_started() const { return block_ != nullptr; }
+    std::uint64_t body_length() const {
+        return remaining_bytes_;
+    }  // after a head: the stated length of the body; 0: none stated
 
   private:
     enum class State {
         head,
-        counted,
+        fixed_length,
         until_close,
         chunk_size,
         chunk_extension,
@@ -70,27 +73,27 @@
         broken
     };
 
-    Found fail(Fault fault);
-    Found read_head(std::string_view& bytes);
-    Found read_body(std::string_view& bytes);
-    Found read_chunk_frame(char c);
-    bool understand(std::string_view text);
-    bool first_line(std::string_view line);
-    bool framing();
+    ReadResult fail(ReadError error);
+    ReadResult read_head(std::string_view& bytes);
+    ReadResult read_body(std::string_view& bytes);
+    ReadResult read_chunk_frame(char c);
+    bool parse_head(std::string_view text);
+    bool parse_first_line(std::string_view line);
+    bool parse_framing();
 
-    const Kind kind_;
+    const MessageKind kind_;
     net::BlockPool& pool_;
     char* block_ = nullptr;
-    std::size_t used_ = 0;
-    bool answers_head_ = false;
+    std::size_t head_bytes_ = 0;
+    bool is_response_to_head_ = false;
     State state_ = State::head;
-    Fault fault_ = Fault::none;
+    ReadError error_ = ReadError::none;
     Head head_;
-    std::string_view piece_;
-    std::uint64_t left_ = 0;
-    std::size_t digits_ = 0, trailer_line_ = 0, trailer_bytes_ = 0, blanks_ = 0;
+    std::string_view body_piece_;
+    std::uint64_t remaining_bytes_ = 0;
+    std::size_t chunk_size_digits_ = 0, trailer_line_bytes_ = 0, trailer_bytes_ = 0, leading_blanks_ = 0;
 };
 
-bool same_word(std::string_view a, std::string_view b);  // whatever the case of its letters
+bool equals_ignoring_case(std::string_view a, std::string_view b);  // ASCII only
 
 }  // namespace gannethold::http
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -3,7 +3,7 @@
 namespace gannethold::http {
 namespace {
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -38,8 +38,8 @@
     return Writer(std::string(method) + " " + std::string(target) + " HTTP/1.1\r\n");
 }
 
-Writer Writer::answer(int status) {
-    return Writer("HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\n");
+Writer Writer::response(int status) {
+    return Writer("HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n");
 }
 
 Writer& Writer::field(std::string_view name, std::string_view value) {
@@ -47,6 +47,8 @@
     return *this;
 }
 
-Writer& Writer::length(std::size_t body) { return field("Content-Length", std::to_string(body)); }
+Writer& Writer::content_length(std::size_t body_bytes) {
+    return field("Content-Length", std::to_string(body_bytes));
+}
 
 }  // namespace gannethold::http
--- a/src/http/writer.hpp
+++ b/src/http/writer.hpp
@@ -6,13 +6,15 @@
 
 namespace gannethold::http {
 
+// Builds one head: the first line, then the fields in the order of the calls.
 class Writer {
   public:
     static Writer request(std::string_view method, std::string_view target);
-    static Writer answer(int status);
+    static Writer response(int status);
 
     Writer& field(std::string_view name, std::string_view value);
-    Writer& length(std::size_t body);
+    Writer& content_length(std::size_t body_bytes);
+    // The whole head, with the empty line after it.
     std::string head() const { return text_ + "\r\n"; }
 
   private:
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -7,97 +7,99 @@
 namespace gannethold::json {
 namespace {
 
-constexpr int kDeepest = 32;  // against a text that is all brackets
+constexpr int kMaxDepth = 32;  // bounds the recursion
 
-class Reader {
+// A recursive-descent parser for one text.
+class Parser {
   public:
-    explicit Reader(std::string_view text) : text_(text) {}
+    explicit Parser(std::string_view text) : text_(text) {}
 
-    Value whole() {
-        Value v = value(0);
-        space();
-        if (at_ != text_.size()) fail("more text after the value");
-        return v;
+    Value parse_document() {
+        Value result = value(0);
+        skip_space();
+        if (offset_ != text_.size()) fail("unexpected text after the value");
+        return result;
     }
 
   private:
-    [[noreturn]] void fail(const char* what) const { throw Malformed(what, at_); }
-    char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
+    [[noreturn]] void fail(const char* what) const { throw ParseError(what, offset_); }
+    char peek() const { return offset_ < text_.size() ? text_[offset_] : '\0'; }
     bool skip(char c) {
-        if (peek() != c || at_ == text_.size()) return false;
-        ++at_;
+        if (peek() != c || offset_ == text_.size()) return false;
+        ++offset_;
         return true;
     }
-    void space() {
-        while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
-            ++at_;
+    void skip_space() {
+        while (offset_ < text_.size() &&
+               std::string_view(" \t\r\n").find(text_[offset_]) != std::string_view::npos)
+            ++offset_;
     }
-    void word(std::string_view expected) {
-        if (text_.substr(at_, expected.size()) != expected) fail("no value");
-        at_ += expected.size();
+    void literal(std::string_view expected) {
+        if (text_.substr(offset_, expected.size()) != expected) fail("expected a value");
+        offset_ += expected.size();
     }
 
     Value value(int depth) {
-        if (depth > kDeepest) fail("nested too deep");
-        space();
+        if (depth > kMaxDepth) fail("nested too deeply");
+        skip_space();
         switch (peek()) {
             case '{':
                 return Value(object(depth));
             case '[':
-                return Value(list(depth));
+                return Value(array(depth));
             case '"':
                 return Value(string());
             case 't':
-                return word("true"), Value(true);
+                return literal("true"), Value(true);
             case 'f':
-                return word("false"), Value(false);
+                return literal("false"), Value(false);
             case 'n':
-                return word("null"), Value();
+                return literal("null"), Value();
             default:
                 return Value(number());
         }
     }
 
     Object object(int depth) {
-        Object all;
+        Object members;
         skip('{');
-        space();
-        if (skip('}')) return all;
+        skip_space();
+        if (skip('}')) return members;
         do {
-            space();
+            skip_space();
             std::string name = string();
-            space();
-            if (!skip(':')) fail("no colon");
-            // Two readers could see two things in a repeated name.
-            if (!all.emplace(std::move(name), value(depth + 1)).second) fail("a name stands twice");
-            space();
+            skip_space();
+            if (!skip(':')) fail("expected a colon");
+            // Parsers differ in which value of a duplicate name they take.
+            if (!members.emplace(std::move(name), value(depth + 1)).second) fail("duplicate name");
+            skip_space();
         } while (skip(','));
-        if (!skip('}')) fail("object without an end");
-        return all;
+        if (!skip('}')) fail("unterminated object");
+        return members;
     }
 
-    List list(int depth) {
-        List all;
+    Array array(int depth) {
+        Array elements;
         skip('[');
-        space();
-        if (skip(']')) return all;
+        skip_space();
+        if (skip(']')) return elements;
         do {
-            all.push_back(value(depth + 1));
-            space();
+            elements.push_back(value(depth + 1));
+            skip_space();
         } while (skip(','));
-        if (!skip(']')) fail("list without an end");
-        return all;
+        if (!skip(']')) fail("unterminated array");
+        return elements;
     }
 
     std::size_t digits() {
-        const std::size_t begun = at_;
-        while (peek() >= '0' && peek() <= '9') ++at_;
-        if (at_ == begun) fail("no value");
-        return at_ - begun;
+        const std::size_t start = offset_;
+        while (peek() >= '0' && peek() <= '9') ++offset_;
+        if (offset_ == start) fail("expected a value");
+        return offset_ - start;
     }
 
     Number number() {
-        const std::size_t begun = at_;
+        const std::size_t start = offset_;
         skip('-');
         const bool zero = peek() == '0';
         if (digits() > 1 && zero) fail("number with a leading zero");
@@ -106,35 +108,35 @@
             if (!skip('+')) skip('-');
             digits();
         }
-        return {std::string(text_.substr(begun, at_ - begun))};
+        return {std::string(text_.substr(start, offset_ - start))};
     }
 
     std::uint32_t four_hex() {
         std::uint32_t code = 0;
-        const std::string_view hex = text_.substr(at_, 4);
+        const std::string_view hex = text_.substr(offset_, 4);
         const auto [end, wrong] = std::from_chars(hex.data(), hex.data() + hex.size(), code, 16);
-        if (hex.size() < 4 || end != hex.data() + 4 || wrong != std::errc()) fail("bad escape");
-        at_ += 4;
+        if (hex.size() < 4 || end != hex.data() + 4 || wrong != std::errc()) fail("invalid escape");
+        offset_ += 4;
         return code;
     }
 
     void escaped(std::string& out) {
         const char c = peek();
-        ++at_;
+        ++offset_;
         const std::size_t simple = std::string_view("\"\\/bfnrt").find(c);
         if (c != '\0' && simple != std::string_view::npos) {
             out.push_back("\"\\/\b\f\n\r\t"[simple]);
             return;
         }
-        if (c != 'u') fail("bad escape");
+        if (c != 'u') fail("invalid escape");
         std::uint32_t code = four_hex();
         if (code >= 0xd800 && code < 0xdc00) {
-            if (!skip('\\') || !skip('u')) fail("half a surrogate pair");
+            if (!skip('\\') || !skip('u')) fail("incomplete surrogate pair");
             const std::uint32_t low = four_hex();
-            if (low < 0xdc00 || low > 0xdfff) fail("half a surrogate pair");
+            if (low < 0xdc00 || low > 0xdfff) fail("incomplete surrogate pair");
             code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
         } else if (code >= 0xdc00 && code < 0xe000) {
-            fail("half a surrogate pair");
+            fail("incomplete surrogate pair");
         }
         const auto put = [&out](std::uint32_t byte) { out.push_back(static_cast<char>(byte)); };
         if (code < 0x80) {
@@ -151,10 +153,10 @@
 
     std::string string() {
         std::string out;
-        if (!skip('"')) fail("no string");
+        if (!skip('"')) fail("expected a string");
         for (;;) {
-            if (at_ == text_.size()) fail("string without an end");
-            const char c = text_[at_++];
+            if (offset_ == text_.size()) fail("unterminated string");
+            const char c = text_[offset_++];
             if (c == '"') return out;
             if (static_cast<unsigned char>(c) < 0x20) fail("control character in a string");
             if (c == '\\')
@@ -165,7 +167,7 @@
     }
 
     std::string_view text_;
-    std::size_t at_ = 0;
+    std::size_t offset_ = 0;
 };
 
 void write_text(std::string& out, std::string_view text) {
@@ -190,7 +192,7 @@
         out += n->text;
     } else if (const auto* s = value.get<std::string>()) {
         write_text(out, *s);
-    } else if (const auto* list = value.get<List>()) {
+    } else if (const auto* list = value.get<Array>()) {
         out.push_back('[');
         for (const Value& item : *list) {
             if (&item != &list->front()) out.push_back(',');
@@ -227,20 +229,20 @@
     return found == object->end() ? nullptr : &found->second;
 }
 
-const std::string* Value::text(std::string_view name) const {
+const std::string* Value::find_string(std::string_view name) const {
     const Value* const v = find(name);
     return v ? v->get<std::string>() : nullptr;
 }
 
-std::optional<double> Value::number(std::string_view name) const {
+std::optional<double> Value::find_number(std::string_view name) const {
     const Value* const v = find(name);
     const Number* const n = v ? v->get<Number>() : nullptr;
     return n ? std::optional(n->value()) : std::nullopt;
 }
 
-Value read(std::string_view text) { return Reader(text).whole(); }
+Value parse(std::string_view text) { return Parser(text).parse_document(); }
 
-std::string write(const Value& value) {
+std::string serialize(const Value& value) {
     std::string out;
     write_value(out, value);
     return out;
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -1,4 +1,4 @@
-// JSON: a value, a reader that says where a text is wrong, and a writer.
+// JSON: a value, a parser that reports the position of an error, and a serializer.
 #pragma once
 
 #include <cstddef>
@@ -13,42 +13,44 @@
 namespace gannethold::json {
 
 class Value;
-using List = std::vector<Value>;
+using Array = std::vector<Value>;
 using Object = std::map<std::string, Value, std::less<>>;
 struct Number {
-    std::string text;  // as written: so nothing is lost on the way from one reader to another
+    std::string text;  // as written, so that no precision is lost
     double value() const;
 };
 
+// Any JSON value; null by default.
 class Value {
   public:
-    using Held = std::variant<std::nullptr_t, bool, Number, std::string, List, Object>;
+    using Variant = std::variant<std::nullptr_t, bool, Number, std::string, Array, Object>;
 
     Value() = default;
     template <class T>
-    explicit Value(T held) : held_(std::in_place_type<T>, std::move(held)) {}
+    explicit Value(T value) : variant_(std::in_place_type<T>, std::move(value)) {}
 
     template <class T>
     const T* get() const {
-        return std::get_if<T>(&held_);
+        return std::get_if<T>(&variant_);
     }
-    const Value* find(std::string_view name) const;  // of an object; nullptr where there is none
-    // What stands under that name, if it is of that kind.
-    const std::string* text(std::string_view name) const;
-    std::optional<double> number(std::string_view name) const;
-    const Held& held() const { return held_; }
+    const Value* find(std::string_view name) const;  // a member of an object; nullptr: none
+    // The member of that name; nullptr or nullopt if it is missing or of another type.
+    const std::string* find_string(std::string_view name) const;
+    std::optional<double> find_number(std::string_view name) const;
+    const Variant& variant() const { return variant_; }
 
   private:
-    Held held_ = nullptr;
+    Variant variant_ = nullptr;
 };
 
-class Malformed : public std::runtime_error {
+// The text is not JSON, or nests too deep.
+class ParseError : public std::runtime_error {
   public:
-    Malformed(const std::string& what, std::size_t at)
-        : std::runtime_error(what + " at byte " + std::to_string(at)) {}
+    ParseError(const std::string& what, std::size_t offset)
+        : std::runtime_error(what + " at byte " + std::to_string(offset)) {}
 };
 
-Value read(std::string_view text);  // throws Malformed
-std::string write(const Value& value);
+Value parse(std::string_view text);  // throws ParseError
+std::string serialize(const Value& value);
 
 }  // namespace gannethold::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -9,10 +9,10 @@
 namespace gannethold::log {
 namespace {
 
-constexpr int kLinesASecond = 20;
-constexpr const char* kNames[] = {"debug", "info", "warning", "error"};
+constexpr int kMaxLinesPerSecond = 20;
+constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error"};
 
-// UTC with milliseconds, as collectors read it.
+// UTC in ISO 8601 with milliseconds, for log collectors.
 std::string wall_time() {
     using namespace std::chrono;
     const auto ms = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
@@ -27,32 +27,32 @@
 
 }  // namespace
 
-// Against a storm of lines that costs more than the trouble it tells of.
-bool Log::allowed(Micros now) {
-    if (now >= second_ends_) {
-        const int left_out = std::exchange(left_out_, 0);
-        second_ends_ = now + 1'000'000;
-        lines_ = 0;
-        if (left_out > 0) {
+// Limits the lines per second, so that a flood of log lines does not cost more than the fault it reports.
+bool Log::is_allowed(Micros now) {
+    if (now >= second_ends_at_) {
+        const int dropped = std::exchange(dropped_lines_, 0);
+        second_ends_at_ = now + 1'000'000;
+        lines_this_second_ = 0;
+        if (dropped > 0) {
             Line line;
-            add(line, as("count", left_out));
+            add(line, field("count", dropped));
             add(line, " lines left out");
             write(Level::warning, line);
         }
     }
-    if (lines_ >= kLinesASecond) return ++left_out_, false;
-    return ++lines_, true;
+    if (lines_this_second_ >= kMaxLinesPerSecond) return ++dropped_lines_, false;
+    return ++lines_this_second_, true;
 }
 
 void Log::write(Level level, const Line& line) {
-    if (form_ == Form::plain) {
-        out_ << kNames[static_cast<int>(level)] << ": " << line.text.str() << '\n';
+    if (format_ == Format::plain) {
+        out_ << kLevelNames[static_cast<int>(level)] << ": " << line.text.str() << '\n';
         out_.flush();
         return;
     }
     using json::Value;
-    const auto quoted = [](const std::string& text) { return json::write(Value(text)); };
-    out_ << "{\"time\":\"" << wall_time() << "\",\"level\":\"" << kNames[static_cast<int>(level)]
+    const auto quoted = [](const std::string& text) { return json::serialize(Value(text)); };
+    out_ << "{\"time\":\"" << wall_time() << "\",\"level\":\"" << kLevelNames[static_cast<int>(level)]
          << "\",\"what\":" << quoted(line.text.str());
     for (const auto& [name, value] : line.fields) out_ << ',' << quoted(name) << ':' << quoted(value);
     out_ << "}\n";
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -28,14 +28,14 @@
 
 // What the pool of buffers may take of the memory: the rest is for libevent, the module and the process.
 std::size_t most_blocks(const dispatcher::Posting& posting) {
-    return posting.memory_mb * 1024 * 1024 / 2 / net::BlockPool::kBytes;
+    return posting.memory_mb * 1024 * 1024 / 2 / net::BlockPool::kBlockBytes;
 }
 
 // What the platform says in the environment beside the configuration. Throws std::runtime_error with one
 // line.
 void apply_environment(dispatcher::Posting& posting) {
     if (const char* const at = std::getenv("RELAY_ADMIN"); at && *at && !posting.window) {
-        posting.window = net::Address::read(at);
+        posting.window = net::Address::parse(at);
         if (!posting.window) throw std::runtime_error(std::string("RELAY_ADMIN is no address: ") + at);
     }
     if (const char* const door = std::getenv("RELAY_ACCEPT_FD"); door && *door) {
@@ -57,7 +57,7 @@
 void reload_operator_settings(const std::string& path, log::Log& log) {
     try {
         const OperatorSettings settings = OperatorSettings::read_file(path);
-        log.use(settings.log_form);
+        log.set_format(settings.log_form);
         log_warnings(settings, log);
     } catch (const std::exception& e) {
         log.warning(net::Loop::now(), "reload: ", e.what(), "; the old operators' file stays");
--- a/src/metrics/counters.hpp
+++ b/src/metrics/counters.hpp
@@ -1,4 +1,4 @@
-// What the dispatcher did since its process started, counted where it happens. No I/O and no clock.
+// Counters and gauges of the dispatcher, since its process started. No I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +10,22 @@
 
 namespace gannethold::metrics {
 
-// The tasks of a workload by their final answer.
+// The number of a workload's tasks for each final answer.
 struct AnswerCounts {
     std::uint64_t finished = 0;
-    std::uint64_t rejected = 0;   // a retry is harmless
+    std::uint64_t rejected = 0;   // not executed: a retry is safe
     std::uint64_t abandoned = 0;  // it may have run
 };
 
-// Counters never fall and never restart: a workload that is dropped from the settings keeps its counts, and
-// goes on from them if it returns.
+// Counters are monotonic: a workload that is removed from the settings keeps its counts, and continues from
+// them if it is added again.
 class Counters {
   public:
-    // From now on that workload is listed, with zeros if nothing of it was answered yet.
+    // Lists the workload from now on, with zeros until its first answer.
     void add_workload(const std::string& workload) { answers_[workload]; }
-    // A task's final answer. A task whose client has gone gets none, and is counted nowhere.
+    // A task's final answer. A task whose client has disconnected gets none, and is not counted.
     void on_answered(const std::string& workload, fronts::Answer answer);
-    // The last byte of an assignment was handed to the operating system.
+    // The last byte of an assignment was passed to the operating system.
     void on_assignment_written() { ++assignments_written_; }
     void on_reload_applied() { ++reloads_applied_; }
     void on_reload_rejected() { ++reloads_rejected_; }
@@ -46,8 +46,8 @@
 // Values at one moment.
 struct Gauges {
     std::size_t outstanding_tasks = 0;  // accepted and not yet answered
-    std::size_t listed_runners = 0;     // in the endpoint list, draining ones among them
-    std::size_t ejected_runners = 0;    // of these, the ones that get nothing now for what they did
+    std::size_t listed_runners = 0;     // in the endpoint list, including draining ones
+    std::size_t ejected_runners = 0;    // of these, excluded by outlier ejection
 };
 
 }  // namespace gannethold::metrics
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// Where a peer listens.
+// A socket address: IP and port.
 #pragma once
 
 #include <sys/socket.h>
@@ -9,13 +9,14 @@
 namespace gannethold::net {
 
 struct Address {
-    sockaddr_storage where{};
+    sockaddr_storage storage{};
     socklen_t length = 0;
     std::string text;
 
-    static std::optional<Address> read(const std::string& text);  // "ip:port"
-    const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&where); }
-    sockaddr* get() { return reinterpret_cast<sockaddr*>(&where); }
+    static std::optional<Address> parse(
+        const std::string& text);  // from "ip:port"; nullopt: malformed, or port 0
+    const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
+    sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
 };
 
 }  // namespace gannethold::net
--- a/src/net/block_pool.cpp
+++ b/src/net/block_pool.cpp
@@ -5,44 +5,44 @@
 
 namespace gannethold::net {
 namespace {
-constexpr std::size_t kSpare = 256;  // kept for use again; more go back to the system after a rush
+constexpr std::size_t kMaxFreeBlocks = 256;  // kept for reuse; further ones are returned to the system
 }
 
-char* BlockPool::take() {
-    if (out_ >= most_) return nullptr;
-    ++out_;
-    if (spare_.empty()) return new char[kBytes];
-    char* const block = spare_.back();
-    spare_.pop_back();
+char* BlockPool::acquire() {
+    if (in_use_ >= max_blocks_) return nullptr;
+    ++in_use_;
+    if (free_blocks_.empty()) return new char[kBlockBytes];
+    char* const block = free_blocks_.back();
+    free_blocks_.pop_back();
     return block;
 }
 
-void BlockPool::give_back(char* block) {
-    --out_;
-    if (spare_.size() < kSpare)
-        spare_.push_back(block);
+void BlockPool::release(char* block) {
+    --in_use_;
+    if (free_blocks_.size() < kMaxFreeBlocks)
+        free_blocks_.push_back(block);
     else
         delete[] block;
 }
 
-Blocks& Blocks::operator=(Blocks&& other) noexcept {
+BlockBuffer& BlockBuffer::operator=(BlockBuffer&& other) noexcept {
     if (this == &other) return *this;
     clear();
     pool_ = other.pool_;
-    held_ = std::exchange(other.held_, {});
+    pieces_ = std::exchange(other.pieces_, {});
     size_ = std::exchange(other.size_, 0);
     return *this;
 }
 
-bool Blocks::append(std::string_view bytes) {
+bool BlockBuffer::append(std::string_view bytes) {
     while (!bytes.empty()) {
-        if (held_.empty() || held_.back().second == BlockPool::kBytes) {
-            char* const block = pool_->take();
+        if (pieces_.empty() || pieces_.back().second == BlockPool::kBlockBytes) {
+            char* const block = pool_->acquire();
             if (!block) return false;
-            held_.emplace_back(block, 0);
+            pieces_.emplace_back(block, 0);
         }
-        auto& [block, used] = held_.back();
-        const std::size_t n = std::min(bytes.size(), BlockPool::kBytes - used);
+        auto& [block, used] = pieces_.back();
+        const std::size_t n = std::min(bytes.size(), BlockPool::kBlockBytes - used);
         std::memcpy(block + used, bytes.data(), n);
         used += n;
         size_ += n;
@@ -51,26 +51,26 @@
     return true;
 }
 
-void Blocks::clear() {
-    for (const Piece& piece : held_) pool_->give_back(piece.first);
-    held_.clear();
+void BlockBuffer::clear() {
+    for (const Piece& piece : pieces_) pool_->release(piece.first);
+    pieces_.clear();
     size_ = 0;
 }
 
-void Blocks::copy_to(std::string& text) const {
+void BlockBuffer::copy_to(std::string& text) const {
     text.clear();
-    for (const auto& [block, used] : held_) text.append(block, used);
+    for (const auto& [block, used] : pieces_) text.append(block, used);
 }
 
-std::string Blocks::text() const {
+std::string BlockBuffer::to_string() const {
     std::string all;
     copy_to(all);
     return all;
 }
 
-std::vector<Blocks::Piece> Blocks::release() {
+std::vector<BlockBuffer::Piece> BlockBuffer::release_blocks() {
     size_ = 0;
-    return std::exchange(held_, {});
+    return std::exchange(pieces_, {});
 }
 
 }  // namespace gannethold::net
--- a/src/net/block_pool.hpp
+++ b/src/net/block_pool.hpp
@@ -1,4 +1,4 @@
-// Buffers of one size, used again. A pool has a bound, so that slow peers can not take all memory.
+// A bounded pool of reusable buffers of one size. The bound keeps slow peers from using up all memory.
 #pragma once
 
 #include <cstddef>
@@ -11,54 +11,56 @@
 
 class BlockPool {
   public:
-    static constexpr std::size_t kBytes = 8192;
+    static constexpr std::size_t kBlockBytes = 8192;
 
-    explicit BlockPool(std::size_t most) : most_(most) {}
+    explicit BlockPool(std::size_t max_blocks) : max_blocks_(max_blocks) {}
     ~BlockPool() {
-        for (char* block : spare_) delete[] block;
+        for (char* block : free_blocks_) delete[] block;
     }
     BlockPool(const BlockPool&) = delete;
     BlockPool& operator=(const BlockPool&) = delete;
 
-    void bound(std::size_t most) {
-        most_ = most;
-    }              // from now on; what is out beyond it comes back in its time
-    char* take();  // nullptr once all are out
-    void give_back(char* block);
-    std::size_t out() const { return out_; }
-    std::size_t most() const { return most_; }
-    // So few are left that they are kept for answers: what is new must wait outside.
-    bool scarce() const { return out_ > most_ / 4 * 3; }
+    void set_max_blocks(std::size_t max_blocks) {
+        max_blocks_ = max_blocks;
+    }                 // takes effect as blocks in use are released
+    char* acquire();  // nullptr if all blocks are in use
+    void release(char* block);
+    std::size_t in_use() const { return in_use_; }
+    std::size_t max_blocks() const { return max_blocks_; }
+    // Whether the few free blocks are reserved for responses: no new connection should be accepted.
+    bool is_scarce() const { return in_use_ > max_blocks_ / 4 * 3; }
 
   private:
-    std::size_t most_;
-    std::size_t out_ = 0;
-    std::vector<char*> spare_;
+    std::size_t max_blocks_;
+    std::size_t in_use_ = 0;
+    std::vector<char*> free_blocks_;
 };
 
-// A text of any length in blocks of the pool.
-class Blocks {
+// A byte string of any length, stored in blocks of a pool.
+class BlockBuffer {
   public:
-    explicit Blocks(BlockPool& pool) : pool_(&pool) {}
-    Blocks(Blocks&& other) noexcept
-        : pool_(other.pool_), held_(std::exchange(other.held_, {})), size_(std::exchange(other.size_, 0)) {}
-    Blocks& operator=(Blocks&& other) noexcept;
-    ~Blocks() { clear(); }
+    explicit BlockBuffer(BlockPool& pool) : pool_(&pool) {}
+    BlockBuffer(BlockBuffer&& other) noexcept
+        : pool_(other.pool_),
+          pieces_(std::exchange(other.pieces_, {})),
+          size_(std::exchange(other.size_, 0)) {}
+    BlockBuffer& operator=(BlockBuffer&& other) noexcept;
+    ~BlockBuffer() { clear(); }
 
-    bool append(std::string_view bytes);  // false, with nothing kept of the rest, once the pool is empty
+    bool append(std::string_view bytes);  // false: the pool ran empty, the rest is dropped
     void clear();
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
     void copy_to(std::string& text) const;
-    std::string text() const;
+    std::string to_string() const;
 
     using Piece = std::pair<char*, std::size_t>;
-    std::vector<Piece> release();  // the caller gives the blocks back
+    std::vector<Piece> release_blocks();  // the caller releases the blocks to the pool
     BlockPool& pool() const { return *pool_; }
 
   private:
     BlockPool* pool_;
-    std::vector<Piece> held_;
+    std::vector<Piece> pieces_;
     std::size_t size_ = 0;
 };
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on a libevent bufferevent. Tells its owner what happens; decides nothing.
+// A TCP connection on a libevent bufferevent. Reports events to its owner and takes no decisions.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -8,60 +8,62 @@
 #include <string_view>
 
 #include "net/address.hpp"
-#include "net/ending.hpp"
+#include "net/close_reason.hpp"
 #include "net/loop.hpp"
 
 namespace gannethold::net {
 
 class Connection {
   public:
-    // An owner may close the connection in any of these, but must keep the object until the turn is over.
+    // The owner may close the connection in any of these callbacks, but must keep the object alive until the
+    // loop iteration is over.
     class Owner {
       public:
-        virtual void connected() {}
-        virtual void bytes(std::string_view bytes) = 0;
-        virtual void all_written() {}
-        virtual void ended(Ending ending) = 0;
+        virtual void on_connected() {}
+        virtual void on_bytes(std::string_view bytes) = 0;
+        virtual void on_all_written() {}
+        virtual void on_closed(CloseReason reason) = 0;
 
       protected:
         ~Owner() = default;
     };
 
     Connection(Loop& loop, Owner& owner, evutil_socket_t accepted);
-    // A connect that has not come up in time ends as such.
+    // Connects to `to`; reports connect_timed_out if it is not established within `connect_limit`.
     Connection(Loop& loop, Owner& owner, const Address& to, Micros connect_limit);
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    bool write(std::string_view bytes);  // false once the pool is empty
-    void write(Blocks&& bytes);
-    bool unsent() const;  // whether bytes are left that the system has not taken
+    bool write(std::string_view bytes);  // false: the pool has too few blocks, nothing written
+    void write(BlockBuffer&& bytes);
+    bool has_unsent_bytes() const;  // not yet taken by the operating system
     std::size_t unsent_bytes() const;
-    // After the end: how many bytes the system had not taken by then.
-    std::size_t unsent_at_end() const { return unsent_at_end_; }
-    // Whether the peer has ended it, or said something unasked, that the loop has not come to yet.
-    bool stale() const;
-    // Ends at once, without a word to the owner.
+    // After the close: how many bytes the operating system had not taken by then.
+    std::size_t unsent_bytes_at_close() const { return unsent_bytes_at_close_; }
+    // Whether the peer has closed the connection or sent unsolicited bytes that the loop has not read yet.
+    bool is_stale() const;
+    // Closes at once, without a callback to the owner.
     void close();
-    // Likewise, and the peer meets a reset instead of an end.
+    // Likewise, with a TCP reset.
     void abort();
-    // Writes what is left and says that no more comes; the owner is told when the peer has closed too.
+    // Graceful close: writes what is queued, shuts down the write side, and calls on_closed() when the peer
+    // has closed too.
     void finish();
 
   private:
-    void listen_to(evutil_socket_t socket);
-    void read_some();
-    void event(short what);
-    void end(Ending ending);
-    void hang_up();
+    void attach(evutil_socket_t socket);
+    void on_readable();
+    void on_event(short what);
+    void close_and_report(CloseReason reason);
+    void shut_down_write();
 
     Loop& loop_;
     Owner& owner_;
     std::unique_ptr<bufferevent, decltype(&bufferevent_free)> stream_{nullptr, &bufferevent_free};
-    std::optional<Timer> limit_;
-    Ending failure_ = Ending::unreachable;
-    std::size_t unsent_at_end_ = 0;
-    bool connecting_ = false, finishing_ = false, hung_up_ = false;
+    std::optional<Timer> time_limit_;
+    CloseReason connect_failure_ = CloseReason::unreachable;
+    std::size_t unsent_bytes_at_close_ = 0;
+    bool is_connecting_ = false, is_finishing_ = false, is_write_shut_down_ = false;
 };
 
 }  // namespace gannethold::net
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts connections and never stops by itself: what waits in the system's backlog already counts as taken.
+// Accepts connections until stop(). Connections in the system's backlog already count as accepted.
 #pragma once
 
 #include <event2/listener.h>
@@ -13,30 +13,31 @@
 
 namespace gannethold::net {
 
-// Where clients come: an address of our own to bind, or a listening socket that was handed down and others
-// have too.
-struct Door {
-    Door(const Address& bound, std::optional<int> handed_down = {}) : at(bound), inherited(handed_down) {}
-    Address at;
-    std::optional<int> inherited;
+// Where to listen: an address to bind, or an inherited listening socket, which other processes may share.
+struct ListenAddress {
+    ListenAddress(const Address& bound, std::optional<int> inherited = {})
+        : address(bound), inherited_descriptor(inherited) {}
+    Address address;
+    std::optional<int> inherited_descriptor;
 };
 
 class Listener {
   public:
-    using Accepted = std::function<void(evutil_socket_t)>;
-    using Short = std::function<void()>;  // no descriptor is left: make room
+    using OnAccepted = std::function<void(evutil_socket_t)>;
+    using OnOutOfSockets = std::function<void()>;  // accept failed for lack of a descriptor: free some
 
-    // Throws std::runtime_error where it cannot bind, or what was handed down is no listening socket.
-    Listener(Loop& loop, const Door& door, Accepted accepted, Short out_of_sockets);
-    // Accepts no more. A socket that was handed down goes on listening for whoever else has it.
+    // Throws std::runtime_error if it cannot bind, or if the inherited descriptor is not a listening socket.
+    Listener(Loop& loop, const ListenAddress& listen_address, OnAccepted on_accepted,
+             OnOutOfSockets on_out_of_sockets);
+    // Stops accepting. An inherited socket keeps listening for the other processes that share it.
     void stop();
     std::uint16_t port() const { return port_; }
 
   private:
-    Accepted accepted_;
-    Short short_;
+    OnAccepted on_accepted_;
+    OnOutOfSockets on_out_of_sockets_;
     std::unique_ptr<evconnlistener, decltype(&evconnlistener_free)> socket_;
-    Timer again_;
+    Timer resume_timer_;
     std::uint16_t port_ = 0;
 };
 
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,5 @@
-// The one thread's loop, its clock, timers and signals, and the pool that all connections share.
+// The event loop of a single-threaded process, with its clock, timers and signals, and the block pool that
+// all connections share.
 #pragma once
 
 #include <event2/event.h>
@@ -13,29 +14,30 @@
 
 class Loop {
   public:
-    explicit Loop(std::size_t most_blocks);
+    explicit Loop(std::size_t max_blocks);
 
-    // Turns until stop(); what one turn of the loop brought is a batch, and after_turn is called for it.
-    void run(const std::function<void()>& after_turn);
-    bool turn(bool wait);  // false: nothing is left to wait for
-    void stop() { stopping_ = true; }
-    bool stopping() const { return stopping_; }
+    // Runs until stop(). after_iteration is called after each iteration, for the batch of events it handled.
+    void run(const std::function<void()>& after_iteration);
+    bool run_once(bool wait);  // false: no event is registered
+    void stop() { is_stopping_ = true; }
+    bool is_stopping() const { return is_stopping_; }
 
     static Micros now();  // monotonic
     event_base* base() const { return base_.get(); }
-    BlockPool& blocks() { return blocks_; }
+    BlockPool& block_pool() { return block_pool_; }
 
   private:
-    BlockPool blocks_;
+    BlockPool block_pool_;
     std::unique_ptr<event_base, decltype(&event_base_free)> base_;
-    bool stopping_ = false;
+    bool is_stopping_ = false;
 };
 
 using EventHandle = std::unique_ptr<event, decltype(&event_free)>;
 
+// Calls back once at a point in time on the loop's clock; can be set again.
 class Timer {
   public:
-    Timer(Loop& loop, std::function<void()> due);
+    Timer(Loop& loop, std::function<void()> on_due);
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
 
@@ -43,18 +45,19 @@
     void cancel();
 
   private:
-    std::function<void()> due_;
+    std::function<void()> on_due_;
     EventHandle event_;
 };
 
+// Calls back for each signal of that number, from the loop.
 class Signal {
   public:
-    Signal(Loop& loop, int number, std::function<void()> came);
+    Signal(Loop& loop, int number, std::function<void()> on_signal);
     Signal(const Signal&) = delete;
     Signal& operator=(const Signal&) = delete;
 
   private:
-    std::function<void()> came_;
+    std::function<void()> on_signal_;
     EventHandle event_;
 };
 
--- a/src/operator_settings/operator_settings.cpp
+++ b/src/operator_settings/operator_settings.cpp
@@ -32,9 +32,9 @@
     return static_cast<std::size_t>(table.get_number(name, default_value, min, 1e6) * kBytesPerMb);
 }
 
-log::Form read_log_form(const TomlReader& table) {
-    return table.get_one_of("form", {"plain", "json"}, "plain") == "json" ? log::Form::json
-                                                                          : log::Form::plain;
+log::Format read_log_form(const TomlReader& table) {
+    return table.get_one_of("form", {"plain", "json"}, "plain") == "json" ? log::Format::json
+                                                                          : log::Format::plain;
 }
 
 control::Furniture read_control(const TomlReader& table) {
@@ -45,10 +45,10 @@
     return settings;
 }
 
-drain::Manners read_drain(const TomlReader& table) {
-    drain::Manners settings;
-    settings.front_notices = get_seconds(table, "front_notices_s", 2, 0, 600);
-    settings.closing_takes = get_seconds(table, "closing_takes_s", 2, 0, 600);
+drain::DrainSettings read_drain(const TomlReader& table) {
+    drain::DrainSettings settings;
+    settings.front_notice_delay = get_seconds(table, "front_notices_s", 2, 0, 600);
+    settings.closing_period = get_seconds(table, "closing_takes_s", 2, 0, 600);
     return settings;
 }
 
@@ -74,7 +74,7 @@
     plan.due = get_seconds(table, "due_s", 60, 0.001, kMaxTubeSeconds);
     plan.expiry = get_seconds(table, "expiry_s", 3'600, 0.01, kMaxTubeSeconds);
     if (plan.expiry < plan.due)
-        table.reject("expiry_s", "is shorter than due_s: everything would be given up before it is late");
+        table.reject("expiry_s", "is less than due_s: every job would expire before its due time");
     plan.importance = table.get_number("importance", 1, 0.001, 1e6);
     plan.pushed = get_size(table, "pushed", 0, 0, 100'000);
     return plan;
@@ -84,16 +84,17 @@
     beanstalk::TubePlan plan = read_tube_plan(table);
     plan.name = table.get_string("name", "");
     plan.workload = table.get_string("workload", "");
-    if (plan.name.empty()) table.reject("name", "is missing: which tube?");
+    if (plan.name.empty()) table.reject("name", "is missing: every tube needs a name");
     if (!plan.workload.empty() &&
         (table.has("effect") || table.has("due_s") || table.has("expiry_s") || table.has("importance")))
-        table.reject("workload", "says all of effect, times and importance; they cannot stand beside it");
+        table.reject("workload",
+                     "defines effect, times and importance, so a tube with a workload cannot set them");
     return plan;
 }
 
 net::Address read_address(const TomlReader& table, const std::string& name, const std::string& text) {
-    const auto address = net::Address::read(text);
-    if (!address) table.reject(name, "is no address: \"" + text + "\"");
+    const auto address = net::Address::parse(text);
+    if (!address) table.reject(name, "is not an address: \"" + text + "\"");
     return *address;
 }
 
@@ -109,9 +110,9 @@
     }
     settings.connections = get_size(table, "connections", 64, 1, 100'000);
     settings.trade.longest_body = get_size(table, "longest_job", 65'535, 1, 64 << 20);
-    settings.trade.bounds.jobs = get_size(table, "most_jobs", 1'000'000, 1, 100'000'000);
-    settings.trade.bounds.bytes = get_megabytes(table, "most_mb", 16, 0.01);
-    settings.trade.bounds.tubes = kMaxTubes;
+    settings.trade.bounds.max_jobs = get_size(table, "most_jobs", 1'000'000, 1, 100'000'000);
+    settings.trade.bounds.max_bytes = get_megabytes(table, "most_mb", 16, 0.01);
+    settings.trade.bounds.max_tubes = kMaxTubes;
     settings.trade.other_tubes = get_size(table, "other_tubes", 16, 0, 200);
     settings.trade.cold = table.get_bool("cold", true);
     settings.trade.otherwise = read_tube_plan(table.get_table("other"));
--- a/src/operator_settings/operator_settings.hpp
+++ b/src/operator_settings/operator_settings.hpp
@@ -1,6 +1,6 @@
-// The operators' own file, one table a subsystem (deploy/operator.toml shows all of it). Whatever is missing
-// has a cautious default, and so may the file be: the dispatcher then serves as the platform's configuration
-// says, and no more.
+// The operators' settings file, with one table per subsystem (deploy/operator.toml shows all settings).
+// Missing settings have conservative defaults. Without the file the dispatcher serves as the platform's
+// configuration defines, with no optional subsystem enabled.
 #pragma once
 
 #include <string>
@@ -15,25 +15,25 @@
 
 namespace gannethold::operator_settings {
 
-// Other settings, whose decisions are counted beside those in force and never acted upon.
+// An alternative configuration, whose decisions are compared with the effective ones but never applied.
 struct ShadowSettings {
-    std::string configuration;          // its file; empty: none
-    int sample_interval = 16;           // turns of the loop, of which one is sampled
-    Micros max_cpu_per_second = 2'000;  // of the processor's time
+    std::string configuration;          // the path of its file; empty: none
+    int sample_interval = 16;           // loop iterations per sampled one
+    Micros max_cpu_per_second = 2'000;  // CPU time
 };
 
 struct OperatorSettings {
-    log::Form log_form = log::Form::plain;
-    control::Furniture control;  // an empty path: no control socket
-    drain::Manners drain;
+    log::Format log_form = log::Format::plain;
+    control::Furniture control;  // empty path: no control socket
+    drain::DrainSettings drain;
     retry::DeduplicationSettings deduplication;
-    beanstalk::Furnishing tubes;          // without an address to listen at: off
-    snapshot::SnapshotSettings snapshot;  // an empty folder: no snapshots
+    beanstalk::Furnishing tubes;          // no listen address: disabled
+    snapshot::SnapshotSettings snapshot;  // empty folder: no snapshots
     ShadowSettings shadow;
 
     std::vector<std::string> warnings;  // one line for each old name in the file, "file:line: ..."
 
-    // Both throw toml::TomlError: one line with file, line and name.
+    // Both throw toml::TomlError, with file, line and name in one line.
     static OperatorSettings read_file(const std::string& path);  // "": no file, all defaults
     static OperatorSettings read(const std::string& text, const std::string& source);
 };
--- a/src/peers/post.cpp
+++ b/src/peers/post.cpp
@@ -14,8 +14,8 @@
 constexpr int kMostATurn = 256;             // against peers that leave no time for anything else
 
 bool same(const net::Address& a, const sockaddr_storage& b) {
-    if (a.where.ss_family != AF_INET || b.ss_family != AF_INET) return false;
-    const auto* const one = reinterpret_cast<const sockaddr_in*>(&a.where);
+    if (a.storage.ss_family != AF_INET || b.ss_family != AF_INET) return false;
+    const auto* const one = reinterpret_cast<const sockaddr_in*>(&a.storage);
     const auto* const other = reinterpret_cast<const sockaddr_in*>(&b);
     return one->sin_addr.s_addr == other->sin_addr.s_addr && one->sin_port == other->sin_port;
 }
@@ -26,7 +26,7 @@
     : neighbours_(neighbours), heard_(std::move(heard)) {
     if (!neighbours_.listen) return;
     const net::Address& at = *neighbours_.listen;
-    socket_ = ::socket(at.where.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    socket_ = ::socket(at.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (socket_ < 0 || bind(socket_, at.get(), at.length) != 0)
         throw std::runtime_error("cannot hear peers on " + at.text);
     const auto call = [](evutil_socket_t, short, void* self) { static_cast<Post*>(self)->read(); };
--- a/src/queue/job_queue.cpp
+++ b/src/queue/job_queue.cpp
@@ -5,84 +5,84 @@
 namespace gannethold::queue {
 namespace {
 
-constexpr std::uint32_t kUrgent = 1'024;  // a priority below it, by the protocol's own count
-constexpr std::size_t kEach = 200;        // bytes that a job takes beside its body
+constexpr std::uint32_t kUrgentPriority = 1'024;  // jobs below it count as urgent, as defined by the protocol
+constexpr std::size_t kJobOverheadBytes = 200;    // memory of a job besides its body, about
 
 }  // namespace
 
-void JobHeap::put(std::size_t place, Job* job) {
-    jobs_[place] = job;
-    job->place = static_cast<std::uint32_t>(place);
+void JobHeap::put(std::size_t index, Job* job) {
+    jobs_[index] = job;
+    job->heap_index = static_cast<std::uint32_t>(index);
 }
 
-void JobHeap::settle(std::size_t place) {
-    Job* const job = jobs_[place];
-    while (place > 0 && before(*job, *jobs_[(place - 1) / 2])) {
-        put(place, jobs_[(place - 1) / 2]);
-        place = (place - 1) / 2;
+void JobHeap::sift(std::size_t index) {
+    Job* const job = jobs_[index];
+    while (index > 0 && comes_before(*job, *jobs_[(index - 1) / 2])) {
+        put(index, jobs_[(index - 1) / 2]);
+        index = (index - 1) / 2;
     }
-    for (std::size_t child; (child = 2 * place + 1) < jobs_.size(); place = child) {
-        if (child + 1 < jobs_.size() && before(*jobs_[child + 1], *jobs_[child])) ++child;
-        if (!before(*jobs_[child], *job)) break;
-        put(place, jobs_[child]);
+    for (std::size_t child; (child = 2 * index + 1) < jobs_.size(); index = child) {
+        if (child + 1 < jobs_.size() && comes_before(*jobs_[child + 1], *jobs_[child])) ++child;
+        if (!comes_before(*jobs_[child], *job)) break;
+        put(index, jobs_[child]);
     }
-    put(place, job);
+    put(index, job);
 }
 
 void JobHeap::add(Job& job) {
     jobs_.push_back(&job);
-    settle(jobs_.size() - 1);
+    sift(jobs_.size() - 1);
 }
 
-void JobHeap::take(Job& job) {
-    const std::size_t place = job.place;
+void JobHeap::remove(Job& job) {
+    const std::size_t index = job.heap_index;
     Job* const last = jobs_.back();
     jobs_.pop_back();
     if (last == &job) return;
-    jobs_[place] = last;
-    settle(place);
+    jobs_[index] = last;
+    sift(index);
 }
 
-std::optional<TubeId> JobQueue::tube(const std::string& name) {
+std::optional<TubeId> JobQueue::find_or_create_tube(const std::string& name) {
     if (const auto known = find_tube(name)) return known;
-    if (names_.size() >= bounds_.tubes) return std::nullopt;
-    auto place = std::find(tubes_.begin(), tubes_.end(), nullptr);
-    if (place == tubes_.end()) place = tubes_.insert(tubes_.end(), nullptr);
-    *place = std::make_unique<Tube>();
-    (*place)->name = name;
-    return names_[name] = TubeId{static_cast<std::uint32_t>(place - tubes_.begin())};
+    if (tube_ids_.size() >= limits_.max_tubes) return std::nullopt;
+    auto slot = std::find(tubes_.begin(), tubes_.end(), nullptr);
+    if (slot == tubes_.end()) slot = tubes_.insert(tubes_.end(), nullptr);
+    *slot = std::make_unique<Tube>();
+    (*slot)->name = name;
+    return tube_ids_[name] = TubeId{static_cast<std::uint32_t>(slot - tubes_.begin())};
 }
 
 std::optional<TubeId> JobQueue::find_tube(const std::string& name) const {
-    const auto found = names_.find(name);
-    return found == names_.end() ? std::nullopt : std::optional(found->second);
+    const auto found = tube_ids_.find(name);
+    return found == tube_ids_.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool JobQueue::unused(TubeId tube) {
+bool JobQueue::remove_user(TubeId tube) {
     --at(tube).users;
-    return gone_if_idle(tube);
+    return remove_tube_if_unused(tube);
 }
 
-bool JobQueue::gone_if_idle(TubeId tube) {
+bool JobQueue::remove_tube_if_unused(TubeId tube) {
     const Tube& t = at(tube);
     if (t.users > 0 || t.jobs() > 0) return false;
-    names_.erase(t.name);
+    tube_ids_.erase(t.name);
     tubes_[static_cast<std::size_t>(tube)].reset();
     return true;
 }
 
 std::optional<JobId> JobQueue::put(Micros now, TubeId tube, std::uint32_t priority, Micros delay,
                                    Micros time_to_run, std::string&& body) {
-    const std::size_t weight = body.size() + kEach;
-    if (jobs_.size() >= bounds_.jobs || bytes_ + weight > bounds_.bytes) return std::nullopt;
+    const std::size_t job_bytes = body.size() + kJobOverheadBytes;
+    if (jobs_.size() >= limits_.max_jobs || bytes_ + job_bytes > limits_.max_bytes) return std::nullopt;
     const JobId id = next_id();
     Job& job = jobs_[id];
     job.id = id, job.tube = tube, job.priority = priority, job.time_to_run = time_to_run;
     job.body = std::move(body);
     job.put_at = now;
-    job.state = State::handed;
-    ++at(tube).handed, ++at(tube).total;
-    bytes_ += weight;
+    job.state = State::reserved;
+    ++at(tube).reserved, ++at(tube).total_jobs;
+    bytes_ += job_bytes;
     delay > 0 ? this->delay(job, now, delay) : make_ready(job);
     return id;
 }
@@ -92,19 +92,19 @@
     return found == jobs_.end() ? nullptr : &found->second;
 }
 
-void JobQueue::leave(Job& job) {
+void JobQueue::remove_from_heap(Job& job) {
     Tube& t = at(job.tube);
     switch (job.state) {
         case State::ready:
-            t.ready.take(job);
-            t.urgent -= job.priority < kUrgent;
+            t.ready.remove(job);
+            t.urgent -= job.priority < kUrgentPriority;
             return;
         case State::delayed:
-            return t.delayed.take(job);
+            return t.delayed.remove(job);
         case State::buried:
-            return (job.may_have_run ? t.withheld : t.buried).take(job);
-        case State::handed:
-            --t.handed;
+            return (job.may_have_run ? t.withheld : t.buried).remove(job);
+        case State::reserved:
+            --t.reserved;
             job.task = {};
             return;
     }
@@ -115,46 +115,46 @@
     return now < t.paused_until ? nullptr : t.ready.first();
 }
 
-void JobQueue::hand(Job& job, TaskId task) {
-    leave(job);
-    job.state = State::handed;
+void JobQueue::reserve(Job& job, TaskId task) {
+    remove_from_heap(job);
+    job.state = State::reserved;
     job.task = task;
-    ++at(job.tube).handed;
+    ++at(job.tube).reserved;
 }
 
 void JobQueue::make_ready(Job& job) {
-    leave(job);
+    remove_from_heap(job);
     job.state = State::ready;
-    job.rank = job.priority;
+    job.heap_key = job.priority;
     Tube& t = at(job.tube);
-    t.urgent += job.priority < kUrgent;
+    t.urgent += job.priority < kUrgentPriority;
     t.ready.add(job);
 }
 
 void JobQueue::delay(Job& job, Micros now, Micros by) {
-    leave(job);
+    remove_from_heap(job);
     job.state = State::delayed;
     job.delay = by;
-    job.due = now + by;
-    job.rank = static_cast<std::uint64_t>(job.due);
+    job.due_at = now + by;
+    job.heap_key = static_cast<std::uint64_t>(job.due_at);
     at(job.tube).delayed.add(job);
 }
 
 void JobQueue::bury(Job& job) {
-    leave(job);
+    remove_from_heap(job);
     job.state = State::buried;
-    job.rank = ++burials_;
+    job.heap_key = ++bury_count_;
     ++job.buries;
     (job.may_have_run ? at(job.tube).withheld : at(job.tube).buried).add(job);
 }
 
 bool JobQueue::remove(Job& job) {
     const TubeId tube = job.tube;
-    leave(job);
-    ++at(tube).deleted;
-    bytes_ -= job.body.size() + kEach;
+    remove_from_heap(job);
+    ++at(tube).deleted_jobs;
+    bytes_ -= job.body.size() + kJobOverheadBytes;
     jobs_.erase(job.id);
-    return gone_if_idle(tube);
+    return remove_tube_if_unused(tube);
 }
 
 void JobQueue::pause(TubeId tube, Micros now, Micros by) {
@@ -164,16 +164,16 @@
     ++t.pauses;
 }
 
-Micros JobQueue::pass(Micros now, std::size_t most, std::vector<TubeId>& stirred) {
+Micros JobQueue::advance(Micros now, std::size_t max_jobs, std::vector<TubeId>& changed_tubes) {
     Micros next = 0;
-    for (const auto& [name, id] : names_) {
+    for (const auto& [name, id] : tube_ids_) {
         Tube& t = at(id);
-        bool stirs = false;
-        if (t.paused_until > 0 && t.paused_until <= now) t.paused_until = t.pause = 0, stirs = true;
-        for (Job* job; (job = t.delayed.first()) && job->due <= now && most > 0; --most)
-            make_ready(*job), stirs = true;
-        if (stirs) stirred.push_back(id);
-        for (const Micros at : {t.paused_until, t.delayed.first() ? t.delayed.first()->due : 0})
+        bool is_changed = false;
+        if (t.paused_until > 0 && t.paused_until <= now) t.paused_until = t.pause = 0, is_changed = true;
+        for (Job* job; (job = t.delayed.first()) && job->due_at <= now && max_jobs > 0; --max_jobs)
+            make_ready(*job), is_changed = true;
+        if (is_changed) changed_tubes.push_back(id);
+        for (const Micros at : {t.paused_until, t.delayed.first() ? t.delayed.first()->due_at : 0})
             if (at > 0 && (next == 0 || at < next)) next = at;
     }
     return next;
--- a/src/retry/execution_log.cpp
+++ b/src/retry/execution_log.cpp
@@ -3,7 +3,7 @@
 namespace gannethold::retry {
 namespace {
 
-// What an entry takes in memory beside its key and result, about.
+// The approximate memory of an entry besides its key and result.
 constexpr std::size_t kEntryOverheadBytes = 160;
 
 }  // namespace
