--- a/src/retry/execution_log.hpp
+++ b/src/retry/execution_log.hpp
@@ -1,11 +1,11 @@
-// Which tasks with effects are in flight, may have run or have ended, so that a retry of one never becomes a
-// second execution: it joins the first, or gets the first's answer. No I/O and no clock: times are passed in,
-// in microseconds, and never decrease.
+// Records which tasks with side effects are in flight, may have run or have ended, so that a retry never
+// becomes a second execution: it joins the first one, or gets its answer. No I/O and no clock: times are
+// passed in, in microseconds, and never decrease.
 //
-// Bounded: executions that ended are evicted by their age, and the oldest first where there are too many.
-// Those in flight never are, since tasks are bounded elsewhere. A retry of an evicted one counts as a first
-// attempt: keep `retention` above the time for which clients go on retrying, and `max_entries` above the
-// tasks with effects of that time.
+// Bounded: ended executions are evicted by age, and the oldest first if there are too many. Executions in
+// flight are never evicted, since the number of tasks is bounded elsewhere. A retry of an evicted execution
+// counts as a first attempt: keep `retention` above the time for which clients retry, and `max_entries` above
+// the number of tasks with side effects in that time.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,16 @@
 
 namespace gannethold::retry {
 
+// Settings of the deduplication of retries.
 struct DeduplicationSettings {
     bool is_enabled = false;
-    // A request marked as a retry, without an idempotency key, is known by workload, customer and key of its
-    // path.
+    // Retries without an idempotency key are matched by workload, customer and the key in their path.
     bool matches_by_path = false;
-    Micros retention = 600'000'000;        // after the end
-    std::size_t max_entries = 10'000;      // of executions that have ended
-    std::size_t max_bytes = 4 << 20;       // of keys and results
-    std::size_t max_result_bytes = 8'192;  // a longer result is not kept: a retry learns that it may have run
+    Micros retention = 600'000'000;    // after the end of an execution
+    std::size_t max_entries = 10'000;  // of executions that have ended
+    std::size_t max_bytes = 4 << 20;   // of keys and results
+    std::size_t max_result_bytes =
+        8'192;  // longer results are not kept; a retry is told that the task may have run
 };
 
 enum class ExecutionState { in_flight, finished, may_have_run };
@@ -39,23 +40,23 @@
     struct Execution {
         ExecutionState state{};
         TaskId task{};  // while it is in flight
-        // Of one that finished and whose result was kept, else nullptr. Valid until the next call.
+        // The result, if it finished and its result was kept, else nullptr. Valid until the next call.
         const std::string* result = nullptr;
     };
-    // What is known of the execution with that deduplication key; nullopt: it is new, or was evicted.
+    // The execution with that deduplication key; nullopt: unknown or evicted.
     std::optional<Execution> find(Micros now, const std::string& key);
 
     void on_started(Micros now, const std::string& key, TaskId task);
-    // The end of an execution: its final answer, or that nobody waits for it any more. One that certainly
-    // never ran is forgotten, so that a retry is a first attempt. Ignored where another task is in flight
-    // with that key by now.
+    // The end of an execution: its final answer, or the loss of its last client. An execution that certainly
+    // never ran is removed, so that a retry is a first attempt. Ignored if another task is in flight with
+    // that key by now.
     void on_finished(Micros now, const std::string& key, TaskId task, std::string_view result);
     void on_may_have_run(Micros now, const std::string& key, TaskId task);
     void on_never_ran(const std::string& key, TaskId task);
 
     std::size_t size() const { return entries_.size(); }
     std::size_t bytes() const { return bytes_; }
-    // How many were evicted before their retention was over.
+    // Entries evicted before the end of their retention.
     std::uint64_t evicted_early() const { return evicted_early_; }
 
   private:
@@ -63,12 +64,12 @@
         ExecutionState state = ExecutionState::in_flight;
         TaskId task{};
         Micros ended_at = 0;
-        std::uint64_t number = 0;  // of all entries, in the order of their start
+        std::uint64_t number = 0;  // consecutive, in the order of the starts
         std::string result;
-        bool has_result = false;  // that was kept
+        bool has_result = false;  // and it was kept
     };
     using Entries = std::unordered_map<std::string, Entry>;
-    // An entry as it ended. It refers to none where the entry of that key has another number by now.
+    // Refers to an ended entry. Stale if the entry with that key has another number by now.
     struct EndedEntry {
         std::string key;
         std::uint64_t number = 0;
--- a/src/roster/book.cpp
+++ b/src/roster/book.cpp
@@ -63,8 +63,8 @@
 std::optional<Book::News> Book::take(const Listing& listing, RosterScope scope, Micros now) {
     // A whole list counts whatever its version: a discovery that has restarted counts from the beginning.
     if (scope == RosterScope::changes && listing.version < version_) {
-        log_.warning(now, "roster: passed over changes of version ", log::as("version", listing.version),
-                     ", held is ", log::as("held", version_));
+        log_.warning(now, "roster: passed over changes of version ", log::field("version", listing.version),
+                     ", held is ", log::field("held", version_));
         apart_ = true;
         return std::nullopt;
     }
@@ -75,7 +75,7 @@
     for (const Entry& said : listing.entries) {
         const auto known = held_.find(said.id);
         if (!said.sound()) {
-            log_.warning(now, "roster: passed over the entry of ", log::as("runner", said.id), ", its ",
+            log_.warning(now, "roster: passed over the entry of ", log::field("runner", said.id), ", its ",
                          said.state ? "address" : "state", " cannot be read");
             if (known == held_.end()) continue;
         }
--- a/src/roster/follower.cpp
+++ b/src/roster/follower.cpp
@@ -18,7 +18,7 @@
     : loop_(loop),
       hearer_(hearer),
       kind_(kind),
-      reader_(http::Kind::answer, loop.blocks()),
+      reader_(http::MessageKind::response, loop.block_pool()),
       limit_(loop, [this] { give_up(heard_ ? "it fell silent" : "no answer in time"); }),
       connection_(loop, *this, discovery, kConnectLimit) {
     const std::string watch = "/v1/servers?follow=1&since=" + std::to_string(since);
@@ -41,27 +41,28 @@
     hearer_.call_ended(kind_, why);
 }
 
-void Call::connected() { connection_.write(request_); }
+void Call::on_connected() { connection_.write(request_); }
 
-void Call::ended(net::Ending ending) {
+void Call::on_closed(net::CloseReason ending) {
     // A list that goes on until the connection closes ends properly by that.
-    const bool proper = kind_ == Kind::list && ending == net::Ending::ended_early && reader_.ends_by_close();
+    const bool proper =
+        kind_ == Kind::list && ending == net::CloseReason::ended_early && reader_.is_complete_at_close();
     if (proper && !line_.empty() && !heed_line(std::exchange(line_, {}))) return;
     give_up(proper && heard_ ? nullptr : net::name_of(ending));
 }
 
-void Call::bytes(std::string_view bytes) {
+void Call::on_bytes(std::string_view bytes) {
     // Against a discovery, or a network, that goes silent with the connection open.
     if (kind_ == Kind::watch) limit_.set(net::Loop::now() + (heard_ ? kSilence : kAnswerLimit));
     while (!over_) {
         switch (reader_.read(bytes)) {
-            case http::Found::nothing:
+            case http::ReadResult::nothing:
                 return;
-            case http::Found::head:
+            case http::ReadResult::head:
                 if (reader_.head().status != 200) return give_up("it answered that it cannot");
                 break;
-            case http::Found::body: {
-                std::string_view piece = reader_.piece();
+            case http::ReadResult::body: {
+                std::string_view piece = reader_.body_piece();
                 while (!piece.empty() && !over_) {
                     const auto end = piece.find('\n');
                     if (line_.size() + piece.size() > kLongestLine) return give_up("a line without end");
@@ -72,10 +73,10 @@
                 }
                 break;
             }
-            case http::Found::end:
+            case http::ReadResult::end:
                 if (!line_.empty() && !heed_line(std::exchange(line_, {}))) return;
                 return give_up(kind_ == Kind::list && heard_ ? nullptr : "it ended");
-            case http::Found::fault:
+            case http::ReadResult::error:
                 return give_up("its answer cannot be read");
         }
     }
@@ -85,8 +86,8 @@
     if (text.find_first_not_of(" \t\r") == std::string_view::npos) return true;
     std::optional<Listing> listing;
     try {
-        listing = read_listing(json::read(text));
-    } catch (const json::Malformed&) {
+        listing = read_listing(json::parse(text));
+    } catch (const json::ParseError&) {
     }
     // What the line would have told is missed, so the call must be made again.
     if (!listing) return give_up("a line cannot be read"), false;
--- a/src/roster/follower.hpp
+++ b/src/roster/follower.hpp
@@ -31,9 +31,9 @@
     void close();
 
   private:
-    void connected() override;
-    void bytes(std::string_view bytes) override;
-    void ended(net::Ending ending) override;
+    void on_connected() override;
+    void on_bytes(std::string_view bytes) override;
+    void on_closed(net::CloseReason ending) override;
     bool heed_line(std::string_view text);
     void give_up(const char* why);
 
--- a/src/roster/listing.cpp
+++ b/src/roster/listing.cpp
@@ -12,7 +12,7 @@
 }
 
 std::string word(const json::Value& of, std::string_view name) {
-    const std::string* const text = of.text(name);
+    const std::string* const text = of.find_string(name);
     return text ? *text : "";
 }
 
@@ -36,7 +36,7 @@
 
 std::string spell(const Listing& listing) {
     const auto whole = [](auto n) { return json::Value(json::Number{std::to_string(n)}); };
-    json::List servers;
+    json::Array servers;
     for (const Entry& e : listing.entries) {
         json::Object o;
         o["id"] = json::Value(e.id), o["addr"] = json::Value(e.address ? e.address->text : "");
@@ -48,15 +48,15 @@
     json::Object all;
     all["version"] = whole(listing.version), all["full"] = json::Value(listing.full);
     all["servers"] = json::Value(std::move(servers));
-    return json::write(json::Value(std::move(all)));
+    return json::serialize(json::Value(std::move(all)));
 }
 
 std::optional<Listing> read_listing(const json::Value& said) {
     Listing listing;
     const json::Value* const servers = said.find("servers");
-    const json::List* const list = servers ? servers->get<json::List>() : nullptr;
+    const json::Array* const list = servers ? servers->get<json::Array>() : nullptr;
     const json::Value* const full = said.find("full");
-    const auto version = said.number("version");
+    const auto version = said.find_number("version");
     if (!list || !version || *version < 0 || *version > 4e9) return std::nullopt;
     listing.version = static_cast<std::uint32_t>(*version);
     listing.full = full && full->get<bool>() && *full->get<bool>();
@@ -65,13 +65,13 @@
         e.id = word(one, "id");
         // Without a name nothing can be told of it, not even that it is to be passed over.
         if (e.id.empty()) return std::nullopt;
-        e.address = net::Address::read(word(one, "addr"));
+        e.address = net::Address::parse(word(one, "addr"));
         e.zone = word(one, "zone");
         e.kind = word(one, "kind");
-        e.group = static_cast<std::uint32_t>(within(one.number("cell").value_or(0), 0, 4e9));
-        e.state = state_of(one.text("state"));
-        e.share = within(one.number("weight").value_or(1), 0, 1e6);
-        e.started_ms = static_cast<std::int64_t>(within(one.number("started_ms").value_or(0), 0, 9e15));
+        e.group = static_cast<std::uint32_t>(within(one.find_number("cell").value_or(0), 0, 4e9));
+        e.state = state_of(one.find_string("state"));
+        e.share = within(one.find_number("weight").value_or(1), 0, 1e6);
+        e.started_ms = static_cast<std::int64_t>(within(one.find_number("started_ms").value_or(0), 0, 9e15));
         listing.entries.push_back(std::move(e));
     }
     return listing;
--- a/src/runners/links.cpp
+++ b/src/runners/links.cpp
@@ -31,28 +31,29 @@
     // will. What has begun goes on.
     for (const auto& link : links_)
         if (link->runner() == runner && link->waits_to_begin())
-            link->stop(net::Ending::drained_unsent, net::Ending::drained_unsent);
+            link->stop(net::CloseReason::drained_unsent, net::CloseReason::drained_unsent);
 }
 
 void Links::assign(RunnerId runner, Errand&& errand) {
     Link* const link = idle_or_new(runner);
     if (!link)
         return sender_.errand_ended(
-            {errand.task, errand.number, runner, net::Ending::out_of_sockets, 0, {}, {}});
+            {errand.task, errand.number, runner, net::CloseReason::out_of_sockets, 0, {}, {}});
     out_[{errand.task, errand.number}] = link;
     link->carry(std::move(errand));
 }
 
 void Links::withdraw(TaskId task, int number) {
     const auto found = out_.find({task, number});
-    if (found != out_.end()) found->second->stop(net::Ending::withdrawn, net::Ending::withdrawn_unsent);
+    if (found != out_.end())
+        found->second->stop(net::CloseReason::cancelled, net::CloseReason::cancelled_unsent);
 }
 
 void Links::probe(RunnerId runner) {
     if (Link* const link = idle_or_new(runner))
         link->carry_probe();
     else
-        sender_.probe_ended(runner, net::Ending::out_of_sockets, 0, {});
+        sender_.probe_ended(runner, net::CloseReason::out_of_sockets, 0, {});
 }
 
 void Links::stop_all_by(Micros at) {
@@ -69,7 +70,7 @@
     while (!place.idle.empty()) {
         Link* const link = place.idle.back();
         // Against a request that crosses the runner's close: it would count as one that may have run.
-        if (link->connection_.stale()) {
+        if (link->connection_.is_stale()) {
             link->close();
             continue;
         }
@@ -114,12 +115,12 @@
     : links_(links),
       runner_(runner),
       address_(address.text),
-      reader_(http::Kind::answer, links.loop_.blocks()),
-      line_(links.loop_.blocks()),
+      reader_(http::MessageKind::response, links.loop_.block_pool()),
+      line_(links.loop_.block_pool()),
       limit_(links.loop_,
              [this] {
                  if (busy())
-                     stop(net::Ending::stopped, net::Ending::stopped_unsent);
+                     stop(net::CloseReason::timed_out, net::CloseReason::timed_out_unsent);
                  else
                      close();
              }),
@@ -140,12 +141,12 @@
     if (up_) begin();
 }
 
-void Link::connected() {
+void Link::on_connected() {
     up_ = true;
     if (busy()) begin();
 }
 
-void Link::all_written() {
+void Link::on_all_written() {
     if (state_ != State::errand || !begun_ || std::exchange(told_written_, true)) return;
     links_.sender_.written_whole();
 }
@@ -158,34 +159,34 @@
         connection_.write(links_.reports_.wanted() ? kProbeHead : kHealthHead);
         return;
     }
-    net::Blocks out(links_.loop_.blocks());
+    net::BlockBuffer out(links_.loop_.block_pool());
     const Micros left = std::max<Micros>(1, errand_.stop_at - net::Loop::now());
     bool room = out.append(errand_.head + "X-Timeout: " + std::to_string(left) + "u\r\n\r\n");
-    if (errand_.body) room = room && out.append(errand_.body->text());
-    if (!room) return stop(net::Ending::out_of_sockets, net::Ending::out_of_sockets);
+    if (errand_.body) room = room && out.append(errand_.body->to_string());
+    if (!room) return stop(net::CloseReason::out_of_sockets, net::CloseReason::out_of_sockets);
     connection_.write(std::move(out));
 }
 
-void Link::bytes(std::string_view bytes) {
+void Link::on_bytes(std::string_view bytes) {
     // Bytes that nobody asked for: whatever answer they belong to, it is not the next one's.
     if (state_ == State::idle) return close();
     answered_ = true;
     while (state_ != State::idle && state_ != State::over) {
         switch (reader_.read(bytes)) {
-            case http::Found::nothing:
+            case http::ReadResult::nothing:
                 return;
-            case http::Found::head:
+            case http::ReadResult::head:
                 if (!heed_head()) return;
                 break;
-            case http::Found::body:
+            case http::ReadResult::body:
                 if (!heed_piece()) return;
                 break;
-            case http::Found::end:
+            case http::ReadResult::end:
                 heed_end();
                 if (state_ == State::idle && !bytes.empty()) close();
                 return;
-            case http::Found::fault:
-                settle(net::Ending::malformed);
+            case http::ReadResult::error:
+                settle(net::CloseReason::malformed);
                 return close();
         }
     }
@@ -194,28 +195,28 @@
 bool Link::heed_head() {
     report_ = links_.reports_.read_pairs(reader_.head().field("X-Server-Load"));
     // An answer that comes before the request is out belongs to no request of ours.
-    if (state_ != State::errand || !connection_.unsent()) return true;
+    if (state_ != State::errand || !connection_.has_unsent_bytes()) return true;
     settle(by_status());
     close();
     return false;
 }
 
-net::Ending Link::by_status() const {
+net::CloseReason Link::by_status() const {
     const http::Head& head = reader_.head();
     const bool never_ran = head.field("X-Not-Processed") == "1";
-    if ((head.status == 503 || head.status == 504) && never_ran) return net::Ending::handed_back;
-    if (head.status >= 500) return net::Ending::failed;
+    if ((head.status == 503 || head.status == 504) && never_ran) return net::CloseReason::returned;
+    if (head.status >= 500) return net::CloseReason::failed;
     // Whatever it means, it is no result, and nothing says that the task did not run.
-    return net::Ending::malformed;
+    return net::CloseReason::malformed;
 }
 
 bool Link::heed_piece() {
     const auto give_up = [this] {
-        settle(net::Ending::malformed);
+        settle(net::CloseReason::malformed);
         close();
         return false;
     };
-    std::string_view piece = reader_.piece();
+    std::string_view piece = reader_.body_piece();
     if (state_ == State::probe || (state_ == State::errand && reader_.head().status != 200)) {
         // Bodies that are not lines: a load report, or words on why not.
         return line_.size() + piece.size() <= kLongestLine && line_.append(piece) ? true : give_up();
@@ -226,7 +227,7 @@
             return give_up();
         if (end == std::string_view::npos) return true;
         piece.remove_prefix(end + 1);
-        const std::string text = line_.text();
+        const std::string text = line_.to_string();
         line_.clear();
         if (!heed_line(text)) return false;
     }
@@ -250,7 +251,7 @@
             return true;
         case Line::State::unreadable:
             // Also a line after the last one: a runner that goes on talking is not to be followed.
-            settle(net::Ending::malformed);
+            settle(net::CloseReason::malformed);
             close();
             return false;
     }
@@ -259,23 +260,23 @@
 
 void Link::heed_end() {
     if (state_ == State::probe) {
-        Report report = links_.reports_.read_object(line_.text());
+        Report report = links_.reports_.read_object(line_.to_string());
         if (report.empty()) report = std::move(report_);
-        settle(reader_.head().status == 200 ? net::Ending::done : net::Ending::handed_back,
+        settle(reader_.head().status == 200 ? net::CloseReason::done : net::CloseReason::returned,
                std::move(report));
     } else if (state_ == State::errand && reader_.head().status != 200) {
         settle(by_status(), std::move(report_));
     } else if (state_ == State::errand) {
         // The last line may lack its line end.
-        const std::string text = line_.text();
+        const std::string text = line_.to_string();
         line_.clear();
         if (!text.empty() && !heed_line(text)) return;
         if (state_ == State::errand) {
-            settle(net::Ending::ended_early);
+            settle(net::CloseReason::ended_early);
             return close();
         }
     }
-    const bool keeps = reader_.head().keeps_alive;
+    const bool keeps = reader_.head().is_keep_alive;
     reader_.restart();
     line_.clear();
     if (keeps && state_ != State::over)
@@ -296,9 +297,9 @@
 }
 
 // The one end of an errand or probe; what still comes on the connection is only read to its end.
-void Link::settle(net::Ending ending, Report&& report, std::string&& result) {
+void Link::settle(net::CloseReason ending, Report&& report, std::string&& result) {
     if (!busy()) return;
-    if (net::written_whole(ending)) all_written();  // where its end is read before the loop says so
+    if (net::is_request_written(ending)) on_all_written();  // where its end is read before the loop says so
     const bool probe = state_ == State::probe;
     state_ = State::finishing;
     limit_.set(net::Loop::now() + kFinishing);
@@ -309,9 +310,9 @@
         {errand_.task, errand_.number, runner_, ending, elapsed, std::move(report), std::move(result)});
 }
 
-void Link::stop(net::Ending sent, net::Ending unsent) {
+void Link::stop(net::CloseReason sent, net::CloseReason unsent) {
     if (!busy()) return;
-    const bool all_out = begun_ && !connection_.unsent();
+    const bool all_out = begun_ && !connection_.has_unsent_bytes();
     settle(all_out ? sent : unsent);
     close();
 }
@@ -325,7 +326,7 @@
 void Link::close() {
     if (state_ == State::over) return;
     if (state_ == State::idle) links_.forget_idle(*this);
-    settle(net::Ending::closed);
+    settle(net::CloseReason::closed);
     state_ = State::over;
     limit_.cancel();
     connection_.close();
@@ -334,18 +335,20 @@
     links_.ended_.push_back(this);
 }
 
-void Link::ended(net::Ending ending) {
-    if (!begun_ && busy() && up_) ending = net::Ending::broken_unsent;
+void Link::on_closed(net::CloseReason ending) {
+    if (!begun_ && busy() && up_) ending = net::CloseReason::broken_unsent;
     // An answer that goes on until the connection closes ends properly by that.
-    if (ending == net::Ending::ended_early && state_ == State::errand && reader_.ends_by_close()) {
-        const std::string text = line_.text();
+    if (ending == net::CloseReason::ended_early && state_ == State::errand &&
+        reader_.is_complete_at_close()) {
+        const std::string text = line_.to_string();
         if (reader_.head().status != 200)
             settle(by_status(), std::move(report_));
         else if (!text.empty())
             heed_line(text);
     }
-    if ((ending == net::Ending::ended_early || ending == net::Ending::broken) && used_ && !answered_)
-        ending = net::Ending::crossed;
+    if ((ending == net::CloseReason::ended_early || ending == net::CloseReason::broken) && used_ &&
+        !answered_)
+        ending = net::CloseReason::stale_connection;
     // Where one connection broke, or none could be made, those that are kept are no surer.
     if (busy()) links_.close_idle(runner_);
     if (state_ == State::probe && used_ && !answered_ && links_.places_[runner_].open) {
--- a/src/runners/links.hpp
+++ b/src/runners/links.hpp
@@ -71,7 +71,7 @@
 
     void carry(Errand&& errand);
     void carry_probe();
-    void stop(net::Ending sent, net::Ending unsent);
+    void stop(net::CloseReason sent, net::CloseReason unsent);
     void stop_by(Micros at);
     RunnerId runner() const { return runner_; }
     const std::string& address() const { return address_; }
@@ -82,19 +82,19 @@
     enum class State { idle, errand, probe, finishing, over };
 
     bool busy() const { return state_ == State::errand || state_ == State::probe; }
-    void connected() override;
-    void all_written() override;
-    void bytes(std::string_view bytes) override;
-    void ended(net::Ending ending) override;
+    void on_connected() override;
+    void on_all_written() override;
+    void on_bytes(std::string_view bytes) override;
+    void on_closed(net::CloseReason ending) override;
     void begin();
     bool heed_head();
     bool heed_piece();
     bool heed_line(std::string_view text);
     void heed_end();
-    void settle(net::Ending ending, Report&& report = {}, std::string&& result = {});
+    void settle(net::CloseReason ending, Report&& report = {}, std::string&& result = {});
     void close();
     void keep();
-    net::Ending by_status() const;
+    net::CloseReason by_status() const;
 
     Links& links_;
     const RunnerId runner_;
@@ -105,7 +105,7 @@
     bool up_ = false, begun_ = false, used_ = false, answered_ = false, told_written_ = false;
     Report report_;
     http::Reader reader_;
-    net::Blocks line_;
+    net::BlockBuffer line_;
     net::Timer limit_;  // of what is under way, or of standing idle
     net::Connection connection_;
     std::list<std::unique_ptr<Link>>::iterator place_;
--- a/src/runners/port.hpp
+++ b/src/runners/port.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "net/block_pool.hpp"
-#include "net/ending.hpp"
+#include "net/close_reason.hpp"
 #include "types.hpp"
 
 namespace gannethold::runners {
@@ -16,7 +16,7 @@
     int number = 0;
     std::string request_id;
     std::string head;  // of the request over HTTP, without the time it has and the empty line
-    const net::Blocks* body = nullptr;  // kept by the sender until the errand has ended
+    const net::BlockBuffer* body = nullptr;  // kept by the sender until the errand has ended
     Micros stop_at = 0;
 };
 
@@ -24,7 +24,7 @@
     TaskId task{};
     int number = 0;
     RunnerId runner{};
-    net::Ending ending{};
+    net::CloseReason ending{};
     Micros elapsed = 0;
     Report report;
     std::string result;
@@ -36,7 +36,7 @@
     virtual void errand_ended(ErrandEnded&& ended) = 0;
     virtual void written_whole() = 0;  // the last byte of an assignment was given to the system
     virtual void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) = 0;
-    virtual void probe_ended(RunnerId runner, net::Ending ending, Micros elapsed, Report&& report) = 0;
+    virtual void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) = 0;
 
   protected:
     ~Sender() = default;
--- a/src/runners/words.cpp
+++ b/src/runners/words.cpp
@@ -19,11 +19,11 @@
      {"rate", "qps"},
      {"fail_rate", "eps"}}};
 
-constexpr std::array<std::pair<std::string_view, net::Ending>, 4> kLastStates{
-    {{"done", net::Ending::done},
-     {"failed", net::Ending::failed},
-     {"returned", net::Ending::handed_back},
-     {"lost", net::Ending::lost}}};
+constexpr std::array<std::pair<std::string_view, net::CloseReason>, 4> kLastStates{
+    {{"done", net::CloseReason::done},
+     {"failed", net::CloseReason::failed},
+     {"returned", net::CloseReason::returned},
+     {"lost", net::CloseReason::lost}}};
 
 }  // namespace
 
@@ -84,10 +84,10 @@
     while (!text.empty() && (text.back() == '\n' || text.back() == '\r')) text.remove_suffix(1);
     if (text.empty() || text.front() != '{') return read_pairs(text);
     try {
-        const json::Value value = json::read(text);
+        const json::Value value = json::parse(text);
         const json::Value* const load = value.find("load");
         return read_load(load ? *load : value, *this);
-    } catch (const json::Malformed&) {
+    } catch (const json::ParseError&) {
         return {};
     }
 }
@@ -96,29 +96,29 @@
     Line line;
     json::Value said;
     try {
-        said = json::read(text);
-    } catch (const json::Malformed&) {
+        said = json::parse(text);
+    } catch (const json::ParseError&) {
         return line;
     }
-    const std::string* const id = said.text("id");
-    const std::string* const state = said.text("state");
+    const std::string* const id = said.find_string("id");
+    const std::string* const state = said.find_string("state");
     if (!id || *id != request_id || !state) return line;
     if (*state == "started") {
         line.state = Line::State::started;
     } else if (*state == "running") {
-        line.share = said.number("share").value_or(-1);
+        line.share = said.find_number("share").value_or(-1);
         if (line.share >= 0 && line.share <= 1) line.state = Line::State::running;
     }
     for (const auto& [name, ending] : kLastStates)
         if (*state == name) line.state = Line::State::last, line.ending = ending;
     if (const auto* load = said.find("load")) line.report = read_load(*load, reports);
-    if (line.ending == net::Ending::done) {
+    if (line.ending == net::CloseReason::done) {
         const json::Value* const result = said.find("result");
         const std::string* const words = result ? result->get<std::string>() : nullptr;
         if (!result)
-            line.state = Line::State::unreadable, line.ending = net::Ending::malformed;
+            line.state = Line::State::unreadable, line.ending = net::CloseReason::malformed;
         else
-            line.result = words ? *words : json::write(*result);
+            line.result = words ? *words : json::serialize(*result);
     }
     return line;
 }
--- a/src/runners/words.hpp
+++ b/src/runners/words.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "net/ending.hpp"
+#include "net/close_reason.hpp"
 #include "types.hpp"
 
 namespace gannethold::runners {
@@ -30,7 +30,7 @@
 struct Line {
     enum class State { started, running, last, unreadable };
     State state = State::unreadable;
-    net::Ending ending = net::Ending::malformed;  // of a last line
+    net::CloseReason ending = net::CloseReason::malformed;  // of a last line
     double share = 0;
     Report report;
     std::string result;
--- a/src/snapshot/decay.cpp
+++ b/src/snapshot/decay.cpp
@@ -6,9 +6,9 @@
 namespace gannethold::snapshot {
 namespace {
 
-// Another process on the same machine: most of what was learned is the machine's.
+// A restarted process on the same machine: most of the estimates depend on the machine.
 constexpr double kRestartedFactor = 0.5;
-// In another zone or at another address it may be another machine of that instance type.
+// In another zone or at another address, it may be another machine of the same instance type.
 constexpr double kRelocatedFactor = 0.25;
 constexpr double kNegligibleWeight = 0.02;
 
--- a/src/snapshot/file_descriptor.hpp
+++ b/src/snapshot/file_descriptor.hpp
@@ -22,7 +22,7 @@
 
     bool is_open() const { return descriptor_ >= 0; }
     int get() const { return descriptor_; }
-    // Closes what is open and takes the other over.
+    // Closes the descriptor that is open, if any, and owns the new one.
     void reset(int descriptor = kNone) {
         const int old = std::exchange(descriptor_, descriptor);
         if (old >= 0) ::close(old);
--- a/src/snapshot/file_system.cpp
+++ b/src/snapshot/file_system.cpp
@@ -69,7 +69,7 @@
         if (!file.is_open()) throw_errno("read", path);
         std::string bytes;
         std::array<char, kReadChunkBytes> chunk{};
-        // Until the end is met, whatever size the file is said to have.
+        // Reads until the end of the file, regardless of the size in its metadata.
         while (bytes.size() < max_bytes) {
             const ssize_t count =
                 ::read(file.get(), chunk.data(), std::min(chunk.size(), max_bytes - bytes.size()));
--- a/src/snapshot/file_system.hpp
+++ b/src/snapshot/file_system.hpp
@@ -1,5 +1,5 @@
-// The file system as a SnapshotStore uses it, one call for each step between which power can fail, so that a
-// test can simulate a disk that loses what was not synced.
+// The file system operations of a SnapshotStore, one call for each step at which power can fail, so that a
+// test can simulate a disk that loses unsynced data.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace gannethold::snapshot {
 
-// Errors, here and in FileSystem: std::runtime_error with the operation, the path and the system's reason.
+// All errors are reported as std::runtime_error with the operation, the path and the system's reason.
 
 // A file that is open for writing; closed by its destructor, without a sync.
 class WritableFile {
@@ -21,7 +21,7 @@
     WritableFile& operator=(const WritableFile&) = delete;
 
     virtual void append(std::string_view bytes) = 0;
-    // After it returns, what was appended outlasts a power failure, if the file's name does.
+    // After it returns, the appended bytes survive a power failure, if the file's name does.
     virtual void sync() = 0;
 };
 
@@ -32,16 +32,15 @@
     FileSystem(const FileSystem&) = delete;
     FileSystem& operator=(const FileSystem&) = delete;
 
-    // Empty; whatever bore that name is replaced.
+    // Creates an empty file; an existing one of that name is replaced.
     virtual std::unique_ptr<WritableFile> create(const std::string& path) = 0;
-    // Gives a file a second name. False: it has none to give, or the new name is taken, neither an error
-    // here.
+    // Adds a second name to a file. False, which is not an error: `from` does not exist, or `to` does.
     virtual bool link(const std::string& from, const std::string& to) = 0;
     virtual void rename(const std::string& from, const std::string& to) = 0;
     virtual void remove(const std::string& path) = 0;  // need not exist
-    // After it returns, the names in the folder outlast a power failure.
+    // After it returns, the names in the folder survive a power failure.
     virtual void sync_folder(const std::string& path) = 0;
-    // The first bytes, at most `max_bytes` of them; nullopt: no such file.
+    // At most the first `max_bytes` bytes of a file; nullopt: no such file.
     virtual std::optional<std::string> read(const std::string& path, std::size_t max_bytes) const = 0;
 };
 
--- a/src/snapshot/folder_lock.hpp
+++ b/src/snapshot/folder_lock.hpp
@@ -1,4 +1,4 @@
-// An advisory lock by which one process alone writes a name in a folder.
+// An advisory lock that lets only one process write a given name in a folder.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 namespace gannethold::snapshot {
 
-// The kernel releases it when the process ends, however it ends.
+// The kernel releases the lock when the process ends for any reason.
 class FolderLock {
   public:
     explicit FolderLock(std::string path) : path_(std::move(path)) {}
 
-    // Takes the lock unless it is ours already. Returns "" or, in one line, why it cannot be had. Ours is
-    // only a lock on the file that bears the name now: in a folder that was removed and made again, another
-    // process may have locked the same name.
+    // Acquires the lock unless it is held already. Returns "" or the reason of the failure in one line. A
+    // held lock counts only if it is on the file that has the name now: after the folder was removed and
+    // created again, another process may have locked the same name.
     std::string acquire();
     void release() { file_.reset(); }
 
--- a/src/snapshot/print_snapshot.hpp
+++ b/src/snapshot/print_snapshot.hpp
@@ -10,11 +10,11 @@
 
 enum class PrintDetail {
     summary,  // one line
-    full,     // and what is in it, and how much of that would count now
+    full,     // also the content, and its present weight
 };
 
-// Prints what a snapshot's file holds. Returns the exit status: 0, or 1 where the file cannot be read, which
-// `errors` says.
+// Prints the content of a snapshot's file. Returns the exit status: 0, or 1 if the file cannot be read; the
+// reason is printed to `errors`.
 int print_snapshot(const std::string& path, PrintDetail detail, const DecayPolicy& policy, std::ostream& out,
                    std::ostream& errors);
 
--- a/src/snapshot/snapshot.hpp
+++ b/src/snapshot/snapshot.hpp
@@ -1,5 +1,5 @@
-// What a dispatcher has learned and keeps over a restart. Plain data: runners, instance types and workloads
-// go by name, since each process numbers them anew.
+// The learned state that a dispatcher keeps across a restart. Plain data: runners, instance types and
+// workloads are identified by name, since each process assigns its own ids.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,10 @@
 
 namespace gannethold::snapshot {
 
-// The weight in each bin of a gannethold::Histogram of latencies.
+// The weight of each bin of a gannethold::Histogram of latencies.
 using HistogramBins = std::vector<float>;
 
+// The estimates of one runner.
 struct SavedRunner {
     std::string name;
     std::string instance_type;
@@ -19,22 +20,24 @@
     std::int64_t started_ms = 0;  // Unix time; 0: unknown, long ago
     HistogramBins latency;        // relative to a task's cost
     double min_latency = 0;       // likewise; 0: none seen
-    double slots = 0;             // tasks that it serves at once
-    double fraction = 0;          // of all traffic, 0 to 1
+    double slots = 0;             // concurrent tasks
+    double fraction = 0;          // its share of all traffic, 0 to 1
 };
 
+// The estimates shared by the runners of an instance type.
 struct SavedInstanceType {
-    std::string name;  // empty: every instance type that the settings do not name
+    std::string name;  // empty: all instance types that the settings do not name
     HistogramBins latency;
     double weight = 0;
 };
 
+// The estimates of one workload.
 struct SavedWorkload {
     std::string name;
     HistogramBins latency;  // relative to the due time
 };
 
-// An operator's order to send a runner nothing new.
+// An operator's hold on a runner: no new tasks are sent to it.
 struct SavedOverride {
     std::string runner;
     std::string operator_name;
--- a/src/snapshot/snapshot_format.cpp
+++ b/src/snapshot/snapshot_format.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxBins = 256;
 constexpr int kMaxDepth = 8;  // three levels are used
 
-// Bounds of the numbers in a snapshot; what lies outside is read as 0.
+// Bounds of the numbers in a snapshot; values outside are read as 0.
 constexpr double kMaxLatency = 1e9;
 constexpr double kMaxWeight = 1e9;
 constexpr double kMaxSlots = 1e5;
--- a/src/snapshot/snapshot_scheduler.cpp
+++ b/src/snapshot/snapshot_scheduler.cpp
@@ -28,7 +28,7 @@
       writer_(std::make_unique<SnapshotWriter>(store)),
       timer_(loop, [this] { on_timer(); }) {
     timer_.set(net::Loop::now() + interval_);
-    acquire_lock();  // so that whoever comes second reports it at once
+    acquire_lock();  // so that a second dispatcher reports the conflict at once
 }
 
 Micros SnapshotScheduler::backoff(Micros interval, unsigned consecutive_failures) {
@@ -43,7 +43,7 @@
 
 void SnapshotScheduler::start() {
     if (is_writing() || !acquire_lock()) return;
-    // Only a kill from outside ends the process; to fork another costs the loop a copy of its page tables.
+    // The writer ends only if it is killed. Forking another one costs the loop a copy of its page tables.
     if (!writer_ || !writer_->is_running()) writer_ = std::make_unique<SnapshotWriter>(store_);
     if (!writer_->is_running()) return on_failed("snapshot: no process can be started");
     stage_ = Stage::sending_parts;
@@ -96,14 +96,14 @@
     ++stats_.failed;
     ++stats_.consecutive_failures;
     const Micros delay = backoff(interval_, stats_.consecutive_failures);
-    // Once for each reason, not at each attempt while a disk stays full.
+    // Reported once for each reason, not at each attempt while a disk stays full.
     if (std::exchange(stats_.last_failure, reason) != reason)
         report_change_(reason + "; service goes on, and it is retried with backoff", false);
     timer_.set(net::Loop::now() + delay);
 }
 
 void SnapshotScheduler::write_final() {
-    // One that is being written is older, and two writers would share the temporary file.
+    // Stops a snapshot in progress: it is older, and two writers would share the temporary file.
     writer_.reset();
     stage_ = Stage::idle;
     timer_.cancel();
--- a/src/snapshot/snapshot_scheduler.hpp
+++ b/src/snapshot/snapshot_scheduler.hpp
@@ -1,5 +1,5 @@
-// Writes a snapshot at intervals without holding up the loop: each turn collects a few runners for a
-// SnapshotWriter, which does the rest in a process of its own. One snapshot at a time, each within a time
+// Writes snapshots at intervals without blocking the loop: each iteration collects a few runners for a
+// SnapshotWriter, which does the rest in a process of its own. One snapshot at a time, each with a time
 // limit.
 #pragma once
 
@@ -27,10 +27,10 @@
     std::uint64_t written = 0;
     std::uint64_t failed = 0;
     Micros last_written_at = 0;   // on the loop's clock; 0: none yet
-    Micros loop_blocked = 0;      // by the longest turn of the last snapshot
-    Micros max_loop_blocked = 0;  // by the longest turn of all
-    Micros duration = 0;          // of the last, from its first part to its being synced
-    std::string last_failure;     // "": the last was written
+    Micros loop_blocked = 0;      // the longest iteration of the last snapshot
+    Micros max_loop_blocked = 0;  // the longest iteration of all snapshots
+    Micros duration = 0;          // of the last snapshot, from its first part to the sync
+    std::string last_failure;     // "": the last one was written
     unsigned consecutive_failures = 0;
 };
 
@@ -40,8 +40,8 @@
         Snapshot snapshot;
         std::size_t next_offset = 0;  // where the next part begins; 0: this is the last
     };
-    // Of all that is known, about `max_runners` runners from that offset on. Runners that come or go between
-    // two parts may be missing or be there twice.
+    // Collects about `max_runners` runners from that offset on. Runners that are added or removed between two
+    // parts may be missing or included twice.
     using CollectPart = std::function<Part(std::size_t offset, std::size_t max_runners)>;
     // Called with one line when writing begins to fail, fails for another reason, or works again.
     using ReportChange = std::function<void(const std::string& line, bool is_working)>;
@@ -53,10 +53,10 @@
     SnapshotScheduler(const SnapshotScheduler&) = delete;
     SnapshotScheduler& operator=(const SnapshotScheduler&) = delete;
 
-    // Begins a snapshot now, unless one is being written.
+    // Starts a snapshot now, unless one is being written.
     void start();
-    // Writes one in this process, blocking as long as the disk does, and schedules no more: for a graceful
-    // end.
+    // Writes a snapshot in this process, blocking on the disk, and schedules no more: for a graceful
+    // shutdown.
     void write_final();
 
     const SnapshotStats& stats() const { return stats_; }
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kTemporarySuffix = ".new";
 constexpr const char* kLinkSuffix = ".link";
 
-// A longer file is read up to here, and rejected for its length.
+// A longer file is read up to here, and then rejected for its length.
 constexpr std::size_t kMaxReadBytes = kMaxFileBytes + 1;
 
 }  // namespace
@@ -33,7 +33,7 @@
     refuse_newer_format();
     const std::string temporary = path_ + kTemporarySuffix;
     write_and_sync(temporary, bytes);
-    // The generation before is linked, not renamed, so that at no moment there is no file in place.
+    // The previous generation is linked, not renamed, so that a file is in place at all times.
     const std::string linked = path_ + kLinkSuffix;
     file_system_->remove(linked);
     if (file_system_->link(path_, linked)) file_system_->rename(linked, path_ + kPreviousSuffix);
@@ -41,7 +41,7 @@
     file_system_->sync_folder(folder_);
 }
 
-// After a downgrade, what the newer program learned is not the older one's to overwrite.
+// After a downgrade, the older program must not overwrite the learned state of the newer one.
 void SnapshotStore::refuse_newer_format() const {
     const auto header = file_system_->read(path_, kHeaderBytes);
     if (!header) return;
@@ -58,7 +58,7 @@
             file->append(bytes.substr(0, kWriteChunkBytes));
         file->sync();
     } catch (...) {
-        file_system_->remove(path);  // on a full disk its space is needed
+        file_system_->remove(path);  // a full disk needs the space
         throw;
     }
 }
--- a/src/snapshot/snapshot_store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -1,4 +1,4 @@
-// Where a snapshot lies on disk: a file that is complete or absent, and beside it the generation before.
+// Stores snapshots on disk: a file that is either complete or absent, and the previous generation beside it.
 #pragma once
 
 #include <optional>
@@ -17,17 +17,17 @@
     // REQUIRES: the folder exists; file_system outlives the store and its copies.
     SnapshotStore(std::string folder, const std::string& name, FileSystem& file_system = posix_file_system());
 
-    // Writes a temporary file, syncs it, renames it into place, syncs the folder: whatever fails in between,
-    // a reader finds a complete file. Blocks as long as the disk does. Throws std::runtime_error, also where
-    // a file of a newer format version is in place, which is left alone.
+    // Writes a temporary file, syncs it, renames it into place and syncs the folder: after a failure at any
+    // step, a reader finds a complete file. Blocks on the disk. Throws std::runtime_error, also if a file of
+    // a newer format version is in place, which is never overwritten.
     void write(std::string_view bytes) const;
 
     struct LoadResult {
         std::optional<Snapshot> snapshot;
-        std::string file;                  // that it was read from
+        std::string file;                  // the path that it was read from
         std::vector<std::string> skipped;  // one line for each file that could not be read
     };
-    // The newest generation that can be read.
+    // Loads the newest generation that can be read.
     LoadResult load() const;
 
     const std::string& path() const { return path_; }
@@ -41,7 +41,7 @@
     FileSystem* file_system_;
 };
 
-// All bytes of a snapshot's file. Throws std::runtime_error where there is none.
+// All bytes of a snapshot's file. Throws std::runtime_error if there is none.
 std::string read_file(const std::string& path);
 
 }  // namespace gannethold::snapshot
--- a/src/snapshot/snapshot_writer.cpp
+++ b/src/snapshot/snapshot_writer.cpp
@@ -26,7 +26,7 @@
     std::uint32_t length = 0;
     std::uint32_t is_last = 0;
 };
-// Precedes each result likewise.
+// Precedes each result, likewise.
 using ResultLength = std::uint32_t;
 
 constexpr std::size_t kMaxResultBytes = 400;
@@ -64,7 +64,7 @@
     return ::write(socket, message.data(), message.size()) == static_cast<ssize_t>(message.size());
 }
 
-// What the child process does until the dispatcher's end of the socket closes.
+// The main loop of the child process, until the dispatcher's end of the socket closes.
 void serve_parts(int socket, const SnapshotStore& store) {
     std::optional<Snapshot> snapshot;
     PartHeader header;
@@ -84,17 +84,17 @@
             error = std::string(failure.what()).substr(0, kMaxResultBytes);
         }
         snapshot.reset();
-        malloc_trim(0);  // what encoding took is not needed again until the next snapshot
+        malloc_trim(0);  // the memory of the encoding is not needed until the next snapshot
         if (!send_result(socket, error)) return;
     }
 }
 
 [[noreturn]] void run_child(int socket, pid_t parent, const SnapshotStore& store) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(1);  // it ended before the call above
+    if (getppid() != parent) _exit(1);  // the parent ended before the call above
     // Signals to the whole process group are for the dispatcher, which still has its last snapshot to write.
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) std::signal(signal, SIG_IGN);
-    // A listening socket or a folder's lock must not live on here while the dispatcher is started again.
+    // Closes inherited descriptors: a listening socket or a folder's lock must not outlive the dispatcher.
     dup2(socket, kSocketOfChild);
     syscall(SYS_close_range, static_cast<unsigned>(kSocketOfChild) + 1, ~0U, 0U);
     serve_parts(kSocketOfChild, store);
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -14,7 +14,7 @@
 
 class SnapshotWriter {
   public:
-    // Where no process can be started, is_running() is false from the beginning.
+    // If no process can be started, is_running() is false from the beginning.
     explicit SnapshotWriter(const SnapshotStore& store);
     ~SnapshotWriter();  // kills the process, also in the middle of a write
     SnapshotWriter(const SnapshotWriter&) = delete;
@@ -23,12 +23,12 @@
     bool is_running() const { return process_ > 0; }
     pid_t process() const { return process_; }
 
-    // Queues one part of a snapshot. Lists are appended to those of the parts before it; all else counts as
-    // the first part says. After the last part the process writes the snapshot.
+    // Queues one part of a snapshot. Its lists are appended to those of the earlier parts; all other values
+    // are taken from the first part. After the last part the process writes the snapshot.
     void queue_part(const Snapshot& part, bool is_last);
-    // Sends what is queued, as far as it goes without blocking. True: nothing is left.
+    // Sends queued bytes without blocking. True: all were sent.
     bool flush();
-    // After the last part. nullopt: still writing; "": written; else why not, in one line.
+    // To be called after the last part. nullopt: still writing; "": written; else the error in one line.
     std::optional<std::string> poll_result();
 
   private:
--- a/src/toml/toml_reader.cpp
+++ b/src/toml/toml_reader.cpp
@@ -13,7 +13,7 @@
 namespace gannethold::toml {
 namespace {
 
-// Levenshtein's distance: how many insertions, deletions and substitutions make one name of the other.
+// The Levenshtein distance of two names.
 std::size_t edit_distance(const std::string& from, const std::string& to) {
     std::vector<std::size_t> row(to.size() + 1);
     for (std::size_t j = 0; j < row.size(); ++j) row[j] = j;
@@ -50,7 +50,7 @@
     std::shared_ptr<std::vector<std::string>> warnings;  // of the file
     mutable std::set<std::string> read_names;
     mutable std::map<std::string, std::string> old_names;  // in the file, by their present name
-    mutable std::vector<std::shared_ptr<Table>> children;  // that were got from this one
+    mutable std::vector<std::shared_ptr<Table>> children;  // obtained from this one
 
     const ::toml::node* find(const std::string& name) const {
         read_names.insert(name);
@@ -101,7 +101,7 @@
         reject(&node, "no such name: " + full_name(name) +
                           (closest.empty() ? "" : "; did you mean " + closest + "?"));
     }
-    // The elements of an array; nullptr: the name is missing. `elements` says what they should be.
+    // The array of that name; nullptr: missing. `elements` describes its elements in errors.
     const ::toml::array* find_array(const std::string& name, const std::string& elements) const {
         const ::toml::node* const node = find(name);
         if (!node) return nullptr;
--- a/tests/beanstalk_stories.cpp
+++ b/tests/beanstalk_stories.cpp
@@ -350,7 +350,7 @@
 
 TEST_CASE("bounds hold: jobs, bytes, tubes, and a place that is given back is used again") {
     Trade trade = Hall::trade("idempotent");
-    trade.bounds.jobs = 3, trade.bounds.bytes = 2'000;
+    trade.bounds.max_jobs = 3, trade.bounds.max_bytes = 2'000;
     trade.other_tubes = 2;
     Hall hall(trade);
     const SessionId one = hall.connect();
--- a/tests/control_stories.cpp
+++ b/tests/control_stories.cpp
@@ -42,14 +42,14 @@
         wire.got.clear();
         wire.send("{\"v\":1," + what + "}\n");
         REQUIRE(until([&] { return wire.has("\n"); }));
-        return json::read(wire.got.substr(0, wire.got.find('\n')));
+        return json::parse(wire.got.substr(0, wire.got.find('\n')));
     }
     json::Value ask(const std::string& what) {
         TestConnection wire = operator_();
         return ask(wire, what);
     }
     static bool ok(const json::Value& v) { return v.find("ok") && *v.find("ok")->get<bool>(); }
-    std::string phase() { return *ask("\"do\":\"status\"").find("drain")->text("phase"); }
+    std::string phase() { return *ask("\"do\":\"status\"").find("drain")->find_string("phase"); }
     int requests_at_runners() {
         int n = 0;
         for (const auto& listener : runner_listeners)
@@ -71,12 +71,12 @@
     TestConnection op = t.operator_();
     const json::Value status = t.ask(op, "\"do\":\"status\"");
     CHECK(Ruled::ok(status));
-    CHECK(*status.number("ready") == 2);
-    CHECK(*status.number("tasks") == 1);
+    CHECK(*status.find_number("ready") == 2);
+    CHECK(*status.find_number("tasks") == 1);
     const json::Value runners = t.ask(op, "\"do\":\"runners\"");
-    CHECK(runners.find("runners")->get<json::List>()->size() == 2);
+    CHECK(runners.find("runners")->get<json::Array>()->size() == 2);
     const json::Value tasks = t.ask(op, "\"do\":\"tasks\"");
-    CHECK(tasks.find("tasks")->get<json::List>()->front().number("out") == 1);
+    CHECK(tasks.find("tasks")->get<json::Array>()->front().find_number("out") == 1);
     std::ostringstream wide;
     control::write_runners(wide, runners, 50);
     for (std::string line, rest = wide.str(); !rest.empty(); rest.erase(0, line.size() + 1)) {
@@ -138,8 +138,8 @@
     CHECK(kept.ended());
     other.send(DispatcherFixture::post("two"));
     t.at_runner("two");
-    const json::Value undone =
-        t.ask("\"do\":\"undrain\",\"ticket\":" + std::to_string(static_cast<int>(*order.number("ticket"))));
+    const json::Value undone = t.ask("\"do\":\"undrain\",\"ticket\":" +
+                                     std::to_string(static_cast<int>(*order.find_number("ticket"))));
     REQUIRE(Ruled::ok(undone));
     CHECK(t.phase() == "serving");
     t.at_runner("two").send(DispatcherFixture::done("two"));
@@ -178,8 +178,8 @@
     t.pass(20);
     const json::Value second = t.ask("\"do\":\"drain\",\"deadline_s\":1,\"by\":\"bob\"");
     CHECK_FALSE(Ruled::ok(second));
-    CHECK(second.text("why")->find("(ada)") != std::string::npos);
-    CHECK(second.text("why")->find("ticket 1") != std::string::npos);
+    CHECK(second.find_string("why")->find("(ada)") != std::string::npos);
+    CHECK(second.find_string("why")->find("ticket 1") != std::string::npos);
     CHECK(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":1,\"ticket\":1,\"by\":\"bob\"")));
     // A reload changes nothing about it.
     t.reload(t.text);
@@ -193,11 +193,11 @@
     t.at_runner("one");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":20")));
     t.dispatcher->leave();
-    CHECK(t.ask("\"do\":\"undrain\",\"ticket\":1").text("why")->find("leaving for good") !=
+    CHECK(t.ask("\"do\":\"undrain\",\"ticket\":1").find_string("why")->find("leaving for good") !=
           std::string::npos);
     t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
-    CHECK(t.until([&] { return t.loop.stopping(); }));
+    CHECK(t.until([&] { return t.loop.is_stopping(); }));
 }
 
 TEST_CASE(
@@ -207,13 +207,13 @@
     t.runner_listeners[0]->stick();
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
-    REQUIRE(t.until([&] { return *t.ask("\"do\":\"status\"").number("out") == 1; }));
+    REQUIRE(t.until([&] { return *t.ask("\"do\":\"status\"").find_number("out") == 1; }));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-1\"")));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.requests_at_runners() == 1);
-    CHECK(*t.ask("\"do\":\"failures\"").find("failures")->get<json::List>()->front().text("cause") ==
+    CHECK(*t.ask("\"do\":\"failures\"").find("failures")->get<json::Array>()->front().find_string("cause") ==
           "runner drains, nothing written");
 }
 
@@ -234,7 +234,7 @@
     watch.send(DispatcherFixture::taken + DispatcherFixture::chunk(t.list(9, "SERVING", true) + "\n"));
     t.pass(30);
     const json::Value runners = t.ask("\"do\":\"runners\"");
-    CHECK(*runners.find("runners")->get<json::List>()->front().text("state") == "held");
+    CHECK(*runners.find("runners")->get<json::Array>()->front().find_string("state") == "held");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-0\"")));
     REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
     TestConnection client = t.client();
@@ -300,14 +300,14 @@
     t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     TestConnection back = t.operator_();
     const json::Value said = t.ask(back, "\"do\":\"follow\",\"after\":2");
-    CHECK(*said.number("missed") == 0);
+    CHECK(*said.find_number("missed") == 0);
     CHECK(t.until([&] { return back.has("\"seq\":3"); }));
     for (int i = 0; i < 10; ++i) {
         t.ask("\"do\":\"release\",\"runner\":\"s-0\"");
         t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     }
     TestConnection late = t.operator_();
-    CHECK(*t.ask(late, "\"do\":\"follow\",\"after\":3").number("missed") == 10);
+    CHECK(*t.ask(late, "\"do\":\"follow\",\"after\":3").find_number("missed") == 10);
     TestConnection stranger = t.operator_();
     CHECK(*t.ask(stranger, "\"do\":\"follow\",\"after\":900").find("missed")->get<bool>());
 }
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -223,5 +223,5 @@
     fixture.dispatcher->leave();
     CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
     CHECK(has_status(fixture.call("POST", "/control/in-service"), 409));
-    CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 4000));
+    CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 4000));
 }
--- a/tests/dispatcher/learned_state_test.cpp
+++ b/tests/dispatcher/learned_state_test.cpp
@@ -24,7 +24,7 @@
         TestConnection wire = TestConnection::to_path(extras.desk->path);
         wire.send("{\"v\":1," + what + "}\n");
         REQUIRE(fixture.until([&] { return wire.has("\n"); }));
-        return json::read(wire.got.substr(0, wire.got.find('\n')));
+        return json::parse(wire.got.substr(0, wire.got.find('\n')));
     };
     {
         DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
@@ -36,26 +36,28 @@
             REQUIRE(fixture.until([&] { return client.has("picture"); }));
         }
         ask(fixture, "\"do\":\"hold\",\"runner\":\"s-1\",\"why\":\"cable\"");
-        const double before = *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("written");
+        const double before = *ask(fixture, "\"do\":\"status\"").find("keepsake")->find_number("written");
         REQUIRE(fixture.until([&] {
-            return *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("written") > before + 1;
+            return *ask(fixture, "\"do\":\"status\"").find("keepsake")->find_number("written") > before + 1;
         }));
-        CHECK(*ask(fixture, "\"do\":\"status\"").find("keepsake")->number("failed") == 0);
+        CHECK(*ask(fixture, "\"do\":\"status\"").find("keepsake")->find_number("failed") == 0);
     }
     {
         DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
                                   extras);
         const json::Value status = ask(fixture, "\"do\":\"status\"");
-        CHECK(*status.number("held") == 1);
-        CHECK(status.find("keepsake")->text("recalled")->find(" runners restored") != std::string::npos);
+        CHECK(*status.find_number("held") == 1);
+        CHECK(status.find("keepsake")->find_string("recalled")->find(" runners restored") !=
+              std::string::npos);
         // A folder that can no longer be written is reported, and costs nothing else.
         std::filesystem::remove_all(folder.path + "/n0.keep");
         std::filesystem::create_directory(folder.path + "/n0.keep.new");
         REQUIRE(fixture.until(
-            [&] { return *ask(fixture, "\"do\":\"status\"").find("keepsake")->number("failed") > 0; }));
-        CHECK(
-            ask(fixture, "\"do\":\"status\"").find("keepsake")->text("last_failure")->find("cannot write") !=
-            std::string::npos);
+            [&] { return *ask(fixture, "\"do\":\"status\"").find("keepsake")->find_number("failed") > 0; }));
+        CHECK(ask(fixture, "\"do\":\"status\"")
+                  .find("keepsake")
+                  ->find_string("last_failure")
+                  ->find("cannot write") != std::string::npos);
         TestConnection client = fixture.client();
         client.send(DispatcherFixture::post("on"));
         fixture.at_runner("on").send(DispatcherFixture::done("on"));
--- a/tests/fuzz/beanstalk.cpp
+++ b/tests/fuzz/beanstalk.cpp
@@ -42,9 +42,9 @@
         for (int turn = 0; turn < 4; ++turn) {
             for (const auto& e : std::exchange(ended, {}))
                 exchange.answer(e.task,
-                                e.ending == net::Ending::done             ? fronts::Answer::finished
-                                : e.ending == net::Ending::stopped_unsent ? fronts::Answer::bounced
-                                                                          : fronts::Answer::abandoned,
+                                e.ending == net::CloseReason::done               ? fronts::Answer::finished
+                                : e.ending == net::CloseReason::timed_out_unsent ? fronts::Answer::bounced
+                                                                                 : fronts::Answer::abandoned,
                                 "", 0);
             for (const SessionId s : std::exchange(closing, {})) exchange.closed(now, s);
             exchange.pass(now);
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -140,15 +140,15 @@
     }
     void worker_room(RunnerId worker, double slots) override { choice.note(now, RoomTold{worker, slots}); }
     void errand_ended(runners::ErrandEnded&& e) override {
-        const bool finished = e.ending == net::Ending::done;
+        const bool finished = e.ending == net::CloseReason::done;
         if (finished) answer(e.task, fronts::Answer::finished, 0);
-        const Outcome outcome = finished                                  ? Outcome::finished
-                                : e.ending == net::Ending::handed_back    ? Outcome::full
-                                : e.ending == net::Ending::stopped_unsent ? Outcome::moot
-                                : e.ending == net::Ending::withdrawn      ? Outcome::withdrawn
-                                : e.ending == net::Ending::stopped        ? Outcome::timed_out
-                                : e.ending == net::Ending::failed         ? Outcome::error
-                                                                          : Outcome::reset;
+        const Outcome outcome = finished                                         ? Outcome::finished
+                                : e.ending == net::CloseReason::returned         ? Outcome::full
+                                : e.ending == net::CloseReason::timed_out_unsent ? Outcome::moot
+                                : e.ending == net::CloseReason::cancelled        ? Outcome::withdrawn
+                                : e.ending == net::CloseReason::timed_out        ? Outcome::timed_out
+                                : e.ending == net::CloseReason::failed           ? Outcome::error
+                                                                                 : Outcome::reset;
         choice.note(now, AssignmentEnded{
                              e.task, !tasks[e.task].waits, 0, e.elapsed, e.runner, e.number, outcome, {}});
     }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -267,7 +267,7 @@
         return text + "]}";
     }
     void turn() {
-        loop.turn(false);
+        loop.run_once(false);
         dispatcher->end_turn();
     }
     // Turns until it holds, for a bounded time.
--- a/tests/metrics/counters_test.cpp
+++ b/tests/metrics/counters_test.cpp
@@ -22,7 +22,7 @@
     CHECK(counters.total_answers().abandoned == 1);
 }
 
-TEST_CASE("assignments and reloads are counted apart") {
+TEST_CASE("assignments and reloads are counted separately") {
     Counters counters;
     counters.on_assignment_written();
     counters.on_assignment_written();
--- a/tests/operator_settings/operator_settings_test.cpp
+++ b/tests/operator_settings/operator_settings_test.cpp
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-TEST_CASE("an operators' file that is empty or not given changes nothing") {
-    CHECK(OperatorSettings::read("", "x").log_form == log::Form::plain);
-    CHECK(OperatorSettings::read_file("").log_form == log::Form::plain);
-    CHECK(OperatorSettings::read("[log]\nform = \"json\"\n", "x").log_form == log::Form::json);
+TEST_CASE("an empty or missing operators' file gives the defaults") {
+    CHECK(OperatorSettings::read("", "x").log_form == log::Format::plain);
+    CHECK(OperatorSettings::read_file("").log_form == log::Format::plain);
+    CHECK(OperatorSettings::read("[log]\nform = \"json\"\n", "x").log_form == log::Format::json);
 }
 
-TEST_CASE("a misspelt name is rejected with its line and a similar one") {
+TEST_CASE("a misspelt name is rejected with its line and a suggestion") {
     CHECK(error_of("[log]\nfrom = \"json\"\n") ==
           "operator.toml:2: no such name: log.from; did you mean form?");
     CHECK(error_of("# first\n[lgo]\nform = \"json\"\n") ==
@@ -39,7 +39,7 @@
     CHECK_THROWS_AS(OperatorSettings::read_file("/nowhere/operator.toml"), toml::TomlError);
 }
 
-TEST_CASE("an old name is read with one warning, and rejected beside the new one") {
+TEST_CASE("an old name is read with one warning, and rejected together with the new one") {
     const OperatorSettings old_name =
         OperatorSettings::read("[log]\n[keepsake]\nfolder = \"f\"\nhalf_life_h = 1\n", "operator.toml");
     CHECK(old_name.snapshot.folder == "f");
--- a/tests/parser_stories.cpp
+++ b/tests/parser_test.cpp
@@ -9,56 +9,58 @@
 
 namespace {
 
-// What a reader makes of pieces, as one text.
-struct Reading {
-    explicit Reading(http::Kind kind) : reader(kind, pool) {}
+// The results of a reader for a sequence of pieces, as one text.
+struct ReadTranscript {
+    explicit ReadTranscript(http::MessageKind kind) : reader(kind, pool) {}
 
-    void take(std::string_view bytes) {
-        while (heard.find("fault") == std::string::npos) {
+    void add(std::string_view bytes) {
+        while (results.find("fault") == std::string::npos) {
             switch (reader.read(bytes)) {
-                case http::Found::nothing:
+                case http::ReadResult::nothing:
                     return;
-                case http::Found::head:
-                    heard += std::string(reader.head().method) + std::string(reader.head().target) +
-                             std::to_string(reader.head().status) + (reader.head().keeps_alive ? "+" : "-");
+                case http::ReadResult::head:
+                    results += std::string(reader.head().method) + std::string(reader.head().target) +
+                               std::to_string(reader.head().status) +
+                               (reader.head().is_keep_alive ? "+" : "-");
                     for (const auto& f : reader.head().fields)
-                        heard += "[" + std::string(f.name) + "=" + std::string(f.value) + "]";
+                        results += "[" + std::string(f.name) + "=" + std::string(f.value) + "]";
                     break;
-                case http::Found::body:
-                    heard += reader.piece();
+                case http::ReadResult::body:
+                    results += reader.body_piece();
                     break;
-                case http::Found::end:
-                    heard += "|";
+                case http::ReadResult::end:
+                    results += "|";
                     reader.restart();
                     break;
-                case http::Found::fault:
-                    heard += "fault" + std::to_string(static_cast<int>(reader.fault()));
+                case http::ReadResult::error:
+                    results += "fault" + std::to_string(static_cast<int>(reader.error()));
             }
         }
     }
 
     net::BlockPool pool{4};
     http::Reader reader;
-    std::string heard;
+    std::string results;
 };
 
-std::string read_whole(http::Kind kind, const std::string& text) {
-    Reading r(kind);
-    r.take(text);
-    return r.heard;
+std::string read_whole(http::MessageKind kind, const std::string& text) {
+    ReadTranscript transcript(kind);
+    transcript.add(text);
+    return transcript.results;
 }
 
-void reads_alike_however_split(http::Kind kind, const std::string& text, const std::string& expected) {
+void check_reads_the_same_when_split(http::MessageKind kind, const std::string& text,
+                                     const std::string& expected) {
     CHECK(read_whole(kind, text) == expected);
     for (std::size_t at = 1; at < text.size(); ++at) {
-        Reading r(kind);
-        r.take(std::string_view(text).substr(0, at));
-        r.take(std::string_view(text).substr(at));
-        CHECK_MESSAGE(r.heard == expected, "split at ", at);
+        ReadTranscript transcript(kind);
+        transcript.add(std::string_view(text).substr(0, at));
+        transcript.add(std::string_view(text).substr(at));
+        CHECK_MESSAGE(transcript.results == expected, "split at ", at);
     }
-    Reading r(kind);
-    for (const char& c : text) r.take({&c, 1});
-    CHECK(r.heard == expected);
+    ReadTranscript transcript(kind);
+    for (const char& c : text) transcript.add({&c, 1});
+    CHECK(transcript.results == expected);
 }
 
 const std::string kMalformed = "fault1", kTooLarge = "fault2", kVersion = "fault3", kNoBlock = "fault4";
@@ -66,8 +68,8 @@
 }  // namespace
 
 TEST_CASE("requests read the same wherever the network splits them") {
-    reads_alike_however_split(
-        http::Kind::request,
+    check_reads_the_same_when_split(
+        http::MessageKind::request,
         "\r\nPOST /render/7?a=b HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
         "GET /healthz HTTP/1.0\r\n\r\n"
         "POST /r HTTP/1.1\r\nTransfer-Encoding: chunked\r\nconnection: Keep, CLOSE\r\n\r\n"
@@ -77,13 +79,14 @@
 }
 
 TEST_CASE("answers read the same wherever the network splits them") {
-    reads_alike_however_split(http::Kind::answer,
-                              "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"
-                              "HTTP/1.1 204 None\r\n\r\nHTTP/1.1 200\r\nA:\t b \r\n\r\ntill the end",
-                              "503+[Content-Length=2]no|204+|200-[A=b]till the end");
+    check_reads_the_same_when_split(
+        http::MessageKind::response,
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"
+        "HTTP/1.1 204 None\r\n\r\nHTTP/1.1 200\r\nA:\t b \r\n\r\ntill the end",
+        "503+[Content-Length=2]no|204+|200-[A=b]till the end");
 }
 
-TEST_CASE("a head that two readers could take differently is refused") {
+TEST_CASE("an ambiguous head is rejected") {
     for (const std::string bad :
          {"POST /r HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
           "POST /r HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
@@ -97,52 +100,54 @@
           "POST /r HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
           "POST /r HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n",
           "POST /r HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
-        const std::string heard = read_whole(http::Kind::request, bad);
-        CHECK_MESSAGE(heard.ends_with(kMalformed), bad);
+        const std::string results = read_whole(http::MessageKind::request, bad);
+        CHECK_MESSAGE(results.ends_with(kMalformed), bad);
     }
-    CHECK(read_whole(http::Kind::request, "GET / HTTP/2.0\r\n\r\n") == kVersion);
-    CHECK(read_whole(http::Kind::answer, "HTTP/1.1 99 x\r\n\r\n") == kMalformed);
-    CHECK(read_whole(http::Kind::answer, "HTTP/1.1 101 Switch\r\n\r\n") == kMalformed);
-    CHECK(read_whole(http::Kind::answer, "HTTP/1.1 2000 x\r\n\r\n") == kMalformed);
+    CHECK(read_whole(http::MessageKind::request, "GET / HTTP/2.0\r\n\r\n") == kVersion);
+    CHECK(read_whole(http::MessageKind::response, "HTTP/1.1 99 x\r\n\r\n") == kMalformed);
+    CHECK(read_whole(http::MessageKind::response, "HTTP/1.1 101 Switch\r\n\r\n") == kMalformed);
+    CHECK(read_whole(http::MessageKind::response, "HTTP/1.1 2000 x\r\n\r\n") == kMalformed);
 }
 
-TEST_CASE("heads, chunk sizes and trailers without an end are refused, and blocks go back") {
+TEST_CASE("unbounded heads, chunk sizes and trailers are rejected, and their blocks are released") {
     const std::string head = "POST /r HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    CHECK(read_whole(http::Kind::request, "GET /" + std::string(net::BlockPool::kBytes, 'a')) == kTooLarge);
-    CHECK(read_whole(http::Kind::request, head + "00000000001").ends_with(kTooLarge));
-    CHECK(read_whole(http::Kind::request, head + "1;" + std::string(5000, 'x')).ends_with(kMalformed));
-    CHECK(read_whole(http::Kind::request, head + "0\r\n" + std::string(5000, 'x')).ends_with(kMalformed));
+    CHECK(read_whole(http::MessageKind::request, "GET /" + std::string(net::BlockPool::kBlockBytes, 'a')) ==
+          kTooLarge);
+    CHECK(read_whole(http::MessageKind::request, head + "00000000001").ends_with(kTooLarge));
+    CHECK(read_whole(http::MessageKind::request, head + "1;" + std::string(5000, 'x')).ends_with(kMalformed));
+    CHECK(read_whole(http::MessageKind::request, head + "0\r\n" + std::string(5000, 'x'))
+              .ends_with(kMalformed));
     net::BlockPool none(0);
-    http::Reader starved(http::Kind::request, none);
+    http::Reader starved(http::MessageKind::request, none);
     std::string_view bytes = "GET / HTTP/1.1\r\n\r\n";
-    CHECK(starved.read(bytes) == http::Found::fault);
+    CHECK(starved.read(bytes) == http::ReadResult::error);
     net::BlockPool pool(2);
     {
-        net::Blocks body(pool);
-        CHECK(body.append(std::string(net::BlockPool::kBytes + 1, 'b')));
-        CHECK(pool.out() == 2);
-        CHECK(pool.scarce());
-        CHECK_FALSE(body.append(std::string(net::BlockPool::kBytes, 'b')));
-        net::Blocks moved(std::move(body));
-        CHECK(moved.text().size() == 2 * net::BlockPool::kBytes);
+        net::BlockBuffer body(pool);
+        CHECK(body.append(std::string(net::BlockPool::kBlockBytes + 1, 'b')));
+        CHECK(pool.in_use() == 2);
+        CHECK(pool.is_scarce());
+        CHECK_FALSE(body.append(std::string(net::BlockPool::kBlockBytes, 'b')));
+        net::BlockBuffer moved(std::move(body));
+        CHECK(moved.to_string().size() == 2 * net::BlockPool::kBlockBytes);
     }
-    CHECK(pool.out() == 0);
+    CHECK(pool.in_use() == 0);
 }
 
-TEST_CASE("JSON is read whole or refused, also when it stops anywhere") {
+TEST_CASE("JSON is parsed completely or rejected, also if truncated anywhere") {
     const std::string text =
         R"({"a":[1,-2.5e+3,true,false,null,{}],"b":"q\"\\\/\b\f\n\r\t\u0041\u00e9\u20ac\ud83d\ude00","c":[]})";
-    const json::Value value = json::read(text);
-    CHECK(*value.text("b") == "q\"\\/\b\f\n\r\tA\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80");
-    CHECK((*value.find("a")->get<json::List>())[1].get<json::Number>()->value() == -2500);
-    CHECK(json::write(json::read(json::write(value))) == json::write(value));
+    const json::Value value = json::parse(text);
+    CHECK(*value.find_string("b") == "q\"\\/\b\f\n\r\tA\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80");
+    CHECK((*value.find("a")->get<json::Array>())[1].get<json::Number>()->value() == -2500);
+    CHECK(json::serialize(json::parse(json::serialize(value))) == json::serialize(value));
     for (std::size_t at = 0; at < text.size(); ++at)
-        CHECK_THROWS_AS(json::read(std::string_view(text).substr(0, at)), json::Malformed);
+        CHECK_THROWS_AS(json::parse(std::string_view(text).substr(0, at)), json::ParseError);
     for (const std::string bad :
          {"{}x", "[1,]", "{\"a\":1,}", "{\"a\":1,\"a\":2}", "01", "1.", "-", "1e", "\"\n\"", "\"\\x\"",
           "\"\\u12g4\"", "\"\\ud800\"", "\"\\ude00\"", "tru", "nan", "{a:1}", "+1"})
-        CHECK_THROWS_AS(json::read(bad), json::Malformed);
-    CHECK_THROWS_AS(json::read(std::string(100, '[') + std::string(100, ']')), json::Malformed);
+        CHECK_THROWS_AS(json::parse(bad), json::ParseError);
+    CHECK_THROWS_AS(json::parse(std::string(100, '[') + std::string(100, ']')), json::ParseError);
 }
 
 TEST_CASE("a runner's lines and load reports are read; what cannot be is one that may have run") {
@@ -158,9 +163,9 @@
     CHECK(read(R"("state":"done","result":{"n":[1]})").result == R"({"n":[1]})");
     CHECK(read(R"("state":"started")").state == State::started);
     CHECK(read(R"("state":"running","share":0.4)").share == 0.4);
-    CHECK(read(R"("state":"failed")").ending == net::Ending::failed);
-    CHECK(read(R"("state":"returned")").ending == net::Ending::handed_back);
-    CHECK(read(R"("state":"lost")").ending == net::Ending::lost);
+    CHECK(read(R"("state":"failed")").ending == net::CloseReason::failed);
+    CHECK(read(R"("state":"returned")").ending == net::CloseReason::returned);
+    CHECK(read(R"("state":"lost")").ending == net::CloseReason::lost);
     for (const std::string bad : {R"("state":"running","share":1.5)", R"("state":"running")",
                                   R"("state":"odd")", R"("state":"done")", R"("state":1)", R"("state")"})
         CHECK(read(bad).state == State::unreadable);
@@ -180,10 +185,10 @@
                                                     {"customers.0.name", "acme"}});
     const auto status = [&](const std::string& line, const std::string& fields) {
         net::BlockPool pool(1);
-        http::Reader reader(http::Kind::request, pool);
+        http::Reader reader(http::MessageKind::request, pool);
         const std::string text = line + " HTTP/1.1\r\n" + fields + "\r\n";
         std::string_view bytes = text;
-        REQUIRE(reader.read(bytes) == http::Found::head);
+        REQUIRE(reader.read(bytes) == http::ReadResult::head);
         const auto read = clients::read_request(reader.head(), directory);
         const auto* refused = std::get_if<clients::Refused>(&read);
         return refused ? refused->status : 200;
@@ -209,7 +214,7 @@
     log::Log log(said, log::Level::info);
     roster::Book book({"a"}, {"m"}, log);
     const auto take = [&](const std::string& text, RosterScope scope) {
-        const auto listing = roster::read_listing(json::read(text));
+        const auto listing = roster::read_listing(json::parse(text));
         REQUIRE(listing);
         return book.take(*listing, scope, 100'000'000);
     };
@@ -246,7 +251,7 @@
     CHECK_FALSE(nobody->seats.at(0).open);
     for (const std::string bad : {"{}", "{\"version\":1,\"servers\":{}}", "{\"version\":-1,\"servers\":[]}",
                                   "{\"version\":1,\"servers\":[{}]}"})
-        CHECK_FALSE(roster::read_listing(json::read(bad)));
+        CHECK_FALSE(roster::read_listing(json::parse(bad)));
 }
 
 TEST_CASE("a configuration that cannot be served says why in one line") {
--- a/tests/retry/execution_log_test.cpp
+++ b/tests/retry/execution_log_test.cpp
@@ -31,7 +31,7 @@
     CHECK(log.find(3'600 * kSecond, "in flight")->state == ExecutionState::in_flight);
     CHECK(log.find(3'600 * kSecond, "in flight")->task == TaskId{1});
     CHECK(log.size() == 1);
-    // Of two with one key the later one counts, and the end of the earlier says nothing of it.
+    // Of two executions with one key the later one counts; the end of the earlier one does not affect it.
     log.on_started(0, "in flight", TaskId{2});
     log.on_may_have_run(0, "in flight", TaskId{1});
     CHECK(log.find(0, "in flight")->state == ExecutionState::in_flight);
--- a/tests/snapshot/simulated_file_system.hpp
+++ b/tests/snapshot/simulated_file_system.hpp
@@ -1,6 +1,6 @@
-// A file system that a test can fail at any step, or cut the power of: what was not synced is then there
-// completely, in part or not at all, and names that were not synced are in any combination. Pessimistic on
-// purpose: no real file system is worse.
+// A simulated file system that a test can fail at any step, also by a power failure. Unsynced data then
+// survives completely, partly or not at all, and unsynced names in any combination. Deliberately pessimistic:
+// no real file system loses more.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   public:
     int steps = 0;                                     // taken so far
     int fail_power_at = -1;                            // the step in which power fails
-    std::function<bool(const char* step)> step_fails;  // with an error
+    std::function<bool(const char* step)> step_fails;  // returns whether that step fails with an error
 
     std::unique_ptr<WritableFile> create(const std::string& path) override {
         take_step("create");
@@ -61,7 +61,7 @@
         return files_[found->second].bytes.substr(0, max_bytes);
     }
 
-    // Calls `visit` with every file system that may be found after a power failure now.
+    // Calls `visit` with every possible state of the file system after a power failure now.
     void for_each_outcome(const std::function<void(SimulatedFileSystem&)>& visit) const {
         const std::size_t subsets = std::size_t{1} << unsynced_changes_.size();
         for (std::size_t survivors = 0; survivors < subsets; ++survivors) {
@@ -132,7 +132,7 @@
         }
         return names;
     }
-    // Whether any file differs by it.
+    // Whether this variant changes any file.
     bool tear_unsynced(int pattern) {
         bool differs = false;
         for (Content& file : files_) {
--- a/tests/snapshot/snapshot_fixture.hpp
+++ b/tests/snapshot/snapshot_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of snapshots share.
+// Shared helpers of the snapshot tests.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace gannethold::snapshot {
 
-// A folder that is removed, with all that is in it, at the end of a test.
+// A temporary folder, removed with its content at the end of a test.
 class TemporaryFolder {
   public:
     TemporaryFolder() { std::filesystem::create_directory(path); }
@@ -25,7 +25,7 @@
     const std::string path = "snapshot-" + std::to_string(getpid());
 };
 
-// Every runner has started at the generation's number, so that a mixture of two generations would show.
+// Every runner's start time is the generation's number, so that a mixture of two generations is detected.
 inline Snapshot make_snapshot(int generation, std::size_t runners = 50) {
     Snapshot snapshot;
     snapshot.written_ms = 1'700'000'000'000 + generation;
--- a/tests/snapshot/snapshot_format_test.cpp
+++ b/tests/snapshot/snapshot_format_test.cpp
@@ -36,7 +36,7 @@
     CHECK(decoded.runners[0].latency.empty());
 }
 
-TEST_CASE("wrong lengths and deeply nested bodies take neither memory nor the stack") {
+TEST_CASE("wrong lengths and deeply nested bodies exhaust neither memory nor the stack") {
     const std::string header = encode({}).substr(0, kHeaderBytes);
     CHECK_THROWS_AS(decode(with_valid_header(header + std::string(1'000'000, '\x81'))),
                     FormatError);  // arrays in arrays
--- a/tests/snapshot/snapshot_scheduler_test.cpp
+++ b/tests/snapshot/snapshot_scheduler_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A scheduler that writes snapshots of so many runners, on a loop of its own.
+// A scheduler that writes snapshots of a given number of runners, on a loop of its own.
 class SchedulerFixture {
   public:
     explicit SchedulerFixture(const std::string& folder, std::size_t runners = 100, Micros interval = 20'000)
@@ -28,7 +28,7 @@
     // Runs the loop, for a bounded time, until the condition is met.
     bool run_until(const std::function<bool()>& condition) {
         for (const Micros end = net::Loop::now() + 5'000'000; net::Loop::now() < end; usleep(500)) {
-            loop_.turn(false);
+            loop_.run_once(false);
             if (condition()) return true;
         }
         return false;
@@ -92,8 +92,8 @@
 }
 
 TEST_CASE(
-    "of two dispatchers of one name on one folder the second reports it, writes nothing, and writes once the "
-    "first has gone") {
+    "of two dispatchers with the same name and folder, the second reports the conflict and writes only after "
+    "the first has exited") {
     const TemporaryFolder folder;
     auto first = std::make_unique<SchedulerFixture>(folder.path);
     first->generation = 1;
@@ -130,8 +130,7 @@
     CHECK(SnapshotScheduler::backoff(30, 0) == 30);
     CHECK(SnapshotScheduler::backoff(30, 1) == 60);
     CHECK(SnapshotScheduler::backoff(30, 900) == 480);
-    // A folder in place of the temporary file stands for one without write permission, which root would
-    // ignore.
+    // A folder in place of the temporary file simulates missing write permission, which root would ignore.
     files::create_directory(folder.path + "/n0.keep.new");
     REQUIRE(fixture.run_until([&] { return stats.consecutive_failures > 0; }));
     CHECK(fixture.reports.back().find("cannot write") != std::string::npos);
--- a/tests/snapshot/snapshot_store_test.cpp
+++ b/tests/snapshot/snapshot_store_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr int kLastGeneration = 3;
 
-// Writes that generation; whether it was written.
+// Writes that generation. Returns whether it was written.
 bool try_write(const SnapshotStore& store, int generation) {
     try {
         store.write(encode(make_snapshot(generation, 3)));
@@ -30,8 +30,8 @@
     }
 }
 
-// What a reader finds after a power failure: nothing if nothing was written, else a complete generation that
-// is no older than the last one written. Whatever else was left there hinders no later write.
+// Checks what a reader finds after a power failure: nothing if nothing was written, else a complete
+// generation that is no older than the last one written. Files left over do not prevent later writes.
 void check_outcome(SimulatedFileSystem& outcome, int last_written, int last_begun) {
     const SnapshotStore store("d", "n0", outcome);
     const SnapshotStore::LoadResult loaded = store.load();
@@ -52,7 +52,8 @@
     int outcomes = 0;
 };
 
-// Power fails in that step of the write of the last of so many generations. False: the write has fewer steps.
+// Simulates a power failure at the given step of the write of the last generation. False: there are fewer
+// steps.
 bool fail_power_in_step(int generations, int step, bool folder_syncs, PowerFailureCount& count) {
     SimulatedFileSystem file_system;
     const SnapshotStore store("d", "n0", file_system);
@@ -78,8 +79,7 @@
     return failed;
 }
 
-/// A process that writes one generation after the other until it is killed, and announces each one once it is
-/// written.
+/// A process that writes generations until it is killed, and announces each one after it is written.
 class SnapshotWriterProcess {
   public:
     SnapshotWriterProcess(const SnapshotStore& store, int first_generation) {
@@ -133,7 +133,7 @@
 }  // namespace
 
 TEST_CASE(
-    "power failing at any step of a write, whatever of the unsynced survives, leaves a complete generation "
+    "a power failure at any step of a write, whatever unsynced data survives, leaves a complete generation "
     "and "
     "loses none that was written") {
     PowerFailureCount count;
@@ -176,7 +176,7 @@
     CHECK(file_system.read(store.path(), 1 << 20) == newer);
 }
 
-TEST_CASE("a process killed at any moment of a write leaves a complete file or none") {
+TEST_CASE("a process killed at any point of a write leaves a complete file or none") {
     const TemporaryFolder folder;
     const SnapshotStore store(folder.path, "n0");
     int complete = 0;
@@ -184,14 +184,14 @@
     int last_announced = 0;
     for (int round = 0; round < 40; ++round) {
         SnapshotWriterProcess writer(store, last + 1);
-        // Killed so many writes after its start, and at some moment of the next one. Counted in writes and
-        // not in time, so that a slow disk or a busy machine leaves as many complete files.
+        // The process is killed after a number of writes, during the next one. Counted in writes, not in
+        // time, so that a slow disk or a busy machine yields as many complete files.
         last_announced = std::max(last_announced, writer.wait_for_writes(round % 4));
         usleep(static_cast<useconds_t>(300 + 977 * round % 9'000));
         last_announced = std::max(last_announced, writer.kill_and_reap());
         const SnapshotStore::LoadResult loaded = store.load();
         CHECK(loaded.skipped.empty());
-        // Nothing may be lost that was announced as written.
+        // A generation that was announced as written must not be lost.
         CHECK(loaded.snapshot.has_value() >= (last_announced > 0));
         if (!loaded.snapshot) continue;
         ++complete;
@@ -204,7 +204,7 @@
     CHECK(complete > 20);
 }
 
-TEST_CASE("where the newest file is corrupt the one before is read, and the reason is reported") {
+TEST_CASE("if the newest file is corrupt, the previous one is loaded and the reason is reported") {
     const TemporaryFolder folder;
     const SnapshotStore store(folder.path, "n0");
     CHECK_FALSE(store.load().snapshot);
--- a/tests/snapshot/stored_snapshot_test.cpp
+++ b/tests/snapshot/stored_snapshot_test.cpp
@@ -1,5 +1,5 @@
-// A snapshot's folder as the dispatcher left it before its types were renamed: files written then are still
-// read, and to the byte.
+// Guards the stored format against renames of types and fields: the recorded files of an earlier dispatcher
+// are still decoded, and are encoded to the same bytes.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -48,7 +48,7 @@
         fractions += runner.fraction;
     }
     CHECK(fractions == doctest::Approx(1));
-    // As the sub-command showed them when they were written.
+    // The values that the `snapshot show` command printed when the files were written.
     CHECK(loaded.snapshot->written_ms == 1'796'198'195'891);
     CHECK(loaded.snapshot->typical_cost_us == doctest::Approx(86753.9));
     const SavedRunner& first = loaded.snapshot->runners.front();
--- a/tests/socket_stories.cpp
+++ b/tests/socket_stories.cpp
@@ -3,7 +3,7 @@
 #include "runners/links.hpp"
 
 using namespace gannethold;
-using net::Ending;
+using net::CloseReason;
 
 namespace {
 
@@ -19,17 +19,17 @@
     void errand_ended(runners::ErrandEnded&& e) override { ended.push_back(std::move(e)); }
     void written_whole() override { ++written; }
     void progressed(TaskId, int, RunnerId, Stage, double share) override { shares.push_back(share); }
-    void probe_ended(RunnerId, Ending ending, Micros, Report&& report) override {
+    void probe_ended(RunnerId, CloseReason ending, Micros, Report&& report) override {
         probes.emplace_back(ending, report);
     }
-    void seat(bool open) { links.seat(RunnerId{1}, *net::Address::read(listener.address()), open); }
+    void seat(bool open) { links.seat(RunnerId{1}, *net::Address::parse(listener.address()), open); }
     void assign(const std::string& id = "7", Micros span = 2'000'000) {
         links.assign(RunnerId{1}, {TaskId{++sent}, 0, id, "POST /r HTTP/1.1\r\nX-Request-ID: " + id + "\r\n",
                                    nullptr, net::Loop::now() + span});
     }
     bool until(const std::function<bool()>& holds, int milliseconds = 3000) {
         for (const Micros end = net::Loop::now() + milliseconds * 1000; net::Loop::now() < end; usleep(200)) {
-            loop.turn(false);
+            loop.run_once(false);
             links.sweep();
             if (holds()) return true;
         }
@@ -45,7 +45,7 @@
         return *asked;
     }
     // How a new assignment ends after the runner has said that, and hung up or not.
-    Ending after(const std::string& words, bool hangs_up = false) {
+    CloseReason after(const std::string& words, bool hangs_up = false) {
         const std::size_t before = ended.size();
         assign();
         TestConnection& wire = runner();
@@ -62,7 +62,7 @@
     runners::Links links;
     std::vector<runners::ErrandEnded> ended;
     std::vector<double> shares;
-    std::vector<std::pair<Ending, Report>> probes;
+    std::vector<std::pair<CloseReason, Report>> probes;
     std::uint64_t sent = 0;
 };
 
@@ -81,39 +81,39 @@
 
 TEST_CASE("what a runner says or does ends an assignment as the protocol has it") {
     Street s;
-    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     CHECK(s.ended.back().result == "picture");
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"failed\"}\n")) == Ending::failed);
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"returned\"}\n")) == Ending::handed_back);
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"lost\",\"load\":{\"rif\":3}}")) == Ending::lost);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"failed\"}\n")) == CloseReason::failed);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"returned\"}\n")) == CloseReason::returned);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"lost\",\"load\":{\"rif\":3}}")) == CloseReason::lost);
     CHECK(s.ended.back().report == Report{3});
-    CHECK(s.after(answer("500 Oh")) == Ending::failed);
+    CHECK(s.after(answer("500 Oh")) == CloseReason::failed);
     CHECK(s.after(answer("503 Full", "X-Not-Processed: 1\r\nX-Server-Load: inflight=9\r\n")) ==
-          Ending::handed_back);
+          CloseReason::returned);
     CHECK(s.ended.back().report == Report{9});
-    CHECK(s.after(answer("504 Late", "X-Not-Processed: 1\r\n")) == Ending::handed_back);
-    CHECK(s.after(answer("503 Full")) == Ending::failed);
+    CHECK(s.after(answer("504 Late", "X-Not-Processed: 1\r\n")) == CloseReason::returned);
+    CHECK(s.after(answer("503 Full")) == CloseReason::failed);
     CHECK(s.listener.connections().size() == 1);  // all on one connection
     // From here on each answer spoils its connection.
-    CHECK(s.after(lines("no JSON\n")) == Ending::malformed);
-    CHECK(s.after(lines("{\"id\":\"8\",\"state\":\"done\",\"result\":\"\"}\n")) == Ending::malformed);
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"running\",\"share\":7}\n")) == Ending::malformed);
-    CHECK(s.after("HTTP/1.1 200 OK\r\nA: " + std::string(9000, 'a')) == Ending::malformed);
-    CHECK(s.after(DispatcherFixture::taken + "zz\r\n") == Ending::malformed);
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"started\"}\n")) == Ending::ended_early);
-    CHECK(s.after(DispatcherFixture::taken, true) == Ending::ended_early);
-    CHECK(s.after("", true) == Ending::ended_early);
+    CHECK(s.after(lines("no JSON\n")) == CloseReason::malformed);
+    CHECK(s.after(lines("{\"id\":\"8\",\"state\":\"done\",\"result\":\"\"}\n")) == CloseReason::malformed);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"running\",\"share\":7}\n")) == CloseReason::malformed);
+    CHECK(s.after("HTTP/1.1 200 OK\r\nA: " + std::string(9000, 'a')) == CloseReason::malformed);
+    CHECK(s.after(DispatcherFixture::taken + "zz\r\n") == CloseReason::malformed);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"started\"}\n")) == CloseReason::ended_early);
+    CHECK(s.after(DispatcherFixture::taken, true) == CloseReason::ended_early);
+    CHECK(s.after("", true) == CloseReason::ended_early);
     CHECK(s.listener.connections().size() == 8);
-    CHECK(s.after(DispatcherFixture::done("7") + "more") == Ending::done);
-    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"done\",\"result\":\"\"}\nmore\n")) == Ending::done);
-    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7") + "more") == CloseReason::done);
+    CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"done\",\"result\":\"\"}\nmore\n")) == CloseReason::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     CHECK(s.listener.connections().size() == 11);  // bytes after the end: those two were not used again
     s.assign();
     s.runner().reset();
     REQUIRE(s.until([&] { return s.links.size() == 0; }));
-    CHECK(s.ended.back().ending == Ending::crossed);
+    CHECK(s.ended.back().ending == CloseReason::stale_connection);
     CHECK(s.written == static_cast<int>(s.ended.size()));
-    CHECK(s.loop.blocks().out() == 0);
+    CHECK(s.loop.block_pool().in_use() == 0);
 }
 
 TEST_CASE("a connection that breaks after the last byte leaves a task that may have run") {
@@ -121,7 +121,7 @@
     s.assign();
     s.runner().reset();
     REQUIRE(s.until([&] { return s.ended.size() == 1; }));
-    CHECK(s.ended.back().ending == Ending::broken);
+    CHECK(s.ended.back().ending == CloseReason::broken);
 }
 
 TEST_CASE("progress is told, and the answer read, wherever the network splits it") {
@@ -134,10 +134,10 @@
         TestConnection& wire = s.runner();
         wire.got.clear();
         wire.send(text.substr(0, at));
-        s.loop.turn(false);
+        s.loop.run_once(false);
         wire.send(text.substr(at));
         REQUIRE(s.until([&] { return s.ended.size() == at; }));
-        CHECK(s.ended.back().ending == Ending::done);
+        CHECK(s.ended.back().ending == CloseReason::done);
     }
     CHECK(s.shares.size() == text.size() - 1);
 }
@@ -147,67 +147,69 @@
     s.assign("7", 50'000);
     s.runner();
     REQUIRE(s.until([&] { return s.ended.size() == 1; }));
-    CHECK(s.ended.back().ending == Ending::stopped);
+    CHECK(s.ended.back().ending == CloseReason::timed_out);
     s.assign();
     s.runner();
     s.links.withdraw(TaskId{2}, 0);
-    CHECK(s.ended.back().ending == Ending::withdrawn);
+    CHECK(s.ended.back().ending == CloseReason::cancelled);
     StuckDoor stuck;
-    s.links.seat(RunnerId{1}, *net::Address::read(stuck.address()), true);
+    s.links.seat(RunnerId{1}, *net::Address::parse(stuck.address()), true);
     s.assign();
-    s.loop.turn(false);
+    s.loop.run_once(false);
     s.links.withdraw(TaskId{3}, 0);
-    CHECK(s.ended.back().ending == Ending::withdrawn_unsent);
+    CHECK(s.ended.back().ending == CloseReason::cancelled_unsent);
     s.assign("7", 20'000);
     REQUIRE(s.until([&] { return s.ended.size() == 4; }));
-    CHECK(s.ended.back().ending == Ending::stopped_unsent);
+    CHECK(s.ended.back().ending == CloseReason::timed_out_unsent);
     s.assign();
     REQUIRE(s.until([&] { return s.ended.size() == 5; }));
-    CHECK(s.ended.back().ending == Ending::connect_timed_out);
+    CHECK(s.ended.back().ending == CloseReason::connect_timed_out);
     s.seat(true);
     s.listener.shut();
     s.assign();
     REQUIRE(s.until([&] { return s.ended.size() == 6; }));
-    CHECK(s.ended.back().ending == Ending::refused);
+    CHECK(s.ended.back().ending == CloseReason::refused);
     CHECK(s.written == 2);
     // A peer that takes nothing and then resets, with most of a message still here.
     struct Far : net::Connection::Owner {
-        void connected() override { up = true; }
-        void bytes(std::string_view) override {}
-        void ended(Ending e) override { end = e; }
+        void on_connected() override { up = true; }
+        void on_bytes(std::string_view) override {}
+        void on_closed(CloseReason e) override { end = e; }
         bool up = false;
-        std::optional<Ending> end;
+        std::optional<CloseReason> end;
     } far;
     TestListener listener;
     net::Loop loop(4096);
-    net::Connection connection(loop, far, *net::Address::read(listener.address()), 1'000'000);
-    while (!far.up) loop.turn(true);
+    net::Connection connection(loop, far, *net::Address::parse(listener.address()), 1'000'000);
+    while (!far.up) loop.run_once(true);
     connection.write(std::string(16'000'000, 'x'));
-    for (int i = 0; i < 50; ++i) loop.turn(false);
+    for (int i = 0; i < 50; ++i) loop.run_once(false);
     listener.connections().back().reset();
-    while (!far.end) loop.turn(true);
-    CHECK(*far.end == Ending::broken_unsent);
+    while (!far.end) loop.run_once(true);
+    CHECK(*far.end == CloseReason::broken_unsent);
 }
 
 TEST_CASE("each end has one outcome, and in doubt a task may have run") {
     using dispatcher::outcome_of;
-    for (const Ending e : {Ending::handed_back, Ending::refused, Ending::unreachable,
-                           Ending::connect_timed_out, Ending::out_of_sockets, Ending::broken_unsent,
-                           Ending::stopped_unsent, Ending::withdrawn_unsent, Ending::drained_unsent})
+    for (const CloseReason e :
+         {CloseReason::returned, CloseReason::refused, CloseReason::unreachable,
+          CloseReason::connect_timed_out, CloseReason::out_of_sockets, CloseReason::broken_unsent,
+          CloseReason::timed_out_unsent, CloseReason::cancelled_unsent, CloseReason::drained_unsent})
         CHECK_MESSAGE(proves_never_ran(outcome_of(e)), net::name_of(e));
-    for (const Ending e :
-         {Ending::done, Ending::failed, Ending::lost, Ending::broken, Ending::ended_early, Ending::crossed,
-          Ending::malformed, Ending::stopped, Ending::withdrawn, Ending::closed})
+    for (const CloseReason e :
+         {CloseReason::done, CloseReason::failed, CloseReason::lost, CloseReason::broken,
+          CloseReason::ended_early, CloseReason::stale_connection, CloseReason::malformed,
+          CloseReason::timed_out, CloseReason::cancelled, CloseReason::closed})
         CHECK_MESSAGE(!proves_never_ran(outcome_of(e)), net::name_of(e));
-    CHECK(outcome_of(Ending::done) == Outcome::finished);
-    CHECK(outcome_of(Ending::stopped) == Outcome::timed_out);
+    CHECK(outcome_of(CloseReason::done) == Outcome::finished);
+    CHECK(outcome_of(CloseReason::timed_out) == Outcome::timed_out);
 }
 
 TEST_CASE("nothing is begun at a runner that drains, also when the connect was slow") {
     Street s;
     s.assign();
     s.seat(false);
-    CHECK(s.ended.back().ending == Ending::drained_unsent);
+    CHECK(s.ended.back().ending == CloseReason::drained_unsent);
     REQUIRE(s.until([&] { return s.links.size() == 0; }));
     CHECK((s.listener.connections().empty() || s.listener.connections().back().look().got.empty()));
     // What has begun goes on.
@@ -217,33 +219,33 @@
     s.seat(false);
     wire.send(DispatcherFixture::done("7"));
     REQUIRE(s.until([&] { return s.ended.size() == 2; }));
-    CHECK(s.ended.back().ending == Ending::done);
+    CHECK(s.ended.back().ending == CloseReason::done);
     CHECK(s.until([&] { return s.links.size() == 0; }));  // but its connection is not kept
 }
 
 TEST_CASE("connections are kept for the next assignment and closed before the runner would") {
     Street s;
-    for (int i = 0; i < 3; ++i) CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    for (int i = 0; i < 3; ++i) CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     CHECK(s.listener.connections().size() == 1);
     CHECK(s.until([&] { return s.listener.connections().back().ended(); }, 400));
     CHECK(s.links.size() == 0);
     // One that the runner closed meanwhile is not used again, also if the loop has not yet heard of it.
     s.after(DispatcherFixture::done("7"));
     s.listener.connections().back().hang_up();
-    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     // Nor is one kept from before a restart, after another has broken, or to an address that it has left.
     REQUIRE(s.until([&] { return s.links.size() == 1; }));
-    s.links.seat(RunnerId{1}, *net::Address::read(s.listener.address()), true, true);
+    s.links.seat(RunnerId{1}, *net::Address::parse(s.listener.address()), true, true);
     CHECK(s.until([&] { return s.links.size() == 0; }));
     s.assign();
     TestConnection& breaks = s.runner();
     breaks.got.clear();
-    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     breaks.reset();
     CHECK(s.until([&] { return s.links.size() == 0; }));
     s.after(DispatcherFixture::done("7"));
     TestListener moved;
-    s.links.seat(RunnerId{1}, *net::Address::read(moved.address()), true);
+    s.links.seat(RunnerId{1}, *net::Address::parse(moved.address()), true);
     s.assign();
     CHECK(s.until(
         [&] { return !moved.connections().empty() && moved.connections().back().has("X-Request-ID: 7"); }));
@@ -255,21 +257,21 @@
     CHECK(s.runner().has("GET /load HTTP/1.1"));
     s.runner().send("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\ninflight=4\n");
     REQUIRE(s.until([&] { return s.probes.size() == 1; }));
-    CHECK(s.probes[0] == std::pair(Ending::done, Report{4}));
+    CHECK(s.probes[0] == std::pair(CloseReason::done, Report{4}));
     s.runner().got.clear();
     s.links.probe(RunnerId{1});
     s.runner().send("HTTP/1.1 503 No\r\nX-Server-Load: rif=5\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(s.until([&] { return s.probes.size() == 2; }));
-    CHECK(s.probes[1] == std::pair(Ending::handed_back, Report{5}));
+    CHECK(s.probes[1] == std::pair(CloseReason::returned, Report{5}));
     s.runner().got.clear();
     s.links.probe(RunnerId{1});
     REQUIRE(s.until([&] { return s.probes.size() == 3; }));  // no answer
-    CHECK(s.probes[2].first == Ending::stopped);
+    CHECK(s.probes[2].first == CloseReason::timed_out);
 }
 
 TEST_CASE("a probe that an old connection breaks is asked again on a new one, and only there") {
     Street s;
-    CHECK(s.after(DispatcherFixture::done("7")) == Ending::done);
+    CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     s.listener.connections().back().got.clear();
     s.links.probe(RunnerId{1});
     s.runner().reset();
@@ -279,7 +281,7 @@
     CHECK(s.probes.empty());
     s.listener.connections()[1].reset();
     REQUIRE(s.until([&] { return s.probes.size() == 1; }));
-    CHECK(s.probes[0].first == Ending::broken);
+    CHECK(s.probes[0].first == CloseReason::broken);
     CHECK(s.listener.connections().size() == 2);
 }
 
@@ -306,7 +308,7 @@
     again.send(DispatcherFixture::done("r2", "second"));
     REQUIRE(fixture.until([&] { return client.has("second"); }));
     CHECK(fixture.runner_listeners[0]->connections().size() == 1);
-    CHECK(fixture.loop.blocks().out() == 0);
+    CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
 TEST_CASE("a task that cannot be served gets one answer, and nothing after it") {
@@ -361,7 +363,7 @@
     TestConnection& runner = fixture.at_runner("r1");
     client.hang_up();
     CHECK(fixture.until([&] { return runner.ended(); }));
-    CHECK(fixture.loop.blocks().out() == 0);
+    CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
 TEST_CASE("bad requests get a 4xx and leave other connections alone") {
@@ -397,7 +399,7 @@
     }
     runner.send(DispatcherFixture::done("good"));
     CHECK(fixture.until([&] { return good.has("picture"); }));
-    CHECK(fixture.until([&] { return fixture.loop.blocks().out() == 0; }));
+    CHECK(fixture.until([&] { return fixture.loop.block_pool().in_use() == 0; }));
 }
 
 TEST_CASE("bytes behind an open request end it, since its length was not what the client meant") {
@@ -410,7 +412,7 @@
     CHECK(client.has("HTTP/1.1 400"));
     CHECK(client.has("Connection: close\r\n"));
     CHECK(count(client.got, "HTTP/1.1") == 1);
-    CHECK(fixture.loop.blocks().out() == 0);
+    CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
 TEST_CASE("who says nothing or never comes to an end is sent away well inside three seconds") {
@@ -442,7 +444,7 @@
         "POST /render/key HTTP/1.1\r\nX-Request-ID: b\r\nX-Timeout: 9m\r\nContent-Length: 60000000\r\n\r\n");
     for (int i = 0; i < 500; ++i) client.send(std::string(16'384, 'b')), fixture.turn();
     CHECK(client.has("HTTP/1.1 413"));
-    CHECK(fixture.loop.blocks().out() == 0);
+    CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
 TEST_CASE("an id that comes twice is taken once, whichever body ends first") {
@@ -512,7 +514,7 @@
     Street s;  // of whose links four may be open
     for (int i = 0; i < 5; ++i) s.assign();
     REQUIRE(s.ended.size() == 1);
-    CHECK(s.ended.back().ending == Ending::out_of_sockets);
+    CHECK(s.ended.back().ending == CloseReason::out_of_sockets);
 }
 
 TEST_CASE("clients that do not read hold a bounded memory") {
@@ -523,7 +525,7 @@
         deaf.send(ask);
         if (i % 100 == 0) fixture.turn();
     }
-    CHECK(fixture.until([&] { return fixture.loop.blocks().out() < 200; }));
+    CHECK(fixture.until([&] { return fixture.loop.block_pool().in_use() < 200; }));
     TestConnection other = fixture.client();
     other.send(ask);
     CHECK(fixture.until([&] { return other.has("HTTP/1.1 200"); }));
@@ -615,7 +617,7 @@
     fixture.dispatcher->leave();
     fixture.reload(fixture.with(fixture.discovery.address(), again.address()));
     CHECK(fixture.until([&] { return watched(again, "0") && moved.connections()[0].ended(); }, 200));
-    CHECK(fixture.until([&] { return fixture.loop.stopping(); }));
+    CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }));
 }
 
 TEST_CASE("a reload that cannot be read changes nothing, and what needs a restart is named") {
@@ -647,7 +649,7 @@
     std::vector<std::uint32_t> versions;
     int failures = 0;
     roster::Follower follower(
-        loop, *net::Address::read(discovery.address()), log,
+        loop, *net::Address::parse(discovery.address()), log,
         [&](const roster::Listing& listing) { return versions.push_back(listing.version), true; },
         [&] { ++failures; });
     const auto told = [&](const std::string& answer, bool hangs_up) {
@@ -655,7 +657,7 @@
         follower.ask();
         bool spoken = false;
         for (const Micros end = net::Loop::now() + 300'000; net::Loop::now() < end; usleep(200)) {
-            loop.turn(false);
+            loop.run_once(false);
             if (spoken || discovery.connections().size() == before) continue;
             if (!discovery.connections().back().has("GET /v1/servers HTTP/1.1\r\n")) continue;
             discovery.connections().back().send(answer);
@@ -680,7 +682,7 @@
 
 TEST_CASE("peers are told by datagrams, and only those whose address is known are heard") {
     const auto free_port = [] {
-        return *net::Address::read("127.0.0.1:" + std::to_string(TestListener(-1).port));
+        return *net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port));
     };
     const peers::Neighbours first{free_port(), {}, 0}, second{free_port(), {}, 1},
         stranger{free_port(), {}, 0};
@@ -700,7 +702,7 @@
     other->tell(PeerId{7}, "c");
     one->tell(PeerId{1}, std::string(300, 'd'));
     odd->tell(PeerId{1}, "e");
-    for (int i = 0; i < 100; ++i) loop.turn(false), usleep(200);
+    for (int i = 0; i < 100; ++i) loop.run_once(false), usleep(200);
     std::sort(heard.begin(), heard.end());
     CHECK(heard == std::vector<std::string>{"0>1a", "1>0b"});
 }
@@ -718,11 +720,11 @@
     CHECK(fixture.until([&] { return late.has("late"); }));
     CHECK(fixture.until([&] { return kept.ended() && late.ended(); },
                         1000));  // idle ones, once nobody new comes
-    CHECK_FALSE(fixture.loop.stopping());
+    CHECK_FALSE(fixture.loop.is_stopping());
     // The runner stays silent, so the task is answered before the system would kill the process.
     CHECK(fixture.until([&] { return waiting.has("HTTP/1.1 503"); }, 3000));
     CHECK(waiting.has("Connection: close\r\n"));
-    CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 500));
+    CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 500));
 }
 
 TEST_CASE("neither silence nor half a request holds up a restart") {
@@ -734,7 +736,7 @@
     fixture.pass(600);
     TestConnection late = fixture.client();
     late.send("POST /render");
-    CHECK(fixture.until([&] { return fixture.loop.stopping(); }, 800));
+    CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 800));
     CHECK(half.has("HTTP/1.1 408"));
     CHECK(late.has("HTTP/1.1 408"));
 }
@@ -750,5 +752,5 @@
     client.send(DispatcherFixture::post("r2"));
     fixture.at_runner("r2").send(DispatcherFixture::done("r2", "second"));
     CHECK(fixture.until([&] { return client.has("second"); }));
-    CHECK(fixture.until([&] { return client.ended() && fixture.loop.stopping(); }, 500));
+    CHECK(fixture.until([&] { return client.ended() && fixture.loop.is_stopping(); }, 500));
 }
--- a/tests/system/controller/coordinator_role_test.cpp
+++ b/tests/system/controller/coordinator_role_test.cpp
@@ -36,7 +36,7 @@
                                         [this] { role->update(); },
                                         [this] { role->stop_coordinator(); },
                                     });
-        connections.emplace(loop, *net::Address::read(address()),
+        connections.emplace(loop, *net::Address::parse(address()),
                             InboundConnections::Callbacks{
                                 [](const std::string&, const Message&) {},
                                 [this](Session session, const RegisterRequest& registration) {
@@ -86,7 +86,7 @@
 
 struct Proxy {
     explicit Proxy(Controller& controller)
-        : connection(controller.loop, *net::Address::read(controller.address()), kConnectTimeout,
+        : connection(controller.loop, *net::Address::parse(controller.address()), kConnectTimeout,
                      {[] {}, [this](const ReceivedMessage& message) { received.push_back(message.message); },
                       [this] { disconnected = true; }}) {
         RegisterRequest registration;
--- a/tests/system/controller/inbound_connections_test.cpp
+++ b/tests/system/controller/inbound_connections_test.cpp
@@ -20,7 +20,7 @@
 struct Controller {
     Controller() : port(free_port()) {
         connections.emplace(
-            loop, *net::Address::read(address()),
+            loop, *net::Address::parse(address()),
             InboundConnections::Callbacks{
                 [this](const std::string& member, const Message&) { members.push_back(member); },
                 [this](Session session, const RegisterRequest& registration) {
@@ -51,7 +51,7 @@
 // A process that has dialed it.
 struct Dialer {
     explicit Dialer(Controller& controller)
-        : connection(controller.loop, *net::Address::read(controller.address()), kConnectTimeout,
+        : connection(controller.loop, *net::Address::parse(controller.address()), kConnectTimeout,
                      {[] {}, [this](const ReceivedMessage&) { ++received; }, [this] { ended = true; }}) {}
     int received = 0;
     bool ended = false;
--- a/tests/system/controller/operator_api_test.cpp
+++ b/tests/system/controller/operator_api_test.cpp
@@ -40,7 +40,7 @@
                               [] {},
                               [] {},
                           });
-        api.emplace(loop, *net::Address::read(settings.control_plane_address), settings, *consensus);
+        api.emplace(loop, *net::Address::parse(settings.control_plane_address), settings, *consensus);
     }
     Machine(const Machine&) = delete;
     Machine& operator=(const Machine&) = delete;
--- a/tests/system/proxy_server/coordinator_client_test.cpp
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -24,7 +24,7 @@
     ScriptedMember(net::Loop& loop, const std::string& ip, std::uint16_t port)
         : loop_(loop),
           listener_(
-              loop, net::Door(*net::Address::read(ip + ":" + std::to_string(port))),
+              loop, net::ListenAddress(*net::Address::parse(ip + ":" + std::to_string(port))),
               [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {}
 
     void send(const Message& message) { connections_.back()->send(message); }
--- a/tests/system/proxy_server/program_test.cpp
+++ b/tests/system/proxy_server/program_test.cpp
@@ -35,7 +35,7 @@
     ProxyFixture()
         : frontend_(free_port()),
           listener_(
-              loop, net::Door(*net::Address::read("127.0.0.1:" + std::to_string(free_port()))),
+              loop, net::ListenAddress(*net::Address::parse("127.0.0.1:" + std::to_string(free_port()))),
               [this](evutil_socket_t socket) { on_accept(socket); }, [] {}) {
         proxy_.emplace(PROXY, settings());
         BOOST_REQUIRE(until([this] { return configuration_held_; }));
--- a/tests/system/scripted_peers.hpp
+++ b/tests/system/scripted_peers.hpp
@@ -163,7 +163,7 @@
     for (const Micros end = net::Loop::now() + kBoundedWait; net::Loop::now() < end;) {
         if (condition()) return true;
         tick.set(net::Loop::now() + kPollInterval);
-        loop.turn(true);
+        loop.run_once(true);
     }
     return condition();
 }
--- a/tests/system/transport/http_server_fixture.hpp
+++ b/tests/system/transport/http_server_fixture.hpp
@@ -28,7 +28,7 @@
         OnRequest on_request = [](HttpServerFixture&) {}, std::size_t blocks = kDefaultBlocks)
         : loop(blocks),
           server(
-              loop, *net::Address::read("127.0.0.1:" + std::to_string(free_port())),
+              loop, *net::Address::parse("127.0.0.1:" + std::to_string(free_port())),
               {.on_request =
                    [this, on_request = std::move(on_request)](ExchangeId exchange, HttpMessage&& message) {
                        requests.push_back({exchange, std::move(message)});
--- a/tests/system/transport/http_server_test.cpp
+++ b/tests/system/transport/http_server_test.cpp
@@ -167,7 +167,7 @@
     BOOST_REQUIRE(fixture.run_until_requests(1));
     begin_shutdown(fixture.server);
     fixture.respond(fixture.requests.front().exchange, std::string(kBody, 'x'));
-    for (int turn = 0; turn < 100; ++turn) fixture.loop.turn(false);
+    for (int turn = 0; turn < 100; ++turn) fixture.loop.run_once(false);
     BOOST_TEST(fixture.server.pending_exchanges() == 0U);
     BOOST_TEST(fixture.server.busy_connections() == 1U);
     BOOST_TEST(fixture.run_until([&] { return client.receive().closed; }));
--- a/tests/system/transport/message_connection_test.cpp
+++ b/tests/system/transport/message_connection_test.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kConnectTimeout = 500'000;
 
 net::Address loopback_address(std::uint16_t port) {
-    return *net::Address::read("127.0.0.1:" + std::to_string(port));
+    return *net::Address::parse("127.0.0.1:" + std::to_string(port));
 }
 
 /// One end of a connection, and what its events were.
@@ -147,7 +147,7 @@
 BOOST_FIXTURE_TEST_CASE(a_message_that_the_pool_has_no_room_for_ends_the_connection, Fixture) {
     End end;
     End& peer = connect_both(end);
-    const std::string too_long((kBlocks + 1) * net::BlockPool::kBytes, 'x');
+    const std::string too_long((kBlocks + 1) * net::BlockPool::kBlockBytes, 'x');
     BOOST_TEST(end.connection->send(Redirect{too_long}) == 0U);
     BOOST_TEST(end.disconnected == 1);
     BOOST_TEST(!end.connection->is_open());
--- a/tests/toml/toml_reader_test.cpp
+++ b/tests/toml/toml_reader_test.cpp
@@ -44,7 +44,7 @@
     CHECK(error_of([&] { file.get_tables("t"); }) == "f.toml:1: t is not a list of tables, [[t]]");
 }
 
-TEST_CASE("names that nobody read are rejected, in nested tables as well") {
+TEST_CASE("names that were never read are rejected, in nested tables as well") {
     const TomlReader file = read("[[t]]\nname = \"a\"\n[[t]]\nnmae = \"b\"\n");
     for (const TomlReader& table : file.get_tables("t")) table.get_string("name", "");
     CHECK(error_of([&] { file.reject_unread_names(); }) ==
@@ -52,7 +52,7 @@
     CHECK(closest_name("entirely", {"other", "words"}).empty());
 }
 
-TEST_CASE("an old name is read in place of the present one, and errors speak of it") {
+TEST_CASE("an old name is read in place of the present one, and errors state the old name") {
     const TomlReader file = read("[old]\nless = 4\n");
     file.accept_old_name("now", "old");
     file.accept_old_name("unused", "absent");
--- a/tests/tube_stories.cpp
+++ b/tests/tube_stories.cpp
@@ -12,13 +12,13 @@
                               std::size_t connections = 64) {
     dispatcher::Extras extras;
     extras.tubes.entrances.push_back(
-        {*net::Address::read("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
+        {*net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
     extras.tubes.connections = connections;
     extras.tubes.trade.cold = false;
     beanstalk::TubePlan plan;
     plan.name = "render", plan.workload = shares, plan.pushed = pushed;
     extras.tubes.trade.tubes.push_back(plan);
-    extras.manners.front_notices = extras.manners.closing_takes = 50'000;
+    extras.manners.front_notice_delay = extras.manners.closing_period = 50'000;
     return extras;
 }
 
@@ -179,7 +179,7 @@
     t.pass(20);
     t.dispatcher->leave();
     CHECK(t.until([&] { return waiter.ended() && producer.ended(); }));
-    CHECK(t.until([&] { return t.loop.stopping(); }, 6000));
+    CHECK(t.until([&] { return t.loop.is_stopping(); }, 6000));
     CHECK(t.said.str().find("2 jobs that wait in tubes are lost") != std::string::npos);
 }
 
--- a/tests/upgrade_stories.cpp
+++ b/tests/upgrade_stories.cpp
@@ -120,10 +120,10 @@
     CHECK(p.heir->counters().answers_by_workload().at("render").finished == 3);
     // A kept idle connection is closed, so that its client comes to the new one.
     CHECK(p.until([&] { return kept.ended(); }, 1000));
-    CHECK_FALSE(p.fixture->loop.stopping());
+    CHECK_FALSE(p.fixture->loop.is_stopping());
     runs.send(DispatcherFixture::done("b", "old"));
     CHECK(p.until([&] { return busy.has("old") && busy.ended(); }));
-    CHECK(p.until([&] { return p.fixture->loop.stopping(); }, 500));
+    CHECK(p.until([&] { return p.fixture->loop.is_stopping(); }, 500));
 }
 
 TEST_CASE("a new one that dies before it serves costs the old one nothing") {
@@ -317,5 +317,5 @@
     next.send(DispatcherFixture::post("n"));
     p.at_runner("n").send(DispatcherFixture::done("n"));
     CHECK(p.until([&] { return next.has("picture"); }));
-    CHECK(p.until([&] { return p.fixture->loop.stopping(); }, 4000));
+    CHECK(p.until([&] { return p.fixture->loop.is_stopping(); }, 4000));
 }
