--- a/src/cluster/coordinator/coordinator.cpp
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -206,11 +206,11 @@
     Event("runner_start_completed", started ? Level::info : Level::warning)
         .with("service", start.service)
         .with("worker", start.worker)
-        .with("reason", start.why)
+        .with("reason", start.reason)
         .with("status", reply.status)
         .with("runner", reply.runner_id);
     recent_actions_.add({now, PlatformAction::Kind::start, start.service, start.worker, reply.runner_id,
-                         reply.status, start.why});
+                         reply.status, start.reason});
     planner_.on_start_result(now, start.nonce, reply.result);
     send_all(messages);
     // What the answer changed is planned with the next sample; what waits has been planned for.
@@ -220,9 +220,9 @@
                                     const PlatformClient::StopReply& reply) {
     Event("runner_stop_completed")
         .with("runner", stop.runner)
-        .with("reason", stop.why)
+        .with("reason", stop.reason)
         .with("done", reply.done);
-    recent_actions_.add({now, PlatformAction::Kind::stop, {}, {}, stop.runner, reply.status, stop.why});
+    recent_actions_.add({now, PlatformAction::Kind::stop, {}, {}, stop.runner, reply.status, stop.reason});
     planner_.on_stop_result(stop.runner, reply.done);
     ProxyOutbox messages;
     if (reply.done) slot_table_.on_runner_gone(now, stop.runner, messages);
@@ -293,7 +293,7 @@
         .with("before_proxy", proxy_name(inversion.passed_session))
         .with("before_request_id", inversion.passed_request_id)
         .with("before_target_left_ms", inversion.passed_time_left / 1000)
-        .with("reason", inversion.why);
+        .with("reason", inversion.reason);
 }
 
 std::string Coordinator::proxy_name(Session session) const {
--- a/src/cluster/coordinator/coordinator_status.cpp
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -72,7 +72,7 @@
                                        {"before", json_proxy(slot_table, inversion.passed_session)},
                                        {"its_priority", json_value(inversion.passed_priority)},
                                        {"its_aim_left_ms", json_ms(inversion.passed_time_left)},
-                                       {"why", json_value(std::string(inversion.why))}});
+                                       {"why", json_value(std::string(inversion.reason))}});
     return rows;
 }
 
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -159,7 +159,7 @@
     if (!worker) return false;
     PendingStart pending;
     const std::string nonce = nonce_prefix_ + std::to_string(++last_nonce_);
-    pending.start = {function.name, worker->name, nonce, target.why};
+    pending.start = {function.name, worker->name, nonce, target.reason};
     pending.memory_mb = function.service->memory_mb;
     pending.next_attempt_at = now;
     starts_.add(std::move(pending));
--- a/src/cluster/placement/platform_requests.hpp
+++ b/src/cluster/placement/platform_requests.hpp
@@ -10,12 +10,12 @@
     std::string service;
     std::string worker;
     std::string nonce;  // a start that is repeated under its nonce starts nothing twice
-    const char* why = "";
+    const char* reason = "";
 };
 
 struct StopRunner {
     std::string runner;
-    const char* why = "";
+    const char* reason = "";
 };
 
 struct PlatformRequests {
--- a/src/cluster/placement/runner_target.cpp
+++ b/src/cluster/placement/runner_target.cpp
@@ -170,7 +170,7 @@
 RunnerTarget runner_target(Micros now, const Function& function, const RunnerCounts& runners,
                            const PlanningView& view) {
     RunnerTarget target;
-    target.why = "idle";
+    target.reason = "idle";
     target.zone = neediest_zone(function, runners);
     const StartCost cost(view.rates, view.slot_table.boot_times(), *function.service);
     const double expected = view.slot_table.expected_rate(
@@ -181,18 +181,18 @@
                           : cost.pays_to_start_ahead(expected) && !is_off(Mechanism::start_ahead);
     if (pays) {
         target.count = count_by_load(function, expected, view.rates, cost.runner_second());
-        target.why = target.count > 1 ? "load" : runners.total > 0 ? "kept" : "warm";
+        target.reason = target.count > 1 ? "load" : runners.total > 0 ? "kept" : "warm";
         const std::size_t near = near_count(function, view.workers, view.rates, cost.runner_second());
         if (near > target.count && !is_off(Mechanism::near_runners)) {
             target.count = near;
-            target.why = "near";
+            target.reason = "near";
         }
     }
     if (function.waiting.empty()) return target;
     if (std::string zone = zone_of_most_waiting(function, view.slot_table); !zone.empty()) target.zone = zone;
     if (runners.total + 1 > target.count && pays_for_waiting(now, function, runners, view.slot_table)) {
         target.count = runners.total + 1;
-        target.why = "waiting";
+        target.reason = "waiting";
     }
     return target;
 }
--- a/src/cluster/placement/runner_target.hpp
+++ b/src/cluster/placement/runner_target.hpp
@@ -14,7 +14,7 @@
 // How many runners a function should have.
 struct RunnerTarget {
     std::size_t count = 0;
-    const char* why = "";
+    const char* reason = "";
     std::string zone;  // where one more is best; empty: wherever there is room
 };
 
--- a/src/cluster/slots/priority_inversion.hpp
+++ b/src/cluster/slots/priority_inversion.hpp
@@ -25,7 +25,7 @@
     int passed_priority = 0;
     Micros time_left = 0;  // to the latency target; negative: over
     Micros passed_time_left = 0;
-    const char* why = "";
+    const char* reason = "";
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/request_scheduler.cpp
+++ b/src/cluster/slots/request_scheduler.cpp
@@ -110,9 +110,9 @@
     inversion.passed_priority = oldest->request.priority;
     inversion.time_left = served.target_at - now;
     inversion.passed_time_left = oldest->target_at - now;
-    inversion.why = PriorityInversion::kLessTimeLeft;
-    if (oldest_is_late) inversion.why = PriorityInversion::kPassedIsLate;
-    if (late_turn) inversion.why = PriorityInversion::kLateTurn;
+    inversion.reason = PriorityInversion::kLessTimeLeft;
+    if (oldest_is_late) inversion.reason = PriorityInversion::kPassedIsLate;
+    if (late_turn) inversion.reason = PriorityInversion::kLateTurn;
     priority_inversions_.add(inversion);
 }
 
--- a/tests/system/placement/planner_test.cpp
+++ b/tests/system/placement/planner_test.cpp
@@ -85,7 +85,7 @@
     Planned planned(100);
     const StartRunner start = planned.first_start(5);
     BOOST_TEST(start.service == "f");
-    BOOST_TEST(start.why == std::string("warm"));
+    BOOST_TEST(start.reason == std::string("warm"));
     BOOST_TEST(start.nonce == "node-1-1");
     planned.start(start, "i-1");
     BOOST_TEST(planned.first_start(50).nonce.empty());
@@ -103,7 +103,7 @@
     const PlatformRequests due = planned.planner.take_due_requests(planned.now);
     BOOST_REQUIRE(due.starts.size() == 1U);
     BOOST_TEST(due.starts.front().worker == "w-b");
-    BOOST_TEST(due.starts.front().why == std::string("waiting"));
+    BOOST_TEST(due.starts.front().reason == std::string("waiting"));
     // The start is pending: it has one slot, and only another request that waits needs one more.
     BOOST_TEST(planned.sample().starts.empty());
     planned.request(2);
--- a/tests/system/placement/runner_target_test.cpp
+++ b/tests/system/placement/runner_target_test.cpp
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_CASE(a_function_without_requests_has_no_runner) {
     const Targeted unused(1, 1000, 5000);
     BOOST_TEST(unused.target().count == 0U);
-    BOOST_TEST(unused.target().why == std::string("idle"));
+    BOOST_TEST(unused.target().reason == std::string("idle"));
     BOOST_TEST(unused.target().zone.empty());
     BOOST_TEST(unused.target_of_running(1).count == 0U);
 }
@@ -58,7 +58,7 @@
     ProxyOutbox outbox;
     urgent.slot_table.on_proxy_registered(0, kFirst, registration("first", "z-a"), outbox);
     BOOST_TEST(urgent.target().count == 1U);
-    BOOST_TEST(urgent.target().why == std::string("warm"));
+    BOOST_TEST(urgent.target().reason == std::string("warm"));
     // The same requests, shared by a hundred functions of the group.
     urgent.group.members = 100;
     BOOST_TEST(urgent.target().count == 0U);
@@ -76,7 +76,7 @@
     // A start costs 0.25 and a second of 0.8, a runner's second 0.8: even at 0.76 a second.
     targeted.load(0.01, {{"z-a", 0.8}});
     BOOST_TEST(targeted.target_of_running(1).count == 1U);
-    BOOST_TEST(targeted.target_of_running(1).why == std::string("kept"));
+    BOOST_TEST(targeted.target_of_running(1).reason == std::string("kept"));
 }
 
 BOOST_AUTO_TEST_CASE(the_target_follows_the_load) {
@@ -90,7 +90,7 @@
         BOOST_TEST(4 * count < 2 * load + 8);
         last = count;
     }
-    BOOST_TEST(targeted.target_of_running(1).why == std::string("load"));
+    BOOST_TEST(targeted.target_of_running(1).reason == std::string("load"));
 }
 
 BOOST_AUTO_TEST_CASE(fewer_late_requests_are_worth_more_runners) {
@@ -120,7 +120,7 @@
     BOOST_TEST(targeted.target_of_running(1).count == 1U);
     targeted.load(0.1, {{"z-a", 5.0}, {"z-c", 4.0}});
     BOOST_TEST(targeted.target_of_running(1).count == 2U);  // one for each region
-    BOOST_TEST(targeted.target_of_running(1).why == std::string("near"));
+    BOOST_TEST(targeted.target_of_running(1).reason == std::string("near"));
     targeted.load(0.1, {{"z-a", 8.0}, {"z-b", 8.0}, {"z-c", 8.0}});
     BOOST_TEST(targeted.target_of_running(1).count == 3U);  // one for each zone
 }
--- a/tests/system/simulation/coordinators.cpp
+++ b/tests/system/simulation/coordinators.cpp
@@ -170,7 +170,7 @@
     coordinator.checked_inversions = inversions.total_added();
     for (std::size_t n = kept.size() - unchecked; n < kept.size(); ++n) {
         const PriorityInversion& inversion = kept[n];
-        const std::string why = inversion.why;
+        const std::string why = inversion.reason;
         const bool is_more_urgent = inversion.time_left + inversion.priority * kPriorityStep <=
                                     inversion.passed_time_left + inversion.passed_priority * kPriorityStep;
         if (why == "less_time_left" && !is_more_urgent)
--- a/tests/system/slots/request_scheduler_test.cpp
+++ b/tests/system/slots/request_scheduler_test.cpp
@@ -44,7 +44,7 @@
     BOOST_REQUIRE(inversions.size() == 1U);
     BOOST_TEST(inversions.front().request_id == 3U);
     BOOST_TEST(inversions.front().passed_request_id == 2U);
-    BOOST_TEST(inversions.front().why == std::string(PriorityInversion::kLessTimeLeft));
+    BOOST_TEST(inversions.front().reason == std::string(PriorityInversion::kLessTimeLeft));
     BOOST_TEST(inversions.front().time_left < inversions.front().passed_time_left);
     BOOST_TEST(taken.table.function().inversions == 1U);
     BOOST_TEST(taken.release(4000, kSecond, 3) == 2U);
@@ -67,7 +67,7 @@
     BOOST_TEST((served == std::vector<std::uint32_t>{3, 4, 5, 2}));
     const auto& inversions = taken.table.slot_table.priority_inversions().entries();
     BOOST_REQUIRE(inversions.size() == 3U);
-    BOOST_TEST(inversions.front().why == std::string(PriorityInversion::kPassedIsLate));
+    BOOST_TEST(inversions.front().reason == std::string(PriorityInversion::kPassedIsLate));
 }
 
 BOOST_AUTO_TEST_CASE(a_request_at_the_end_of_a_long_queue_is_denied_at_once) {
