--- a/src/cluster/runners/platform_api.cpp
+++ b/src/cluster/runners/platform_api.cpp
@@ -21,9 +21,9 @@
 
 std::string json_string(std::string_view text) {
     std::string json = "\"";
-    for (const char c : text) {
-        if (c == '"' || c == '\\') json += '\\';
-        if (static_cast<unsigned char>(c) >= 0x20) json += c;
+    for (const char character : text) {
+        if (character == '"' || character == '\\') json += '\\';
+        if (static_cast<unsigned char>(character) >= 0x20) json += character;
     }
     return json += '"';
 }
@@ -31,25 +31,26 @@
 std::string percent_encoded(std::string_view text) {
     static constexpr char kHex[] = "0123456789ABCDEF";
     std::string encoded;
-    for (const char c : text) {
-        const auto byte = static_cast<unsigned char>(c);
-        if (std::isalnum(byte) || c == '-' || c == '_' || c == '.' || c == '~')
-            encoded += c;
+    for (const char character : text) {
+        const auto byte = static_cast<unsigned char>(character);
+        if (std::isalnum(byte) || character == '-' || character == '_' || character == '.' ||
+            character == '~')
+            encoded += character;
         else
             encoded.append({'%', kHex[byte >> 4], kHex[byte & 15]});
     }
     return encoded;
 }
 
-/// Empty: there is no such member, or it is no string.
+/// Returns an empty string if there is no such member or it is not a string.
 std::string string_member(const object& from, const char* name) {
     std::string_view value;
     return from[name].get(value) ? std::string() : std::string(value);
 }
 
-std::int64_t number_member(const object& from, const char* name, std::int64_t otherwise) {
+std::int64_t number_member(const object& from, const char* name, std::int64_t default_value) {
     double value = 0;
-    return from[name].get(value) ? otherwise : static_cast<std::int64_t>(value);
+    return from[name].get(value) ? default_value : static_cast<std::int64_t>(value);
 }
 
 HttpMessage make_request(const char* method, std::string target) {
--- a/src/cluster/runners/platform_api.hpp
+++ b/src/cluster/runners/platform_api.hpp
@@ -1,4 +1,5 @@
-// The platform's HTTP API as typed requests and results: writes requests and reads responses. No I/O.
+// The platform's HTTP API as typed requests and results: encodes requests and decodes responses. Performs no
+// I/O.
 #pragma once
 
 #include <string>
@@ -12,8 +13,8 @@
 
 namespace gannethold::cluster {
 
-/// Goes with each request that changes something. The platform rejects a token whose term is below the
-/// highest that it has seen, so that a leader that has been replaced can change nothing.
+/// Sent with each request that changes state. The platform rejects a token whose term is lower than the
+/// highest term that it has received, so that a leader that has been replaced cannot change anything.
 struct FencingToken {
     std::string holder;
     Number term = 0;
@@ -21,33 +22,32 @@
 
 struct StartRunnerResponse {
     StartResult result = StartResult::timed_out;
-    // If it has begun:
-    std::string runner_id;
-    std::string address;  // "ip:port"
+    std::string runner_id;  // set if the result is started, like the address
+    std::string address;    // "ip:port"
 };
 
-/// Thread-safe: it never changes.
+/// Encodes and decodes the messages of one coordinator. Immutable, therefore thread-safe.
 class PlatformApi {
   public:
     explicit PlatformApi(FencingToken token) : token_(std::move(token)) {}
 
-    /// page_token: RunnerListPage::next_page_token of the page before; empty: the first page.
+    /// page_token: RunnerListPage::next_page_token of the previous page; empty: the first page.
     HttpMessage list_runners(std::string_view page_token) const;
-    /// Entries without an id or an address are left out. Errors: platform_refused (a status other than 200),
+    /// Skips entries without an id or an address. Errors: platform_rejected (a status other than 200),
     /// bytes_malformed.
     leaf::result<RunnerListPage> read_runners(const HttpMessage& response) const;
 
     HttpMessage list_workers() const;
-    /// Entries without a name are left out. Errors: as of read_runners().
+    /// Skips entries without a name. Errors: as for read_runners().
     leaf::result<std::vector<Worker>> read_workers(const HttpMessage& response) const;
 
-    /// The request may be repeated: the platform starts one runner for each nonce.
+    /// The request is idempotent: the platform starts one runner for each nonce.
     HttpMessage start_runner(const StartRunner& start) const;
     StartRunnerResponse read_start(const HttpMessage& response) const;
 
-    /// The request may be repeated.
+    /// The request is idempotent.
     HttpMessage stop_runner(const StopRunner& stop) const;
-    /// Whether the runner is stopped, or there is none of that id.
+    /// Returns whether the runner has been stopped or does not exist.
     bool read_stop(const HttpMessage& response) const;
 
   private:
--- a/src/cluster/runners/runner_list_poller.cpp
+++ b/src/cluster/runners/runner_list_poller.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMinPagesPerSecond = 0.1;
 constexpr double kMicrosPerSecond = 1e6;
-// Between two requests, as multiples of the shortest interval that the rate limit allows.
+// Times between two requests, as multiples of the smallest interval that the rate limit allows.
 constexpr double kPageSpacing = 1.5;
 constexpr double kRetrySpacing = 2;
 constexpr Micros kMinRetryInterval = 200'000;
--- a/src/cluster/split/split.cpp
+++ b/src/cluster/split/split.cpp
@@ -9,11 +9,11 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr double kMinRate = 3;            // floor of x, the own rate of requests (section 4.1)
-constexpr double kLatencyGain = 0.125;    // of a sample in the smoothed latency
-constexpr double kRateDecay = 0.75;       // of the smoothed rate, per period
-constexpr double kMaxUtilization = 0.95;  // rho, so that 1/(1 - rho) stays finite
-constexpr int kFirstStepsPerRunner = 2;   // so many steps per runner are shortened
+constexpr double kMinRate = 3;               // requests/s; floor of x, the proxy's own rate (section 4.1)
+constexpr double kLatencyGain = 0.125;       // weight of a sample in the smoothed latency
+constexpr double kRateDecay = 0.75;          // decay of the smoothed rate per period
+constexpr double kMaxUtilization = 0.95;     // limit of rho, so that 1/(1 - rho) stays finite
+constexpr int kShortenedStepsPerRunner = 2;  // the first steps are shortened, this many per runner
 
 }  // namespace
 
@@ -87,16 +87,16 @@
     share->min_latency = share->min_latency > 0 ? std::min(share->min_latency, latency) : latency;
 }
 
-// Section 4.1, equation 14: T/(1 - rho), or T^2/S where rho is not known. Runners do not report their load:
-// rho is this proxy's own use of the slots.
+// Section 4.1, equation 14: T/(1 - rho), or T^2/S if rho is not known. Runners do not report their load, so
+// rho is the share of the runner's slots that this proxy itself uses.
 double Split::marginal_delay(const Share& share) {
     const double utilization = std::min(kMaxUtilization, static_cast<double>(share.in_flight) / share.slots);
     if (utilization > 0) return share.latency / (1 - utilization);
     return share.latency * share.latency / share.min_latency;
 }
 
-// Section 5, Theorem 2: M bounds the second derivatives, 2T^3/S each. Returns whether every runner has a
-// sample.
+// Section 5, Theorem 2: M bounds the second derivatives, 2T^3/S for each runner. Returns whether every runner
+// has a latency sample.
 bool Split::update_max_curvature() {
     bool all_sampled = true;
     for (const Share& share : shares_) {
@@ -110,18 +110,18 @@
     return all_sampled;
 }
 
-// Section 5, Theorem 2: eta = 2/(N*N*M), shortened for the first steps.
+// Section 5, Theorem 2: eta = 2/(N*N*M); the first steps are shortened.
 double Split::step_size(double max_curvature) {
     const double runners = static_cast<double>(shares_.size());
     double eta = 2 / (runners * runners * max_curvature);
-    const int first_steps = kFirstStepsPerRunner * static_cast<int>(shares_.size());
-    if (steps_ < first_steps) eta /= first_steps - steps_;
+    const int shortened_steps = kShortenedStepsPerRunner * static_cast<int>(shares_.size());
+    if (steps_ < shortened_steps) eta /= shortened_steps - steps_;
     ++steps_;
     return eta;
 }
 
-// Section 4.1, equation 13, with the clamp of gradient/gradient.hpp. Nothing moves until there is an M of an
-// earlier period and a sample of every runner.
+// Section 4.1, equation 13, with the clamp of gradient/gradient.hpp. The fractions do not change until M is
+// known from an earlier period and every runner has a latency sample.
 void Split::step(std::uint64_t random) {
     const double earlier_max_curvature = max_curvature_;
     const bool all_sampled = update_max_curvature();
