--- a/src/cluster/placement/exchange_rates.hpp
+++ b/src/cluster/placement/exchange_rates.hpp
@@ -2,19 +2,20 @@
 
 namespace gannethold::cluster {
 
-// What the operator pays and what a request earns, in one unit: the worth of a request that is answered
-// within its latency target. The planner weighs starts, idle runners and late requests by them.
+// Costs by which the planner compares starts, idle runners and late requests. The unit is the value of a
+// request that is answered within its latency target.
 struct ExchangeRates {
-    double instance_gb_second =
-        0.8;                       // a gigabyte of a runner's memory for one second, whether it works or not
-    double instance_start = 0.25;  // a start of a runner, beside the memory that it holds while it starts
-    double late_request = 0.6;     // what a request loses that is answered after its latency target
-    double zone_gb = 30'000;       // a gigabyte between two zones of one region
-    double region_gb = 31'000;     // a gigabyte between two regions
-    // Interruptions an hour that spare slots are kept for: after each, what has come meanwhile is served
-    // beside what goes on coming.
+    // A gigabyte of a runner's memory for one second, idle or busy.
+    double instance_gb_second = 0.8;
+    double instance_start = 0.25;  // a start of a runner, without the memory that it holds while it starts
+    double late_request = 0.6;     // lost value of a request that is answered after its latency target
+    double zone_gb = 30'000;       // a gigabyte of traffic between two zones of one region
+    double region_gb = 31'000;     // a gigabyte of traffic between two regions
+    // Interruptions per hour for which spare slots are kept. After each interruption the requests that have
+    // accumulated are served in addition to those that arrive.
     double expected_interruptions_per_h = 60;
-    // Requests a second that are expected of each proxy's clients before any has come, over all functions.
+    // Requests per second that are expected of the clients of each proxy, over all functions, before any
+    // request has been observed.
     double expected_requests_per_s = 5;
 };
 
--- a/src/cluster/placement/pending_starts.hpp
+++ b/src/cluster/placement/pending_starts.hpp
@@ -12,26 +12,26 @@
 
 namespace gannethold::cluster {
 
-// A start that was decided and not answered yet.
+// A start that has been planned and whose result is not known yet.
 struct PendingStart {
     StartRunner start;
     std::int64_t memory_mb = 0;
     Micros next_attempt_at = 0;
-    bool in_flight = false;
+    bool in_flight = false;  // a request for it has been sent and not answered
     int attempts = 0;
 };
 
-// Starts by nonce, and by function.
+// Pending starts, by nonce and by function.
 class PendingStarts {
   public:
     void add(PendingStart start);
     void remove(const std::string& nonce);
-    // nullptr: there is none.
+    // nullptr: there is no such start.
     PendingStart* find(const std::string& nonce);
     std::size_t count(const std::string& service) const;
-    // Workers on which runners of the function are to be started, one for each start.
+    // The workers on which runners of the function will be started, one entry per start.
     std::vector<std::string> workers_of(const std::string& service) const;
-    // By nonce.
+    // All pending starts, by nonce.
     std::map<std::string, PendingStart>& all() { return by_nonce_; }
     const std::map<std::string, PendingStart>& all() const { return by_nonce_; }
 
--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -9,7 +9,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// The platform's rate is shared by all that coordinate one after the other.
+// Fraction of the platform's rate limit that one coordinator uses: the limit also covers the requests of the
+// coordinator that it has replaced.
 constexpr double kRateShare = 0.8;
 constexpr double kMinBurst = 4;
 constexpr double kBurstSeconds = 0.125;
@@ -20,34 +21,36 @@
 constexpr int kMaxStartAttempts = 4;
 constexpr Micros kFullWorkerPause = 1'000'000;
 
-// What one more in a long queue changes is little, and planning for each costs more time than there is.
+// One more request in a longer queue changes the plan little, and planning for each request would take too
+// much time; such a queue is planned for once per interval.
 constexpr std::size_t kShortQueue = 8;
 constexpr Micros kLongQueueInterval = 20'000;
 
-constexpr double kMinRequestsPerS = 0.01;  // below, nobody asks
-// Functions that nobody has used lately are looked at in turn, so many in one sample.
+// Requests per second, added to the rate of each zone so that zones without requests can be compared.
+constexpr double kRequestRateOffset = 0.01;
+// Inactive functions are planned for in round-robin order, this many per sample.
 constexpr std::size_t kInactivePerSample = 128;
-// After this coordinator has begun, before its samples say what a function's load is.
-constexpr Micros kLoadKnownAfter = 3'000'000;
+// Time after the takeover delay until the samples of this coordinator show the load of a function.
+constexpr Micros kLoadSettlingTime = 3'000'000;
 
-// Of the runners that may be stopped, one of the zone with most runners for its requests, and of those the
-// one that has been idle longest; nullptr: none may be. A runner of which this coordinator has seen nothing
-// is left for break_even: an earlier coordinator knew why it kept it.
+// Chooses the runner to stop: of those that may be stopped, one in the zone with the most runners relative to
+// its requests, and of these the one that has been idle longest; nullptr if no runner may be stopped. An
+// adopted runner is kept for break_even, because an earlier coordinator may have had a reason to keep it.
 const RunnerSlots* choose_surplus(Micros now, const Function& function, Micros min_idle, Micros break_even) {
     std::map<std::string, int> by_zone;
     for (const RunnerSlots* const runner : function.runners)
         if (!runner->draining) ++by_zone[runner->info.zone];
     const auto surplus = [&](const RunnerSlots& runner) {
         return by_zone[runner.info.zone] /
-               (kMinRequestsPerS + function.zones.requests_per_s(runner.info.zone));
+               (kRequestRateOffset + function.zones.requests_per_s(runner.info.zone));
     };
     const RunnerSlots* chosen = nullptr;
     for (const RunnerSlots* const runner : function.runners) {
         if (runner->draining || runner->state != RunnerState::ready) continue;
-        // What is outstanding of an unrestricted function is not known here.
-        const Micros keep = runner->adopted ? break_even : min_idle;
-        const bool idle = runner->outstanding() == 0 && now >= runner->idle_since + keep;
-        if (!function.unrestricted && !idle) continue;
+        // The outstanding requests of an unrestricted function are not known to the coordinator.
+        const Micros min_runner_idle = runner->adopted ? break_even : min_idle;
+        const bool is_idle = runner->outstanding() == 0 && now >= runner->idle_since + min_runner_idle;
+        if (!function.unrestricted && !is_idle) continue;
         if (!chosen || surplus(*runner) > surplus(*chosen) ||
             (surplus(*runner) == surplus(*chosen) && runner->idle_since < chosen->idle_since))
             chosen = runner;
@@ -102,15 +105,15 @@
 }
 
 void Planner::plan_some_inactive(Micros now, SlotTable& slot_table, ProxyOutbox& out) {
-    for (Function* const function : slot_table.next_in_turn(kInactivePerSample)) {
+    for (Function* const function : slot_table.next_round_robin(kInactivePerSample)) {
         if (function->active) continue;
         plan(now, slot_table, *function, out);
-        if (function->wants_runner) slot_table.activate(*function);
+        if (function->needs_runner) slot_table.activate(*function);
     }
 }
 
 void Planner::plan(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out) {
-    function.wants_runner = false;
+    function.needs_runner = false;
     if (!is_ready(now)) return;
     if (!function.service) {
         for (const RunnerSlots* const runner : function.runners) stop(now, slot_table, *runner, out);
@@ -118,7 +121,7 @@
     }
     const RunnerCounts runners = count_runners(function);
     const RunnerTarget target = runner_target(now, function, runners, {slot_table, workers_, rates_});
-    function.wants_runner = target.count > 0;
+    function.needs_runner = target.count > 0;
     if (runners.total > target.count && runners.starting == 0) {
         stop_surplus(now, slot_table, function, target.count, out);
         return;
@@ -170,15 +173,16 @@
                            ProxyOutbox& out) {
     const StartCost cost(rates_, slot_table.boot_times(), *function.service);
     const Micros since = surplus_since_.try_emplace(function.name, now).first->second;
-    // Whether the last runner pays has been weighed by what is expected. Of several, one more that may soon
-    // be wanted again is kept for as long as another start would cost, and while the load is not known.
-    Micros keep = is_off(Mechanism::keep_by_rate) ? cost.break_even() : 0;
+    // A target of 0 already compares the cost of the last runner with the expected requests. If there are
+    // several, a surplus runner is kept while the load is not known and for as long as it costs less than
+    // another start.
+    Micros min_surplus = is_off(Mechanism::keep_by_rate) ? cost.break_even() : 0;
     if (target > 0) {
-        if (now < ready_at_ + kLoadKnownAfter) return;
-        keep = cost.break_even();
+        if (now < ready_at_ + kLoadSettlingTime) return;
+        min_surplus = cost.break_even();
     }
-    if (now < since + keep) return;
-    if (const RunnerSlots* const runner = choose_surplus(now, function, keep / 2, cost.break_even()))
+    if (now < since + min_surplus) return;
+    if (const RunnerSlots* const runner = choose_surplus(now, function, min_surplus / 2, cost.break_even()))
         stop(now, slot_table, *runner, out);
 }
 
@@ -227,7 +231,8 @@
             pending->next_attempt_at = now + kBusyRetryInterval;
             break;
         case StartResult::timed_out:
-            // It may have been done: the same nonce on the same worker finds it again.
+            // The runner may have been started; the same nonce on the same worker does not start a second
+            // one.
             pending->in_flight = false;
             pending->next_attempt_at = now + kTimeoutRetryInterval;
             if (pending->attempts >= kMaxStartAttempts) starts_.remove(nonce);
--- a/src/cluster/placement/planner.hpp
+++ b/src/cluster/placement/planner.hpp
@@ -1,6 +1,7 @@
-// How many runners each function has, and on which worker each is started. One planner acts at a time: the
-// coordinator's, under its term as the fencing token. It reads the slot table and says what to start and
-// stop. No I/O and no clock: `now` is of a steady clock and never goes back. Not thread-safe.
+// Decides how many runners each function has and on which worker each is started. Only the coordinator's
+// planner acts, with the coordinator's term as fencing token. It reads the slot table and returns the runners
+// to start and to stop. Performs no I/O and reads no clock: `now` is a time of a steady clock and never
+// decreases. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -20,51 +21,55 @@
 
 namespace gannethold::cluster {
 
+// Plans runners for all functions and tracks the requests to the platform until they are answered.
 class Planner {
   public:
     struct Options {
         std::string nonce_prefix;   // unique to this coordinator's term and incarnation
-        double requests_per_s = 1;  // to the platform, by all coordinators together
-        // After this coordinator has taken over, before a runner that is not listed is started anew.
+        double requests_per_s = 1;  // the platform's rate limit, for all coordinators together
+        // Time after this coordinator has taken over before it plans. Runners that the previous coordinator
+        // started appear in the platform's list within this time.
         Micros takeover_delay = 1'500'000;
         std::map<std::string, std::string> region_of;  // by zone
         ExchangeRates rates;
     };
     Planner(const Options& options, Micros now);
 
-    // The platform's lists: all workers; and that the list of runners has been read from end to end.
+    // The complete list of workers has been read.
     void update_workers(std::vector<Worker> workers) { workers_.update(std::move(workers)); }
+    // The complete list of runners has been read.
     void on_list_complete(Micros now) { list_complete_at_ = now; }
-    // Whether enough is known to plan; nothing is planned before.
+    // Whether both lists have been read and the takeover delay is over; nothing is planned before.
     bool is_ready(Micros now) const;
 
-    // What starts on a worker that drains or is down never accepts connections: its runners are ended, so
-    // that another start is planned for at once. Call after update_workers().
+    // A runner that is starting on a worker that drains or is down never accepts connections. This removes
+    // such runners, so that replacements are planned immediately. To be called after update_workers().
     void cancel_lost_starts(Micros now, SlotTable& slot_table, ProxyOutbox& out) const;
-    // For one function, after one more request has come to wait.
+    // Plans for one function; to be called after a request has been added to its wait queue.
     void plan_for_waiting(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out);
-    // For all that are active, and some of the others in turn. Call each SlotTable::kSampleInterval.
+    // Plans for all active functions and some inactive ones. To be called once per
+    // SlotTable::kSampleInterval.
     void plan_all(Micros now, SlotTable& slot_table, ProxyOutbox& out);
-    // What is to be sent to the platform now, within its rate: new requests, and those to be repeated.
+    // Returns the requests to send to the platform now, within its rate limit: new ones and retries.
     PlatformRequests take_due_requests(Micros now);
 
     void on_start_result(Micros now, const std::string& nonce, StartResult result);
     void on_stop_result(const std::string& runner, bool stopped);
 
-    // Empty: no such worker is listed.
+    // Empty if no such worker is listed.
     std::string zone_of(const std::string& worker) const { return workers_.zone_of(worker); }
 
   private:
     struct PendingStop {
         std::uint32_t number = 0;
-        bool drained = false;  // nothing is outstanding there: it may be stopped
+        bool drained = false;  // no request is outstanding: the runner may be stopped
         Micros next_attempt_at = 0;
     };
 
     void plan(Micros now, SlotTable& slot_table, Function& function, ProxyOutbox& out);
-    // False: no worker has room.
+    // Returns false if no worker has room.
     bool start_one(Micros now, Function& function, const RunnerTarget& target);
-    // Stops a runner once there have been too many for as long as a start is worth.
+    // Stops a runner once the surplus has lasted for the break-even time of a start.
     void stop_surplus(Micros now, SlotTable& slot_table, Function& function, std::size_t target,
                       ProxyOutbox& out);
     void stop(Micros now, SlotTable& slot_table, const RunnerSlots& runner, ProxyOutbox& out);
@@ -74,12 +79,12 @@
 
     std::string nonce_prefix_;
     ExchangeRates rates_;
-    Micros ready_at_;              // not before, as of the takeover delay
-    Micros list_complete_at_ = 0;  // 0: not yet
+    Micros ready_at_;              // end of the takeover delay
+    Micros list_complete_at_ = 0;  // 0: the list of runners has not been read completely
     TokenBucket tokens_;
     WorkerTable workers_;
     PendingStarts starts_;
-    std::map<std::string, PendingStop> stops_;               // by runner
+    std::map<std::string, PendingStop> stops_;               // by runner id
     std::unordered_map<std::string, Micros> surplus_since_;  // by function
     std::uint64_t last_nonce_ = 0;
 };
--- a/src/cluster/placement/platform_requests.hpp
+++ b/src/cluster/placement/platform_requests.hpp
@@ -1,4 +1,4 @@
-// What the planner asks of the platform, and how the platform answers.
+// The planner's requests to the platform and their results.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 struct StartRunner {
     std::string service;
     std::string worker;
-    std::string nonce;  // a start that is repeated under its nonce starts nothing twice
+    std::string nonce;  // a start that is retried with the same nonce does not start a second runner
     const char* reason = "";
 };
 
 struct StopRunner {
-    std::string runner;
+    std::string runner;  // its id
     const char* reason = "";
 };
 
@@ -23,7 +23,7 @@
     std::vector<StopRunner> stops;
 };
 
-// busy: to be asked again later. timed_out: it may have been done.
+// busy: the request is to be retried later. timed_out: the runner may have been started.
 enum class StartResult { started, no_capacity, rejected, busy, timed_out };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/placement/runner_target.hpp
+++ b/src/cluster/placement/runner_target.hpp
@@ -11,22 +11,22 @@
 
 namespace gannethold::cluster {
 
-// How many runners a function should have.
+// The number of runners that a function should have.
 struct RunnerTarget {
     std::size_t count = 0;
     const char* reason = "";
-    std::string zone;  // where one more is best; empty: wherever there is room
+    std::string zone;  // preferred zone of the next runner; empty: any zone with room
 };
 
-// A function's runners, and the starts that are pending, without those that drain.
+// The runners of a function and its pending starts; runners that drain are not included.
 struct RunnerCounts {
     std::size_t total = 0;
     std::size_t starting = 0;
     std::map<std::string, double> by_zone;
 };
 
-// What a target is worked out from, beside the function.
-struct PlanningView {
+// The inputs of runner_target() apart from the function.
+struct PlanningInputs {
     const SlotTable& slot_table;
     const WorkerTable& workers;
     const ExchangeRates& rates;
@@ -34,6 +34,6 @@
 
 // REQUIRES: the function is configured.
 RunnerTarget runner_target(Micros now, const Function& function, const RunnerCounts& runners,
-                           const PlanningView& view);
+                           const PlanningInputs& inputs);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/placement/start_cost.cpp
+++ b/src/cluster/placement/start_cost.cpp
@@ -6,13 +6,13 @@
 namespace gannethold::cluster {
 namespace {
 
-// For messages between client, proxy, coordinator and runner, beside the start and the work: a few crossings
-// between regions.
-constexpr Micros kMessages = 60'000;
-constexpr Micros kUsualWork = 100'000;  // of a request, as WorkDurations takes it before any was seen
+// Time for messages between client, proxy, coordinator and runner, in addition to the start and the work: a
+// few crossings between regions.
+constexpr Micros kMessageDelay = 60'000;
+constexpr Micros kDefaultWork = 100'000;  // of a request; equal to the default of WorkDurations
 
-constexpr double kMinDeviation = 0.05;  // of starts, as a part of their mean: none is exactly alike
-constexpr double kMinBoot = 1e-3;       // seconds
+constexpr double kMinDeviation = 0.05;  // of boot durations, relative to their mean
+constexpr double kMinBootSeconds = 1e-3;
 constexpr double kMinRunnerSecond = 1e-9;
 
 double seconds(Micros span) { return static_cast<double>(span) / 1e6; }
@@ -27,17 +27,18 @@
 }  // namespace
 
 StartCost::StartCost(const ExchangeRates& rates, const BootTimes& boot_times, const Service& service)
-    : boot_s_(std::max(kMinBoot, seconds(service.boot_duration) * boot_times.mean())),
+    : boot_s_(std::max(kMinBootSeconds, seconds(service.boot_duration) * boot_times.mean())),
       runner_second_(std::max(kMinRunnerSecond,
                               rates.instance_gb_second * static_cast<double>(service.memory_mb) / 1024)),
       start_(rates.instance_start + runner_second_ * boot_s_),
       late_request_(rates.late_request) {
     if (service.min_latency_target <= 0) return;
-    // A start takes about normally distributed time; what is left of the target is what it may take.
+    // Boot durations are approximately normally distributed. A start may take what remains of the latency
+    // target after work and messages.
     const double deviation = boot_s_ * std::max(kMinDeviation, boot_times.deviation() / boot_times.mean());
-    const double allowed = seconds(service.min_latency_target - kUsualWork - kMessages);
+    const double allowed = seconds(service.min_latency_target - kDefaultWork - kMessageDelay);
     const double margin = (allowed - boot_s_) / deviation;
-    late_part_ = normal_tail(margin);
+    late_fraction_ = normal_tail(margin);
     late_seconds_ = deviation * (normal_density(margin) - margin * normal_tail(margin));
 }
 
--- a/src/cluster/placement/start_cost.hpp
+++ b/src/cluster/placement/start_cost.hpp
@@ -1,4 +1,4 @@
-// What it costs when requests find no runner and wait for one to start, and what an idle runner costs.
+// The cost of requests that find no runner and wait for a start, and the cost of an idle runner.
 #pragma once
 
 #include "cluster/configuration/configuration.hpp"
@@ -8,31 +8,30 @@
 
 namespace gannethold::cluster {
 
-// Costs are in the unit of ExchangeRates.
+// Costs for the runners of one function, in the unit of ExchangeRates.
 class StartCost {
   public:
     StartCost(const ExchangeRates& rates, const BootTimes& boot_times, const Service& service);
 
     // One runner for one second.
     double runner_second() const { return runner_second_; }
-    // One start, with the memory that is held until it serves.
+    // One start, including the memory that the runner holds until it accepts requests.
     double start() const { return start_; }
-    // The requests that are answered late where the first of them finds no runner.
-    // requests_per_s: how many come.
+    // The requests that are answered late if the first of them finds no runner, at the given request rate.
     double late_requests(double requests_per_s) const {
-        return late_request_ * (late_part_ + requests_per_s * late_seconds_);
+        return late_request_ * (late_fraction_ + requests_per_s * late_seconds_);
     }
-    // For how long an idle runner costs as much as another start would (ski rental's bound: who keeps it for
-    // so long pays at most twice what the best choice would have cost).
+    // The time for which an idle runner costs as much as another start. Keeping the runner for this long
+    // costs at most twice the optimum (the bound of the ski rental problem).
     Micros break_even() const { return static_cast<Micros>(start_ / runner_second_ * 1e6); }
 
-    // Whether an idle runner, the function's last, costs less than starting one for the next request.
-    bool pays_to_keep(double requests_per_s) const {
+    // Whether keeping the function's last runner idle costs less than a start for the next request.
+    bool is_cheaper_to_keep(double requests_per_s) const {
         return requests_per_s * (start_ + late_requests(requests_per_s)) >= runner_second_;
     }
-    // Whether a runner before the first request costs less, by its idle time until then, than the requests
-    // that would be late without it. The start is paid for in any case.
-    bool pays_to_start_ahead(double requests_per_s) const {
+    // Whether starting a runner before the first request costs less, for its idle time until then, than the
+    // requests that would be late without it. The cost of the start itself is the same in both cases.
+    bool is_cheaper_to_start_ahead(double requests_per_s) const {
         return requests_per_s * late_requests(requests_per_s) >= runner_second_;
     }
 
@@ -41,8 +40,8 @@
     double runner_second_;
     double start_;
     double late_request_;
-    double late_part_ = 0;     // of first requests that are late after waiting for the start
-    double late_seconds_ = 0;  // of the start, in which requests that come are late
+    double late_fraction_ = 0;  // fraction of first requests that are late because they wait for the start
+    double late_seconds_ = 0;   // part of the start during which arriving requests will be late
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/placement/token_bucket.hpp
+++ b/src/cluster/placement/token_bucket.hpp
@@ -6,17 +6,17 @@
 
 namespace gannethold::cluster {
 
-// A rate limit: tokens come at a rate, up to a burst, and each call spends one. Empty at first.
+// A rate limit: tokens accrue at a fixed rate, up to a burst, and each call spends one. Initially empty.
 class TokenBucket {
   public:
     struct Options {
         double tokens_per_s = 1;
-        double share = 1;  // of the rate, for this one of those that share it
+        double share = 1;  // fraction of the rate that this bucket may use
         double burst = 1;
     };
     TokenBucket(const Options& options, Micros now) : options_(options), filled_at_(now) {}
 
-    // False: the call is not within the rate now. REQUIRES: now does not go back.
+    // Returns false if the call would exceed the rate. REQUIRES: now does not decrease between calls.
     bool try_spend(Micros now) {
         const double elapsed_s = static_cast<double>(now - filled_at_) / 1e6;
         tokens_ = std::min(options_.burst, tokens_ + elapsed_s * options_.tokens_per_s * options_.share);
--- a/src/cluster/placement/worker_table.cpp
+++ b/src/cluster/placement/worker_table.cpp
@@ -5,9 +5,9 @@
 namespace gannethold::cluster {
 namespace {
 
-// A better zone outweighs the spread over workers, and that the room left.
+// Nearness takes precedence over the spread over workers, and the spread over free memory.
 constexpr double kNearnessWeight = 100;
-constexpr double kRunnerWeight = 16;
+constexpr double kSpreadWeight = 16;
 
 }  // namespace
 
@@ -45,8 +45,8 @@
             nearness = 1;
     }
     const auto runners = demand.runners.find(worker.name);
-    const int runners_there = runners == demand.runners.end() ? 0 : runners->second;
-    return kNearnessWeight * nearness - kRunnerWeight * runners_there +
+    const int worker_runners = runners == demand.runners.end() ? 0 : runners->second;
+    return kNearnessWeight * nearness - kSpreadWeight * worker_runners +
            static_cast<double>(free_mb) / static_cast<double>(std::max<std::int64_t>(1, worker.memory_mb));
 }
 
--- a/src/cluster/placement/worker_table.hpp
+++ b/src/cluster/placement/worker_table.hpp
@@ -10,23 +10,24 @@
 
 namespace gannethold::cluster {
 
+// A machine of the platform on which runners are started.
 struct Worker {
     std::string name;
     std::string zone;
     std::int64_t memory_mb = 0;
     std::int64_t free_mb = 0;
-    bool ready = true;  // false: it drains
+    bool ready = true;  // false: it is draining
 };
 
-// The workers that the platform lists, by name, and the memory that runners use there.
+// The workers in the platform's list, by name, and the memory that runners use on them.
 class WorkerTable {
   public:
-    // What a runner on a worker is chosen by.
+    // The requirements of a runner for which a worker is chosen.
     struct Demand {
         std::int64_t memory_mb = 0;
-        std::string zone;                                // empty: none is preferred
-        std::map<std::string, int> runners;              // of the function, by worker
-        std::map<std::string, std::int64_t> pending_mb;  // of starts that are not answered yet, by worker
+        std::string zone;                                // empty: no preference
+        std::map<std::string, int> runners;              // runners of the function, by worker
+        std::map<std::string, std::int64_t> pending_mb;  // memory of pending starts, by worker
     };
 
     explicit WorkerTable(std::map<std::string, std::string> region_of) : region_of_(std::move(region_of)) {}
@@ -34,20 +35,22 @@
     void update(std::vector<Worker> workers);
     bool empty() const { return workers_.empty(); }
     bool is_ready(const std::string& name) const;
-    // Empty: no such worker is listed.
+    // Empty if no such worker is listed.
     std::string zone_of(const std::string& name) const;
-    // A zone that is in no region is a region of its own.
+    // A zone without a configured region is a region of its own.
     std::string region_of(const std::string& zone) const;
 
-    // Counts anew: of all runners that are known.
+    // Resets the used memory, before add_used() is called for all known runners.
     void clear_used() { used_mb_.clear(); }
     void add_used(const std::string& worker, std::int64_t memory_mb) { used_mb_[worker] += memory_mb; }
-    // The platform found no room there, whatever the counts say: the worker is passed over until then.
+    // The platform reported that the worker has no room: choose() skips it until then, whatever its used
+    // memory.
     void set_full(const std::string& worker, Micros until) { full_until_[worker] = until; }
 
-    // In the zone that needs a runner if there is room, then in its region, then anywhere; there on the
-    // worker with the fewest runners of the function, so that one crash leaves some; then on the emptiest.
-    // nullptr: no worker has room. Valid until the next update().
+    // Chooses a worker with room: in the demand's zone if possible, otherwise in its region, otherwise
+    // anywhere; then the one with the fewest runners of the function, so that a crash of one worker does not
+    // end all of them; then the one with the largest fraction of free memory. Returns nullptr if no worker
+    // has room. The pointer is valid until the next update().
     const Worker* choose(Micros now, Demand demand) const;
 
   private:
--- a/src/cluster/slots/arrivals.hpp
+++ b/src/cluster/slots/arrivals.hpp
@@ -1,4 +1,5 @@
-// How often the requests of a function come, for decisions that look further ahead than its load does.
+// Estimates of a function's request rate over a longer time than its load covers, for decisions on runners
+// that are started or kept for expected requests.
 #pragma once
 
 #include <algorithm>
@@ -9,18 +10,18 @@
 
 namespace gannethold::cluster {
 
-// Requests counted with exponential decay.
+// Number of requests, with exponential decay.
 class ArrivalCount {
   public:
-    static constexpr double kMemory = 30;  // seconds
+    static constexpr double kDecaySeconds = 30;
 
     void add(Micros now, double requests) {
         count_ = recent(now) + requests;
         counted_at_ = now;
     }
-    // Of the last kMemory seconds, about.
+    // The decayed count: approximately the requests of the last kDecaySeconds.
     double recent(Micros now) const {
-        return count_ * std::exp(-static_cast<double>(now - counted_at_) / 1e6 / kMemory);
+        return count_ * std::exp(-static_cast<double>(now - counted_at_) / 1e6 / kDecaySeconds);
     }
 
   private:
@@ -28,8 +29,9 @@
     Micros counted_at_ = 0;
 };
 
-// For how long requests have been counted, as ArrivalCount sees it: at most its memory. Time before the first
-// request of any function says nothing about which functions will be used, and does not count.
+// The time over which requests have been counted, with the decay of ArrivalCount, so that it is at most
+// kDecaySeconds. It begins with the first request for any function: the time before that gives no
+// evidence of which functions will be used.
 class ObservedTime {
   public:
     void on_request(Micros now) {
@@ -37,30 +39,30 @@
     }
     double seconds(Micros now) const {
         if (since_ == 0) return 0;
-        return ArrivalCount::kMemory *
-               (1 - std::exp(-static_cast<double>(now - since_) / 1e6 / ArrivalCount::kMemory));
+        return ArrivalCount::kDecaySeconds *
+               (1 - std::exp(-static_cast<double>(now - since_) / 1e6 / ArrivalCount::kDecaySeconds));
     }
 
   private:
-    Micros since_ = 0;  // 0: no request yet
+    Micros since_ = 0;  // time of the first request; 0: no request yet
 };
 
-// Functions that are alike in memory, start, slots and latency target. A function of which little has been
-// seen is expected to be used as much as the others of its group.
+// Functions that have the same memory, boot duration, slots and latency target. A function with few observed
+// requests is expected to be used as much as the other functions of its group.
 struct FunctionGroup {
     std::size_t members = 0;
     ArrivalCount arrivals;
 };
 
-// Requests a second that are expected of a function: those that were seen of it, weighed against what is
-// usual in its group, as if that had been observed for kPriorSeconds (the mean of a gamma distribution, whose
-// prior is the group's; likewise the group's own rate and its prior).
+// The expected request rate of a function: the mean of a gamma distribution. Its prior is the mean rate in
+// the function's group, weighted as if it had been observed for kPriorSeconds. The rate of the group is
+// estimated from its own prior in the same way.
 class ExpectedRate {
   public:
-    // prior: requests a second of the whole group that are expected before any has been seen.
+    // prior: requests per second that are expected of the whole group before any request has been observed.
     ExpectedRate(double observed_s, double prior) : observed_s_(observed_s), prior_(prior) {}
 
-    double of(Micros now, const ArrivalCount& function, const FunctionGroup& group) const {
+    double requests_per_s(Micros now, const ArrivalCount& function, const FunctionGroup& group) const {
         const double in_group = (group.arrivals.recent(now) + prior_ * kPriorSeconds) /
                                 (observed_s_ + kPriorSeconds) /
                                 static_cast<double>(std::max<std::size_t>(1, group.members));
--- a/src/cluster/slots/boot_times.hpp
+++ b/src/cluster/slots/boot_times.hpp
@@ -5,13 +5,13 @@
 
 namespace gannethold::cluster {
 
-// How long starts of runners really take, as parts of what the configuration states for them. Of all
-// functions together: how true the stated durations are is the platform's matter.
+// Measured boot durations of runners, as ratios to the configured durations. The ratios of all functions are
+// combined, because the deviation from the configured durations is caused by the platform.
 class BootTimes {
   public:
-    // actual and stated in the same unit; stated over 0.
-    void add(double actual, double stated) {
-        const double ratio = std::min(kMaxRatio, actual / stated);
+    // actual and configured have the same unit. REQUIRES: configured > 0.
+    void add(double actual, double configured) {
+        const double ratio = std::min(kMaxRatio, actual / configured);
         const double difference = ratio - mean_;
         mean_ += kGain * difference;
         variance_ += kGain * (difference * difference - variance_);
@@ -20,11 +20,11 @@
     double deviation() const { return std::sqrt(variance_); }
 
   private:
-    static constexpr double kGain = 0.02;    // of one start: some fifty are remembered
-    static constexpr double kMaxRatio = 10;  // one that hangs says little about the next
+    static constexpr double kGain = 0.02;    // weight of one start: averages over about fifty starts
+    static constexpr double kMaxRatio = 10;  // a start that hangs is a poor predictor of the next one
 
     double mean_ = 1;
-    double variance_ = 0.09;  // before any was seen: a third, more or less
+    double variance_ = 0.09;  // initial deviation before the first start: about a third
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/erlang.cpp
+++ b/src/cluster/slots/erlang.cpp
@@ -7,11 +7,11 @@
 
 double erlang_b(double load, std::uint32_t slots) {
     double blocked = 1;
-    for (std::uint32_t n = 1; n <= slots; ++n) blocked = load * blocked / (n + load * blocked);
+    for (std::uint32_t slot = 1; slot <= slots; ++slot) blocked = load * blocked / (slot + load * blocked);
     return blocked;
 }
 
-double waits_longer(double load, std::uint32_t slots, double durations) {
+double probability_wait_exceeds(double load, std::uint32_t slots, double durations) {
     if (load <= 0) return 0;
     if (load >= slots) return 1;
     const double blocked = erlang_b(load, slots);
--- a/src/cluster/slots/expected_wait.hpp
+++ b/src/cluster/slots/expected_wait.hpp
@@ -6,8 +6,8 @@
 
 namespace gannethold::cluster {
 
-// In how many microseconds a slot of the function is likely to come free for the last one that waits, or for
-// one more if nobody waits; 0 if a slot is free, very large if there is no runner.
+// The expected time in microseconds until the last request in the function's wait queue gets a slot, or a new
+// request if the queue is empty: 0 if a slot is free, 1e12 if no runner can take requests.
 double expected_wait(Micros now, const Function& function, const WorkDurations& durations);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/function.cpp
+++ b/src/cluster/slots/function.cpp
@@ -5,14 +5,14 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kObservation = 3'000'000;  // of traffic, before it is judged
-constexpr Micros kPause = 5'000'000;        // without a request: what was seen before counts no more
-constexpr Micros kIdleAfter = 20'000'000;   // without a request
+constexpr Micros kMinObservation = 3'000'000;  // of traffic before its load counts as known
+constexpr Micros kMaxPause = 5'000'000;    // without requests; after a longer pause observation starts over
+constexpr Micros kIdleAfter = 20'000'000;  // without requests
 
 }  // namespace
 
 void Function::on_request(Micros now) {
-    if (now > last_used + kPause) {
+    if (now > last_used + kMaxPause) {
         used_since = now;
         load.restart_demand();
     }
@@ -20,16 +20,16 @@
 }
 
 bool Function::is_observed(Micros now) const {
-    return now >= used_since + kObservation && now < last_used + kPause;
+    return now >= used_since + kMinObservation && now < last_used + kMaxPause;
 }
 
 void Function::assume_observed(Micros now) {
-    used_since = std::min(used_since, now - kObservation);
+    used_since = std::min(used_since, now - kMinObservation);
     last_used = now;
 }
 
 bool Function::is_idle(Micros now) const {
-    return runners.empty() && waiting.empty() && now > last_used + kIdleAfter && !wants_runner;
+    return runners.empty() && waiting.empty() && now > last_used + kIdleAfter && !needs_runner;
 }
 
 double Function::total_slots() const {
@@ -40,12 +40,12 @@
 }
 
 double Function::outstanding() const {
-    double all = 0;
-    for (const RunnerSlots* const runner : runners) all += runner->outstanding();
-    return all;
+    double total = 0;
+    for (const RunnerSlots* const runner : runners) total += runner->outstanding();
+    return total;
 }
 
-WaitReason Function::missing() const {
+WaitReason Function::wait_reason() const {
     const bool has_ready = std::any_of(runners.begin(), runners.end(), [](const RunnerSlots* runner) {
         return runner->state == RunnerState::ready && !runner->draining;
     });
--- a/src/cluster/slots/function.hpp
+++ b/src/cluster/slots/function.hpp
@@ -19,9 +19,9 @@
 
 namespace gannethold::cluster {
 
-// What the coordinator knows of one function.
+// The coordinator's state for one function.
 struct Function {
-    // What a proxy reported that sends this function's requests without asking.
+    // The load that a proxy reported for requests that it sends without a grant.
     struct ProxyLoad {
         double slots = 0;
         double requests_per_s = 0;
@@ -31,49 +31,51 @@
     Function(std::string function_name, const RetryBudget::Options& retry_budget)
         : name(std::move(function_name)), retries(retry_budget) {}
 
-    // A request came. After a long pause what was seen before counts no more.
+    // Records a request. After a long pause observation of the traffic starts over.
     void on_request(Micros now);
-    // Whether its traffic has been seen for long enough, without a long pause, to judge it.
+    // Whether the traffic has been observed for long enough, without a long pause, for its load to be known.
     bool is_observed(Micros now) const;
-    // Its traffic was seen by an earlier coordinator.
+    // Marks the traffic as observed because an earlier coordinator has observed it.
     void assume_observed(Micros now);
-    // Nobody has asked for it lately, and nothing is kept for it.
+    // Whether the function has had no request recently and has no runner, no waiting request and no need of a
+    // runner.
     bool is_idle(Micros now) const;
 
-    // Slots of its runners, those that are starting too, without those that drain.
+    // Slots of all runners that are not draining; runners that are starting are included.
     double total_slots() const;
     double outstanding() const;
-    // What a request that finds no slot is waiting for.
-    WaitReason missing() const;
-    // An available runner: the drawn one if it is one of this function's, else one of the zone, else any; of
-    // those alike the one with the smallest part of its slots in use. nullptr: none is available.
+    // What a request that finds no free slot is waiting for.
+    WaitReason wait_reason() const;
+    // Picks an available runner: the drawn runner if it belongs to this function, otherwise a runner in the
+    // zone, otherwise any; within these the runner with the lowest utilization. Returns nullptr if no runner
+    // is available.
     RunnerSlots* pick_runner(Micros now, RunnerSlots* drawn, const std::string& zone) const;
 
     std::string name;
-    const Service* service = nullptr;  // nullptr: in no configuration any more
-    // Proxies send this function's requests without asking for a slot (slots/mode_controller.hpp).
+    const Service* service = nullptr;  // nullptr: the function is not in the current configuration
+    // Proxies send this function's requests without acquiring a slot (slots/mode_controller.hpp).
     bool unrestricted = false;
-    // FunctionMode::has_spare_slots, as proxies were told; nothing: they have not been.
+    // FunctionMode::has_spare_slots, as last sent to proxies; nullopt: not sent yet.
     std::optional<bool> has_spare_slots;
-    Micros coordinated_until = 0;       // not unrestricted before
-    std::vector<RunnerSlots*> runners;  // owned by the runner table; in the order of their numbers
-    std::set<Session> subscribers;      // proxies that use it and hear of its runners
+    Micros coordinated_until = 0;       // earliest time at which it may become unrestricted
+    std::vector<RunnerSlots*> runners;  // owned by the runner table; ordered by number
+    std::set<Session> subscribers;      // proxies that use the function and are notified of its runners
     WaitQueue waiting;
     std::map<Session, ProxyLoad> proxy_loads;  // while unrestricted
     ZoneDemands zones;
     SlotLoad load;
     ArrivalCount arrivals;
-    FunctionGroup* group = nullptr;  // owned by the function registry; nullptr: in no configuration any more
+    FunctionGroup* group = nullptr;  // owned by the function registry; nullptr: not configured
     Micros last_used = 0;
-    Micros used_since = 0;  // without a long pause
+    Micros used_since = 0;  // start of the current period of use without a long pause
     RetryBudget retries;
-    SlidingWindow rejections{5'000'000};  // by runners that were full
-    int grants_since_late_turn = 0;       // to requests that waited
-    std::uint64_t inversions = 0;         // requests that were served before one that came earlier
-    bool active = false;                  // sampled and planned for
-    bool wants_runner = false;            // the planner's: one is to be there, whether or not anyone asks
-    Micros planned_at = 0;                // the planner's: when it last planned for those that wait
-    bool no_worker_has_room = false;      // the planner's: its last start found no worker
+    SlidingWindow rejections{5'000'000};  // rejections by full runners
+    int grants_since_late_turn = 0;       // grants to waiting requests
+    std::uint64_t inversions = 0;         // requests served before one that had arrived earlier
+    bool active = false;                  // sampled and planned for in each interval
+    bool needs_runner = false;            // set by the planner: its target is at least one runner
+    Micros planned_at = 0;                // set by the planner: when it last planned for waiting requests
+    bool no_worker_has_room = false;      // set by the planner: its last start found no worker with room
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/function_registry.cpp
+++ b/src/cluster/slots/function_registry.cpp
@@ -15,7 +15,7 @@
     assign_groups();
 }
 
-// What was seen of a group that a new configuration still has stays known.
+// A group that still exists under the new configuration keeps its observed arrivals.
 void FunctionRegistry::assign_groups() {
     for (auto& [key, group] : groups_) group.members = 0;
     for (auto& [name, function] : functions_) {
@@ -30,11 +30,11 @@
     std::erase_if(groups_, [](const auto& group) { return group.second.members == 0; });
 }
 
-std::vector<Function*> FunctionRegistry::next_in_turn(std::size_t count) {
+std::vector<Function*> FunctionRegistry::next_round_robin(std::size_t count) {
     std::vector<Function*> chosen;
-    for (std::size_t n = 0; n < std::min(count, turns_.size()); ++n) {
-        if (next_turn_ >= turns_.size()) next_turn_ = 0;
-        chosen.push_back(turns_[next_turn_++]);
+    for (std::size_t taken = 0; taken < std::min(count, round_robin_.size()); ++taken) {
+        if (round_robin_next_ >= round_robin_.size()) round_robin_next_ = 0;
+        chosen.push_back(round_robin_[round_robin_next_++]);
     }
     return chosen;
 }
@@ -44,7 +44,7 @@
     if (!function) {
         function = std::make_unique<Function>(name, retry_budget_);
         if (configuration_) function->service = configuration_->find_service(name);
-        turns_.push_back(function.get());
+        round_robin_.push_back(function.get());
     }
     return *function;
 }
--- a/src/cluster/slots/function_registry.hpp
+++ b/src/cluster/slots/function_registry.hpp
@@ -17,13 +17,14 @@
 
 namespace gannethold::cluster {
 
-// All functions that were ever configured or reported in this term; a function's address stays the same. The
-// active ones are sampled and planned for: those in use, and those that a new configuration may have changed.
+// All functions that have been configured or reported in this term. The address of a function is stable. The
+// active functions are sampled and planned for in each interval: those in use, and those that a new
+// configuration may have changed.
 class FunctionRegistry {
   public:
     explicit FunctionRegistry(const RetryBudget::Options& retry_budget) : retry_budget_(retry_budget) {}
 
-    // Every function becomes active; those that are not in use are dropped by the next deactivate_idle().
+    // Activates every function; the next deactivate_idle() deactivates those that are not in use.
     void configure(std::shared_ptr<const Configuration> configuration);
 
     Function& get_or_add(const std::string& name);
@@ -31,8 +32,8 @@
     void activate(Function& function);
     void deactivate_idle(Micros now);
 
-    // At most so many functions, others with each call until all had their turn.
-    std::vector<Function*> next_in_turn(std::size_t count);
+    // Returns the next `count` functions (fewer if there are fewer) in round-robin order.
+    std::vector<Function*> next_round_robin(std::size_t count);
     std::size_t group_count() const { return groups_.size(); }
 
     const std::unordered_set<Function*>& active() const { return active_; }
@@ -44,7 +45,7 @@
         Micros boot_duration = 0;
         std::uint32_t max_concurrency = 0;
         Micros min_latency_target = 0;
-        // clang-tidy 14 takes the defaulted comparison for a null pointer.
+        // clang-tidy 14 mistakes the defaulted comparison for a null pointer.
         friend auto operator<=>(const GroupKey&,
                                 const GroupKey&) = default;  // NOLINT(modernize-use-nullptr)
     };
@@ -52,12 +53,12 @@
     void assign_groups();
 
     RetryBudget::Options retry_budget_;
-    std::shared_ptr<const Configuration> configuration_;  // nullptr: none yet
+    std::shared_ptr<const Configuration> configuration_;  // nullptr: not configured yet
     std::unordered_map<std::string, std::unique_ptr<Function>> functions_;
     std::unordered_set<Function*> active_;
     std::map<GroupKey, FunctionGroup> groups_;
-    std::vector<Function*> turns_;  // all functions
-    std::size_t next_turn_ = 0;     // in turns_
+    std::vector<Function*> round_robin_;  // all functions, in the order in which they were added
+    std::size_t round_robin_next_ = 0;    // index in round_robin_
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/mode_controller.cpp
+++ b/src/cluster/slots/mode_controller.cpp
@@ -7,20 +7,21 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kMinCoordinated = 4'000'000;  // once a function had to be coordinated again
-// A runner with fewer slots is full by chance too often to be unrestricted.
+constexpr Micros kMinCoordinatedTime = 4'000'000;  // after a function had to become coordinated again
+// A runner with fewer slots is filled by random variation too often to be unrestricted.
 constexpr std::uint32_t kMinSlots = 4;
-constexpr double kWindow = 5;        // seconds, over which rejections are counted
-constexpr double kLoadMargin = 1.5;  // chance has bad seconds too
-// Of the rejections allowed: below the first a function becomes unrestricted, above the second coordinated.
-constexpr double kEnterPart = 0.08;
-constexpr double kLeavePart = 0.3;
+constexpr double kRejectionWindowSeconds = 5;  // rejections are counted over this time
+constexpr double kLoadMargin = 1.5;            // covers seconds in which random variation raises the load
+// Fractions of the allowed rejections: a function becomes unrestricted below the first and coordinated above
+// the second.
+constexpr double kEnterUnrestrictedFraction = 0.08;
+constexpr double kLeaveUnrestrictedFraction = 0.3;
 
-// While there is no coordinator: how long that usually lasts, and of the rejections allowed in it, below
-// which a function has slots to spare, and above which it has none any more.
-constexpr double kWithoutCoordinator = 2;  // seconds
-constexpr double kSparePart = 0.4;
-constexpr double kNoSparePart = 0.8;
+// The typical time without a coordinator while it is replaced, and fractions of the rejections allowed in
+// that time: a function gains spare slots below the first and loses them above the second.
+constexpr double kCoordinatorOutageSeconds = 2;
+constexpr double kGainSpareSlotsFraction = 0.4;
+constexpr double kLoseSpareSlotsFraction = 0.8;
 
 void notify_mode(const Function& function, ProxyOutbox& out) {
     for (const Session session : function.subscribers) out.send(session, mode_message(function));
@@ -46,10 +47,10 @@
     return {function.name, function.unrestricted, function.has_spare_slots.value_or(false)};
 }
 
-double expected_rejections(const Function& function, const std::map<std::string, double>& ready_by_zone,
-                           double load_margin) {
-    // Proxies send to near runners first: a zone's requests go to its own runners, those of a zone that has
-    // none to all.
+double expected_rejections_per_s(const Function& function, const std::map<std::string, double>& ready_by_zone,
+                                 double load_margin) {
+    // Proxies prefer near runners: the requests of a zone go to its own runners, and those of a zone without
+    // runners are spread over all runners.
     double runners = 0;
     for (const auto& [zone, count] : ready_by_zone) runners += count;
     double rate = 0;
@@ -61,10 +62,11 @@
     const double load = function.load.peak();
     double rejections = 0;
     for (const auto& [zone, count] : ready_by_zone) {
-        const double own = rate > 0 ? function.zones.requests_per_s(zone) / rate : 0;
-        const double part = rate > 0 ? own + (1 - near_rate / rate) * count / runners : count / runners;
+        const double own_share = rate > 0 ? function.zones.requests_per_s(zone) / rate : 0;
+        const double share =
+            rate > 0 ? own_share + (1 - near_rate / rate) * count / runners : count / runners;
         rejections +=
-            part * rate * erlang_b(load_margin * load * part / count, function.service->max_concurrency);
+            share * rate * erlang_b(load_margin * load * share / count, function.service->max_concurrency);
     }
     return rejections;
 }
@@ -85,15 +87,15 @@
         return;
     }
     const bool has_rejections = function.rejections.count(now) > 0;
-    const double expected = kWindow * expected_rejections(function, ready, kLoadMargin);
+    const double expected = kRejectionWindowSeconds * expected_rejections_per_s(function, ready, kLoadMargin);
     const bool observed = function.is_observed(now);
-    // The first rejection is enough: some more of those allowed are on their way before all proxies know.
+    // One rejection is enough, because more can follow until all proxies have received the new mode.
     if (function.unrestricted &&
-        (expected > kLeavePart * options_.max_rejections || has_rejections || !observed)) {
-        function.coordinated_until = now + kMinCoordinated;
+        (expected > kLeaveUnrestrictedFraction * options_.max_rejections || has_rejections || !observed)) {
+        function.coordinated_until = now + kMinCoordinatedTime;
         set_unrestricted(function, false, out);
     } else if (!function.unrestricted && observed && now >= function.coordinated_until &&
-               function.waiting.empty() && expected < kEnterPart * options_.max_rejections &&
+               function.waiting.empty() && expected < kEnterUnrestrictedFraction * options_.max_rejections &&
                !has_rejections) {
         set_unrestricted(function, true, out);
     }
@@ -104,11 +106,13 @@
     if (!function.service || function.service->max_concurrency < kMinSlots) return;
     if (ready.empty() || !function.is_observed(now)) return;
     if (is_off(Mechanism::spare_slots)) return;
-    const double expected = kWithoutCoordinator * expected_rejections(function, ready, 1);
-    const bool had = function.has_spare_slots.value_or(false);
-    const bool has = expected < (had ? kNoSparePart : kSparePart) * options_.max_rejections;
-    if (function.has_spare_slots == has) return;
-    function.has_spare_slots = has;
+    const double expected = kCoordinatorOutageSeconds * expected_rejections_per_s(function, ready, 1);
+    const bool had_spare_slots = function.has_spare_slots.value_or(false);
+    const bool has_spare_slots =
+        expected <
+        (had_spare_slots ? kLoseSpareSlotsFraction : kGainSpareSlotsFraction) * options_.max_rejections;
+    if (function.has_spare_slots == has_spare_slots) return;
+    function.has_spare_slots = has_spare_slots;
     notify_mode(function, out);
 }
 
--- a/src/cluster/slots/mode_controller.hpp
+++ b/src/cluster/slots/mode_controller.hpp
@@ -10,14 +10,15 @@
 
 namespace gannethold::cluster {
 
-// Decides for each function whether proxies ask for a slot for each request (coordinated) or send where their
-// fractions say (unrestricted). It becomes unrestricted while so much of it is free that chance alone fills a
-// runner hardly ever, and coordinated again by the loads that are reported and by what runners reject.
+// Decides for each function whether proxies acquire a slot for each request (coordinated) or send requests by
+// their split fractions alone (unrestricted). A function becomes unrestricted while it has so many free slots
+// that random variation rarely fills a runner. It becomes coordinated again when the reported load rises too
+// far or a runner rejects a request.
 class ModeController {
   public:
     struct Options {
         bool allow_unrestricted = true;
-        double max_rejections = 10;  // by the runners of one function in 5 s
+        double max_rejections = 10;  // allowed for the runners of one function in 5 s
     };
     explicit ModeController(const Options& options) : options_(options) {}
 
@@ -32,12 +33,12 @@
     Options options_;
 };
 
-// The mode as proxies are told it.
+// The message that sends the mode of the function to a proxy.
 FunctionMode mode_message(const Function& function);
 
-// Rejections a second by the function's runners, where proxies send without asking. ready_by_zone: its ready
-// runners, not empty. load_margin: by which the load is taken to be larger than it was seen.
-double expected_rejections(const Function& function, const std::map<std::string, double>& ready_by_zone,
-                           double load_margin);
+// Expected rejections per second by the function's runners if proxies send without a grant. load_margin:
+// factor applied to the observed load. REQUIRES: ready_by_zone, the numbers of ready runners, is not empty.
+double expected_rejections_per_s(const Function& function, const std::map<std::string, double>& ready_by_zone,
+                                 double load_margin);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/priority_inversion.hpp
+++ b/src/cluster/slots/priority_inversion.hpp
@@ -8,9 +8,10 @@
 
 namespace gannethold::cluster {
 
-// A request that waited was served before one that came earlier: why, and how both stood.
+// Records that a waiting request was served before one that had arrived earlier ("passed"), with the reason
+// and the state of both.
 struct PriorityInversion {
-    // As operators and logs see them (docs/operators-system.md).
+    // Reasons as logged and shown to operators (docs/operators-system.md).
     static constexpr const char* kLessTimeLeft = "less_time_left";
     static constexpr const char* kPassedIsLate = "passed_is_late";
     static constexpr const char* kLateTurn = "late_turn";
@@ -23,7 +24,7 @@
     std::uint32_t passed_request_id = 0;
     int priority = 0;
     int passed_priority = 0;
-    Micros time_left = 0;  // to the latency target; negative: over
+    Micros time_left = 0;  // until the latency target; negative once the target has passed
     Micros passed_time_left = 0;
     const char* reason = "";
 };
--- a/src/cluster/slots/proxy_outbox.hpp
+++ b/src/cluster/slots/proxy_outbox.hpp
@@ -1,5 +1,5 @@
-// Collects the messages that a step of the coordinator sends to proxies. Whoever called the step delivers
-// them, those to one session in their order.
+// Collects the messages that a step of the coordinator sends to proxies. The caller of the step delivers
+// them; messages to one session are delivered in order.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,17 @@
 
 namespace gannethold::cluster {
 
+// A message and the session that receives it.
 struct ProxyMessage {
     Session to = 0;
     Message message;
 };
 
+// Messages in the order in which they were sent.
 class ProxyOutbox {
   public:
     void send(Session to, Message message) { messages_.push_back({to, std::move(message)}); }
-    // Forgets what was collected, once it has been delivered.
+    // Called after the messages have been delivered.
     void clear() { messages_.clear(); }
 
     bool empty() const { return messages_.empty(); }
--- a/src/cluster/slots/proxy_sessions.cpp
+++ b/src/cluster/slots/proxy_sessions.cpp
@@ -12,7 +12,7 @@
     items.erase(std::unique(items.begin(), items.end()), items.end());
 }
 
-// Room for as many again, so that the records are not compacted again with the next one.
+// Reserves twice the current size, so that the next record does not compact the vector again.
 template <class Item>
 void reserve_double(std::vector<Item>& items) {
     items.reserve(2 * items.size() + 1);
--- a/src/cluster/slots/proxy_sessions.hpp
+++ b/src/cluster/slots/proxy_sessions.hpp
@@ -15,8 +15,9 @@
 
 namespace gannethold::cluster {
 
-// One proxy's session and where it has left state in other tables, so that its end costs what it used and not
-// all that there is. The records may name what is there no more, and twice; they are compacted when full.
+// The session of one proxy, with records of the functions and runners that hold state of it, so that the cost
+// of closing the session depends on what it used and not on the size of the tables. The records may contain
+// duplicates and removed runners; they are compacted when full.
 struct ProxySession {
     struct WaitingRequest {
         Function* function = nullptr;
@@ -30,10 +31,11 @@
     std::unordered_map<std::uint32_t, WaitingRequest> waiting;  // by request id
 };
 
+// The open sessions of all proxies.
 class ProxySessions {
   public:
     ProxySession& open(Session session, const std::string& name, const std::string& zone);
-    // The session as it was; nullopt: there is none.
+    // Returns the state of the closed session; nullopt if it was not open.
     std::optional<ProxySession> close(Session session);
     ProxySession* find(Session session);
     const ProxySession* find(Session session) const;
@@ -42,7 +44,7 @@
     std::size_t size() const { return sessions_.size(); }
     const std::map<Session, ProxySession>& all() const { return sessions_; }
 
-    // The session has left state there. Nothing happens if it is not open.
+    // Record that the function or the runner holds state of the session. Do nothing if it is not open.
     void record_function(Session session, Function& function);
     void record_runner(Session session, std::uint32_t number, const RunnerTable& runners);
 
--- a/src/cluster/slots/request_scheduler.cpp
+++ b/src/cluster/slots/request_scheduler.cpp
@@ -7,22 +7,23 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::uint32_t kOutOfReachRetryMs = 1000;
+constexpr std::uint32_t kUnservableRetryMs = 1000;
 constexpr double kMinRetryMs = 100;
 constexpr double kMaxRetryMs = 3000;
-// Of a request's deadline; the rest is left for another attempt.
-constexpr double kMaxWaitPart = 0.6;
-// Of the time that a turn in the queue is thought to take: work is not all of it.
+// Fraction of a request's deadline that it may wait; the rest remains for another attempt.
+constexpr double kMaxWaitFraction = 0.6;
+// Factor on the expected time between two grants, because a slot is occupied for longer than the work alone.
 constexpr double kTurnMargin = 1.25;
 
-// Of a request at the end of a queue so long that it would be denied later: it is denied at once, and may be
-// sent again after this time, when the queue will be shorter. 0: it may wait.
+// Returns 0 if the request may wait at the end of the queue. If the queue is so long that the request would
+// be denied later, it is denied immediately: returns the time after which the client may retry, when the
+// queue will be shorter.
 std::uint32_t queue_retry_ms(const Function& function, const AcquireRequest& request) {
     const double slots = function.total_slots();
     if (slots == 0 || is_off(Mechanism::early_rejection)) return 0;
     const double wait_ms = function.waiting.total_work() / slots / 1e3;
     const double max_wait_ms =
-        std::max<double>(request.latency_target_ms, request.deadline_ms * kMaxWaitPart);
+        std::max<double>(request.latency_target_ms, request.deadline_ms * kMaxWaitFraction);
     if (wait_ms <= max_wait_ms) return 0;
     return static_cast<std::uint32_t>(std::clamp(wait_ms - max_wait_ms / 2, kMinRetryMs, kMaxRetryMs));
 }
@@ -41,7 +42,7 @@
         }
     }
     if (const std::uint32_t retry_ms = queue_retry_ms(function, request); retry_ms > 0) {
-        out.send(session, AcquireDenied{request.id, retry_ms, function.missing()});
+        out.send(session, AcquireDenied{request.id, retry_ms, function.wait_reason()});
         return;
     }
     const WaitQueue::Waiting waiting{session,
@@ -49,8 +50,8 @@
                                      now,
                                      now + request.latency_target_ms * 1000LL,
                                      now + request.deadline_ms * 1000LL,
-                                     static_cast<Micros>(durations_.usual(request.request_class)),
-                                     function.missing()};
+                                     static_cast<Micros>(durations_.expected_us(request.request_class)),
+                                     function.wait_reason()};
     proxy.waiting[request.id] = {&function, function.waiting.add(waiting)};
     serve_waiting(now, function, out);
 }
@@ -66,10 +67,10 @@
 }
 
 void RequestScheduler::grant(Micros now, RunnerSlots& runner, Session session, const AcquireRequest& request,
-                             WaitReason waited_for, ProxyOutbox& out) {
+                             WaitReason wait_reason, ProxyOutbox& out) {
     runner.grants.push_back({session, request.id, request.request_class, now});
     if (!runner.notified.contains(session)) notifier_.notify(runner, session, out);
-    out.send(session, AcquireGranted{request.id, runner.number, waited_for});
+    out.send(session, AcquireGranted{request.id, runner.number, wait_reason});
 }
 
 void RequestScheduler::serve_waiting(Micros now, Function& function, ProxyOutbox& out) {
@@ -89,7 +90,7 @@
         function.grants_since_late_turn = late ? 0 : function.grants_since_late_turn + 1;
         record_inversion(now, function, served, late_turn);
         proxy->waiting.erase(served.request.id);
-        grant(now, *runner, served.session, served.request, served.waits_for, out);
+        grant(now, *runner, served.session, served.request, served.wait_reason, out);
     }
 }
 
@@ -116,16 +117,16 @@
     priority_inversions_.add(inversion);
 }
 
-void RequestScheduler::deny_hopeless(Micros now, Function& function, ProxyOutbox& out) {
+void RequestScheduler::deny_unservable(Micros now, Function& function, ProxyOutbox& out) {
     while (const auto expired = function.waiting.expired(now)) deny_waiting(function, *expired, 0, out);
     const double slots = function.total_slots();
     while (slots > 0 && !function.waiting.empty()) {
         const double work = function.waiting.total_work() / static_cast<double>(function.waiting.size());
         const double slots_per_turn = function.waiting.has_on_target() ? options_.late_turn_interval : 1;
         const double turn_interval = kTurnMargin * work / slots * slots_per_turn;
-        const auto last = function.waiting.last_out_of_reach(now, turn_interval);
+        const auto last = function.waiting.last_unservable(now, turn_interval);
         if (!last) break;
-        deny_waiting(function, *last, kOutOfReachRetryMs, out);
+        deny_waiting(function, *last, kUnservableRetryMs, out);
     }
 }
 
@@ -133,7 +134,7 @@
                                     ProxyOutbox& out) {
     const Session session = entry.waiting->session;
     const std::uint32_t request_id = entry.waiting->request.id;
-    out.send(session, AcquireDenied{request_id, retry_ms, entry.waiting->waits_for});
+    out.send(session, AcquireDenied{request_id, retry_ms, entry.waiting->wait_reason});
     if (ProxySession* const proxy = proxies_.find(session)) proxy->waiting.erase(request_id);
     function.waiting.remove(entry.ticket);
 }
--- a/src/cluster/slots/request_scheduler.hpp
+++ b/src/cluster/slots/request_scheduler.hpp
@@ -19,16 +19,15 @@
 
 namespace gannethold::cluster {
 
-// Grants slots to requests, lets them wait in their function's queue, or denies them.
+// Grants slots to requests, adds them to the wait queue of their function, or denies them.
 class RequestScheduler {
   public:
     struct Options {
-        // Of so many slots that come free one goes to a request that can not meet its latency target any
-        // more, while there are any: so every function's late requests get through, however many urgent ones
-        // come.
+        // One of this many freed slots goes to a request that can no longer meet its latency target, if there
+        // is one, so that late requests are served however many urgent requests arrive.
         int late_turn_interval = 4;
     };
-    // All outlive this object.
+    // REQUIRES: the arguments outlive this object.
     RequestScheduler(const Options& options, RunnerTable& runners, ProxySessions& proxies,
                      RunnerNotifier& notifier, const WorkDurations& durations)
         : options_(options),
@@ -40,20 +39,21 @@
     // REQUIRES: the session is open.
     void admit(Micros now, Session session, const AcquireRequest& request, Function& function,
                ProxyOutbox& out);
-    // False: the session has no such request waiting.
+    // Returns false if the session has no such waiting request.
     bool cancel_waiting(Session session, std::uint32_t request_id);
-    // Gives the function's free slots to those that wait.
+    // Grants the function's free slots to waiting requests.
     void serve_waiting(Micros now, Function& function, ProxyOutbox& out);
-    // Denies those that can no longer be served in time, and those whose turn would come too late.
-    void deny_hopeless(Micros now, Function& function, ProxyOutbox& out);
+    // Denies waiting requests that cannot be served within their deadline any more, and late requests whose
+    // turn would come after it.
+    void deny_unservable(Micros now, Function& function, ProxyOutbox& out);
 
     const BoundedHistory<PriorityInversion>& priority_inversions() const { return priority_inversions_; }
 
   private:
-    static constexpr std::size_t kKeptInversions = 256;
+    static constexpr std::size_t kMaxInversions = 256;
 
     void grant(Micros now, RunnerSlots& runner, Session session, const AcquireRequest& request,
-               WaitReason waited_for, ProxyOutbox& out);
+               WaitReason wait_reason, ProxyOutbox& out);
     void deny_waiting(Function& function, const WaitQueue::Entry& entry, std::uint32_t retry_ms,
                       ProxyOutbox& out);
     void record_inversion(Micros now, Function& function, const WaitQueue::Waiting& served, bool late_turn);
@@ -67,7 +67,7 @@
     ProxySessions& proxies_;
     RunnerNotifier& notifier_;
     const WorkDurations& durations_;
-    BoundedHistory<PriorityInversion> priority_inversions_{kKeptInversions};
+    BoundedHistory<PriorityInversion> priority_inversions_{kMaxInversions};
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/retry_budget.hpp
+++ b/src/cluster/slots/retry_budget.hpp
@@ -5,7 +5,7 @@
 
 namespace gannethold::cluster {
 
-// How many requests of one function may be retried in a window of time, whichever proxies ask for it.
+// Limits the retries of one function's requests, by all proxies together, in a sliding window.
 class RetryBudget {
   public:
     struct Options {
@@ -14,8 +14,8 @@
     };
     explicit RetryBudget(const Options& options) : options_(options), retries_(options.window) {}
 
-    // Whether one more retry is within the budget; it is counted if so. One coordinator uses half the budget:
-    // it holds also over a window in which one coordinator follows another.
+    // Returns whether one more retry is within the budget, and counts it if so. A coordinator uses only half
+    // of the budget, so that the budget also holds in a window in which one coordinator replaces another.
     bool try_spend(Micros now) {
         if (static_cast<double>(retries_.count(now)) + 1 > options_.max_retries / 2) return false;
         retries_.add(now);
--- a/src/cluster/slots/runner_notifier.cpp
+++ b/src/cluster/slots/runner_notifier.cpp
@@ -10,17 +10,17 @@
 namespace gannethold::cluster {
 namespace {
 
-// The larger rank is the better prober.
+// The session with the largest rank becomes the prober.
 struct ProberRank {
     int nearness = 0;
-    std::uint64_t turn = 0;
-    // clang-tidy 14 takes the defaulted comparison for a null pointer.
+    std::uint64_t tie_break = 0;
+    // clang-tidy 14 mistakes the defaulted comparison for a null pointer.
     friend auto operator<=>(const ProberRank&,
                             const ProberRank&) = default;  // NOLINT(modernize-use-nullptr)
 };
 
 ProberRank prober_rank(const RunnerSlots& runner, Session session, const ProxySession& proxy) {
-    // Sessions of one nearness take turns, by the runner's number: a hash of both.
+    // A hash of session and runner distributes runners over sessions of equal nearness.
     const std::uint32_t runner_hash = runner.number * 40503U;  // wraps at 32 bits
     return {2 * static_cast<int>(proxy.zone == runner.info.zone) +
                 static_cast<int>(runner.function->subscribers.contains(session)),
@@ -30,7 +30,7 @@
 }  // namespace
 
 void RunnerNotifier::send(RunnerSlots& runner, Session session, bool probe, ProxyOutbox& out) {
-    // A proxy that does not know its number yet knows a runner by its id only.
+    // A proxy that has not received the runner's number yet identifies the runner by its id.
     const bool first = runner.notified.insert(session).second;
     if (first) proxies_.record_runner(session, runner.number, runners_);
     const bool gone = runner.draining || runner.state == RunnerState::gone;
--- a/src/cluster/slots/runner_notifier.hpp
+++ b/src/cluster/slots/runner_notifier.hpp
@@ -11,16 +11,16 @@
 // Sends the state of runners to proxies.
 class RunnerNotifier {
   public:
-    // Both outlive this object.
+    // REQUIRES: both arguments outlive this object.
     RunnerNotifier(const RunnerTable& runners, ProxySessions& proxies)
         : runners_(runners), proxies_(proxies) {}
 
     void notify(RunnerSlots& runner, Session session, ProxyOutbox& out) { send(runner, session, false, out); }
-    // All open sessions that know the runner or use its function.
+    // Notifies all open sessions that have been notified of the runner before or use its function.
     void notify_all(RunnerSlots& runner, ProxyOutbox& out);
-    // A runner refuses connections until it has started, and the platform's list shows that late: one proxy,
-    // of those that will use it, tries until it can connect. Nothing happens if the runner is not starting or
-    // has a prober.
+    // Assigns one of the proxies that will use the runner to probe it until a connection succeeds. A runner
+    // refuses connections until it has started, and the platform's list shows the start with a delay. Does
+    // nothing if the runner is not starting or has a prober.
     void assign_prober(RunnerSlots& runner, ProxyOutbox& out);
 
   private:
--- a/src/cluster/slots/runner_table.cpp
+++ b/src/cluster/slots/runner_table.cpp
@@ -3,7 +3,7 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kRememberEnded = 60'000'000;
+constexpr Micros kEndRetention = 60'000'000;
 
 }  // namespace
 
@@ -47,8 +47,8 @@
     return at == by_id_.end() ? nullptr : &runners_.at(at->second);
 }
 
-void RunnerTable::forget_ended(Micros now) {
-    std::erase_if(ended_, [&](const auto& ended) { return ended.second + kRememberEnded < now; });
+void RunnerTable::remove_old_ends(Micros now) {
+    std::erase_if(ended_, [&](const auto& ended) { return ended.second + kEndRetention < now; });
 }
 
 void RunnerTable::update_slots() {
--- a/src/cluster/slots/runner_table.hpp
+++ b/src/cluster/slots/runner_table.hpp
@@ -12,37 +12,37 @@
 
 namespace gannethold::cluster {
 
-// All runners, by number and by id; a runner's address stays the same until it is removed. Also remembers for
-// a minute the ids of those that ended, as the platform's list still shows them for some time.
+// All runners, by number and by id. The address of a runner is stable until it is removed. The ids of ended
+// runners are kept for a minute, because the platform's list still contains them for some time.
 class RunnerTable {
   public:
     explicit RunnerTable(std::uint32_t first_number) : next_number_(first_number) {}
 
-    // A runner of the function that is starting. REQUIRES: its id is not in the table.
+    // Adds a runner of the function in state starting. REQUIRES: its id is not in the table.
     RunnerSlots& add(Micros now, const RunnerInfo& info, Function& function);
     void mark_ready(RunnerSlots& runner);
-    // Its id counts as ended from now on.
+    // Removes the runner and records its end.
     void remove(Micros now, RunnerSlots& runner);
 
     RunnerSlots* find(std::uint32_t number);
     RunnerSlots* find(const std::string& id);
     const RunnerSlots& at(std::uint32_t number) const { return runners_.at(number); }
     const std::unordered_map<std::uint32_t, RunnerSlots>& all() const { return runners_; }
-    // Numbers of those that are starting.
+    // Numbers of the runners that are starting.
     const std::set<std::uint32_t>& starting() const { return starting_; }
 
     bool has_ended(const std::string& id) const { return ended_.contains(id); }
     void record_end(Micros now, const std::string& id) { ended_[id] = now; }
-    void forget_ended(Micros now);
+    void remove_old_ends(Micros now);
 
-    // After a new configuration: how many requests a runner may hold at once.
+    // Updates the slots of all runners to the current configuration.
     void update_slots();
 
   private:
     std::unordered_map<std::uint32_t, RunnerSlots> runners_;
     std::unordered_map<std::string, std::uint32_t> by_id_;
     std::set<std::uint32_t> starting_;
-    std::unordered_map<std::string, Micros> ended_;  // when, by id
+    std::unordered_map<std::string, Micros> ended_;  // times of end, by id
     std::uint32_t next_number_;
 };
 
--- a/src/cluster/slots/session.hpp
+++ b/src/cluster/slots/session.hpp
@@ -4,7 +4,7 @@
 
 namespace gannethold::cluster {
 
-// One connection of one proxy to this coordinator; never reused in a term, never 0.
+// Identifies one connection of one proxy to this coordinator. Never reused within a term and never 0.
 using Session = std::uint64_t;
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/sliding_window.hpp
+++ b/src/cluster/slots/sliding_window.hpp
@@ -7,11 +7,11 @@
 
 namespace gannethold::cluster {
 
-// Counts events of the last `span` microseconds.
+// Counts the events of the last `span`.
 class SlidingWindow {
   public:
     explicit SlidingWindow(Micros span) : span_(span) {}
-    // REQUIRES: now does not go back from one call to the next.
+    // REQUIRES: now does not decrease from one call to the next.
     void add(Micros now) { events_.push_back(now); }
     std::size_t count(Micros now) {
         while (!events_.empty() && events_.front() < now - span_) events_.pop_front();
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -1,4 +1,5 @@
-// The slot table's configuration, runners and samples. What proxies send: slot_table_proxies.cpp.
+// Configuration, runners and sampling of the slot table. Messages of proxies are handled in
+// slot_table_proxies.cpp.
 #include "cluster/slots/slot_table.hpp"
 
 #include <algorithm>
@@ -10,9 +11,10 @@
 namespace gannethold::cluster {
 namespace {
 
-// What proxies sent without asking, before they heard that the runner drains, has arrived by then.
-constexpr Micros kMaxInFlight = 1'000'000;
-constexpr Micros kMaxReportAge = 3'000'000;  // of a proxy's load
+// Requests that proxies sent without a grant, before they were notified that the runner drains, have arrived
+// at the runner after this time.
+constexpr Micros kMaxDeliveryTime = 1'000'000;
+constexpr Micros kMaxReportAge = 3'000'000;  // older load reports of a proxy are ignored
 
 }  // namespace
 
@@ -45,7 +47,7 @@
 double SlotTable::expected_rate(Micros now, const Function& function, double prior) const {
     const double groups = static_cast<double>(std::max<std::size_t>(1, functions_.group_count()));
     return ExpectedRate(observed_time_.seconds(now), prior / groups)
-        .of(now, function.arrivals, *function.group);
+        .requests_per_s(now, function.arrivals, *function.group);
 }
 
 void SlotTable::count_arrivals(Micros now, Function& function, double requests) {
@@ -110,8 +112,8 @@
         start_draining(now, *runner);
         notifier_.notify_all(*runner, out);
     }
-    const Micros in_flight = runner->function->unrestricted ? kMaxInFlight : 0;
-    return runner->grants.empty() && now >= runner->draining_since + in_flight;
+    const Micros delivery_time = runner->function->unrestricted ? kMaxDeliveryTime : 0;
+    return runner->grants.empty() && now >= runner->draining_since + delivery_time;
 }
 
 void SlotTable::assign_probers(ProxyOutbox& out) {
@@ -123,13 +125,13 @@
 
 void SlotTable::tick(Micros now, ProxyOutbox& out) {
     assign_probers(out);
-    runners_.forget_ended(now);
+    runners_.remove_old_ends(now);
     for (Function* const function : functions_.active()) sample(now, *function, out);
     functions_.deactivate_idle(now);
 }
 
 void SlotTable::sample(Micros now, Function& function, ProxyOutbox& out) {
-    constexpr double kSpan = static_cast<double>(kSampleInterval) / 1e6;
+    constexpr double kSampleSeconds = static_cast<double>(kSampleInterval) / 1e6;
     double reported_slots = 0;
     std::map<std::string, double> reported_rates;  // by zone
     for (const auto& [session, load] : function.proxy_loads) {
@@ -139,10 +141,10 @@
     }
     double reported_rate = 0;
     for (const auto& [zone, rate] : reported_rates) reported_rate += rate;
-    function.load.sample(reported_slots, reported_rate, function.outstanding(), kSpan);
-    function.zones.sample(reported_rates, kSpan);
-    count_arrivals(now, function, reported_rate * kSpan);
-    scheduler_.deny_hopeless(now, function, out);
+    function.load.sample(reported_slots, reported_rate, function.outstanding(), kSampleSeconds);
+    function.zones.sample(reported_rates, kSampleSeconds);
+    count_arrivals(now, function, reported_rate * kSampleSeconds);
+    scheduler_.deny_unservable(now, function, out);
     modes_.update(now, function, out);
     if (!function.waiting.empty()) scheduler_.serve_waiting(now, function, out);
 }
--- a/src/cluster/slots/slot_table_proxies.cpp
+++ b/src/cluster/slots/slot_table_proxies.cpp
@@ -1,4 +1,4 @@
-// What the slot table does with the messages of proxies.
+// Handlers of the slot table for messages of proxies.
 #include "cluster/slots/slot_table.hpp"
 
 #include <algorithm>
@@ -15,8 +15,8 @@
 constexpr Micros kRejectionEjection = 50'000;
 constexpr Micros kDisconnectEjection = 250'000;
 
-// A runner that had started and can not be reached is ejected and tried once more, as the path may be at
-// fault. True if that attempt has failed too.
+// A runner that had started and is reported as unreachable is ejected and tried once more, because the
+// network path may be at fault. Returns whether that second attempt has failed too.
 bool is_unreachable_again(Micros now, const RunnerSlots& runner) {
     return runner.state == RunnerState::ready && runner.grants.empty() && runner.ejected_until > 0 &&
            now >= runner.ejected_until && now < runner.ejected_until + 2 * kUnreachableEjection;
@@ -56,9 +56,9 @@
     }
 }
 
-// A function that the proxy uses without asking was unrestricted under the coordinator before: it stays so,
-// unless it has been coordinated here already. The next sample judges it, by the loads that come with the
-// registration, like any other.
+// A function that the proxy uses without grants was unrestricted under the previous coordinator. It remains
+// unrestricted unless this coordinator has already made it coordinated. The next sample decides its mode from
+// the loads in the registrations, as for any other function.
 void SlotTable::take_over_unrestricted(Micros now, Session session, const FunctionLoad& load,
                                        ProxyOutbox& out) {
     Function& function = functions_.get_or_add(load.service);
@@ -100,7 +100,7 @@
         RunnerSlots* const runner = runners_.find(number);
         if (!runner) continue;
         runner->notified.erase(session);
-        // What it had sent may be at work still; a runner drops most of it as the connection ends.
+        // Requests of the proxy may still be running; a runner drops most of them when the connection closes.
         const std::size_t ended = std::erase_if(
             runner->grants, [&](const RunnerSlots::Grant& grant) { return grant.session == session; });
         if (ended > 0) runner->eject_until(now + kDisconnectEjection);
@@ -145,7 +145,7 @@
     } else {
         count_arrivals(now, *function, 1);
         function->zones.add_request(proxy->zone);
-        function->load.add_work(durations_.usual(request.request_class) / 1e6);
+        function->load.add_work(durations_.expected_us(request.request_class) / 1e6);
     }
     scheduler_.admit(now, session, request, *function, out);
     return function;
@@ -188,7 +188,7 @@
         });
     if (grant == runner.grants.end()) return;
     if (release.reason == ReleaseReason::answered && grant->request_id > 0)
-        durations_.add(grant->shape, static_cast<double>(release.duration_ms) * 1e3);
+        durations_.add(grant->request_class, static_cast<double>(release.duration_ms) * 1e3);
     runner.grants.erase(grant);
     runner.adopted = false;
     if (runner.grants.empty()) runner.idle_since = now;
--- a/src/cluster/slots/wait_queue.cpp
+++ b/src/cluster/slots/wait_queue.cpp
@@ -8,8 +8,8 @@
     const Ticket ticket = ++last_ticket_;
     all_.emplace(ticket, waiting);
     on_target_.emplace(on_target_key(waiting), ticket);
-    becoming_late_.emplace(late_from(waiting), ticket);
-    ends_.emplace(latest_start(waiting), ticket);
+    becoming_late_.emplace(late_at(waiting), ticket);
+    by_latest_start_.emplace(latest_start(waiting), ticket);
     total_work_ += static_cast<double>(waiting.work);
     return ticket;
 }
@@ -19,19 +19,19 @@
     if (at == all_.end()) return;
     const Waiting& waiting = at->second;
     on_target_.erase({on_target_key(waiting), ticket});
-    becoming_late_.erase({late_from(waiting), ticket});
+    becoming_late_.erase({late_at(waiting), ticket});
     late_.erase({waiting.since, ticket});
-    ends_.erase({latest_start(waiting), ticket});
+    by_latest_start_.erase({latest_start(waiting), ticket});
     total_work_ -= static_cast<double>(waiting.work);
     all_.erase(at);
-    if (all_.empty()) total_work_ = 0;  // rounding errors do not add up over days
+    if (all_.empty()) total_work_ = 0;  // prevents rounding errors from accumulating
 }
 
 void WaitQueue::on_proxy_disconnected(Session session) {
-    std::vector<Ticket> tickets;
+    std::vector<Ticket> removed;
     for (const auto& [ticket, waiting] : all_)
-        if (waiting.session == session) tickets.push_back(ticket);
-    for (const Ticket ticket : tickets) remove(ticket);
+        if (waiting.session == session) removed.push_back(ticket);
+    for (const Ticket ticket : removed) remove(ticket);
 }
 
 void WaitQueue::update_late(Micros now) {
@@ -53,12 +53,12 @@
 }
 
 std::optional<WaitQueue::Entry> WaitQueue::expired(Micros now) const {
-    if (ends_.empty() || now <= ends_.begin()->first) return std::nullopt;
-    const Ticket ticket = ends_.begin()->second;
+    if (by_latest_start_.empty() || now <= by_latest_start_.begin()->first) return std::nullopt;
+    const Ticket ticket = by_latest_start_.begin()->second;
     return Entry{ticket, &all_.at(ticket)};
 }
 
-std::optional<WaitQueue::Entry> WaitQueue::last_out_of_reach(Micros now, double turn_interval) {
+std::optional<WaitQueue::Entry> WaitQueue::last_unservable(Micros now, double turn_interval) {
     update_late(now);
     if (late_.empty()) return std::nullopt;
     const Ticket ticket = late_.rbegin()->second;
--- a/src/cluster/slots/wait_queue.hpp
+++ b/src/cluster/slots/wait_queue.hpp
@@ -1,8 +1,8 @@
 // The requests of all proxies that wait for slots of one function, in the order of slots/urgency.hpp. Each
-// operation costs at most the logarithm of the length, as the queue grows long just when the coordinator is
-// short of time.
+// operation on one request takes logarithmic time, because the queue is longest when the coordinator is most
+// loaded.
 //
-// Times are of the coordinator's steady clock, in microseconds. No I/O and no clock.
+// Times are in microseconds of the coordinator's steady clock. Performs no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -19,18 +19,20 @@
 
 namespace gannethold::cluster {
 
+// Requests in the order in which they are to be served.
 class WaitQueue {
   public:
+    // A waiting request.
     struct Waiting {
         Session session = 0;
         AcquireRequest request;
         Micros since = 0;
         Micros target_at = 0;
         Micros deadline_at = 0;
-        Micros work = 0;  // usual duration of its shape; from target_at less this on the request is late
-        WaitReason waits_for = WaitReason::none;
+        Micros work = 0;  // expected duration; the request is late after target_at - work
+        WaitReason wait_reason = WaitReason::none;
     };
-    // Names a request in this queue; later arrivals have larger ones.
+    // Identifies a request in this queue; tickets increase in the order of arrival.
     using Ticket = std::uint64_t;
     struct Entry {
         Ticket ticket = 0;
@@ -38,28 +40,28 @@
     };
 
     Ticket add(const Waiting& waiting);
-    // A ticket that is no longer in the queue changes nothing.
+    // Does nothing if the ticket is not in the queue.
     void remove(Ticket ticket);
     void on_proxy_disconnected(Session session);
 
-    // The request to serve next; nullopt: the queue is empty. late_turn: a late request, if there is one,
-    // goes before those on target.
+    // Returns the request to serve next; nullopt if the queue is empty. late_turn: late requests are served
+    // before those on target.
     std::optional<Entry> next(Micros now, bool late_turn);
-    // REQUIRES: the ticket is in the queue. As of the last next() or last_out_of_reach().
+    // As of the last call of next() or last_unservable(). REQUIRES: the ticket is in the queue.
     bool is_late(Ticket ticket) const { return late_.contains({all_.at(ticket).since, ticket}); }
-    // The first and the last arrival; nullptr: the queue is empty.
+    // The first and the last arrival; nullptr if the queue is empty.
     const Waiting* oldest() const { return all_.empty() ? nullptr : &all_.begin()->second; }
     const Waiting* newest() const { return all_.empty() ? nullptr : &all_.rbegin()->second; }
-    // A request that can no longer be completed within its deadline; nullopt: none.
+    // Returns a request that can no longer be completed within its deadline; nullopt if there is none.
     std::optional<Entry> expired(Micros now) const;
-    // The last of the late requests, if its turn would come too late for its deadline where each late request
-    // takes turn_interval microseconds; nullopt: it is in reach, or no request is late.
-    std::optional<Entry> last_out_of_reach(Micros now, double turn_interval);
+    // Returns the last late request if its turn would come too late for its deadline, given that one late
+    // request is served every turn_interval microseconds; nullopt otherwise, or if no request is late.
+    std::optional<Entry> last_unservable(Micros now, double turn_interval);
     bool has_on_target() const { return !on_target_.empty(); }
 
     bool empty() const { return all_.empty(); }
     std::size_t size() const { return all_.size(); }
-    // Usual durations of all requests together, in microseconds.
+    // The sum of the expected durations of all requests, in microseconds.
     double total_work() const { return total_work_; }
     // In the order of arrival.
     const std::map<Ticket, Waiting>& all() const { return all_; }
@@ -70,18 +72,19 @@
     // Moves requests that have become late from on_target_ to late_.
     void update_late(Micros now);
     static Micros latest_start(const Waiting& waiting) { return waiting.deadline_at - waiting.work; }
-    static Micros late_from(const Waiting& waiting) { return waiting.target_at - waiting.work; }
+    static Micros late_at(const Waiting& waiting) { return waiting.target_at - waiting.work; }
     static UrgencyKey on_target_key(const Waiting& waiting) {
         if (is_off(Mechanism::urgency_order)) return {false, waiting.since, waiting.since};
         return urgency_key({waiting.since, waiting.target_at, waiting.request.priority, false}, false);
     }
 
     std::map<Ticket, Waiting> all_;
-    // Each request is either in on_target_ and becoming_late_ or in late_; all are in ends_.
+    // Each request is either in on_target_ and becoming_late_ or in late_; all requests are in
+    // by_latest_start_.
     std::set<std::pair<UrgencyKey, Ticket>> on_target_;
-    std::set<TimedTicket> becoming_late_;  // by late_from()
-    std::set<TimedTicket> late_;           // by arrival
-    std::set<TimedTicket> ends_;           // by latest_start()
+    std::set<TimedTicket> becoming_late_;    // by late_at()
+    std::set<TimedTicket> late_;             // by arrival
+    std::set<TimedTicket> by_latest_start_;  // by latest_start()
     double total_work_ = 0;
     Ticket last_ticket_ = 0;
 };
--- a/src/cluster/slots/work_durations.hpp
+++ b/src/cluster/slots/work_durations.hpp
@@ -6,19 +6,21 @@
 
 namespace gannethold::cluster {
 
-// How long work usually takes, by its shape; in microseconds.
+// The mean duration of completed requests, by request class.
 class WorkDurations {
   public:
-    void add(std::uint16_t shape, double duration) { by_shape_[shape].add(duration); }
-    // A guess for a shape of which nothing has been completed yet.
-    double usual(std::uint16_t shape) const {
-        const auto at = by_shape_.find(shape);
-        return at == by_shape_.end() ? kUnknown : at->second.mean;
+    void add(std::uint16_t request_class, double duration_us) {
+        by_request_class_[request_class].add(duration_us);
+    }
+    // Returns a default for a class of which no request has been completed yet.
+    double expected_us(std::uint16_t request_class) const {
+        const auto at = by_request_class_.find(request_class);
+        return at == by_request_class_.end() ? kDefaultDurationUs : at->second.mean;
     }
 
   private:
-    static constexpr double kUnknown = 100'000;  // microseconds
-    static constexpr double kMaxSamples = 32;    // that the mean is taken over
+    static constexpr double kDefaultDurationUs = 100'000;
+    static constexpr double kMaxSamples = 32;  // the mean covers about this many samples
 
     struct Mean {
         double mean = 0;
@@ -28,7 +30,7 @@
             mean += (value - mean) / samples;
         }
     };
-    std::unordered_map<std::uint16_t, Mean> by_shape_;
+    std::unordered_map<std::uint16_t, Mean> by_request_class_;
 };
 
 }  // namespace gannethold::cluster
--- a/tests/system/costs.cpp
+++ b/tests/system/costs.cpp
@@ -1,4 +1,5 @@
-// What the cluster's own messages cost, counted from their encoded bytes: a table by number of proxies.
+// Prints the bandwidth that the cluster's own messages use, computed from their encoded sizes, by number of
+// proxies.
 //   cluster_costs
 #include <cstdio>
 #include <string>
@@ -10,16 +11,16 @@
 namespace {
 
 constexpr double kBytesPerKilobyte = 1e3;
-constexpr double kRequestsPerProxy = 18;    // a second
-constexpr double kRestrictedShare = 0.2;    // of the requests: those that need a slot from the coordinator
-constexpr double kNewRunnerShare = 0.01;    // of those: a runner is new
-constexpr double kProxiesPerNewRunner = 5;  // that are notified of it
+constexpr double kRequestsPerProxy = 18;      // per second
+constexpr double kCoordinatedFraction = 0.2;  // requests that acquire a slot from the coordinator
+constexpr double kNewRunnerFraction = 0.01;   // coordinated requests for which a runner is started
+constexpr double kProxiesPerNewRunner = 5;    // proxies that are notified of a new runner
 constexpr double kNotificationsPerRunner = 2;
 constexpr int kRoutes = 1000;
 
 double encoded_bytes(const Message& message) { return static_cast<double>(encode(message).size()); }
 
-// Bytes of one message of each type.
+// Encoded size of one message of each type, in bytes.
 struct MessageSizes {
     double acquire = encoded_bytes(AcquireRequest{123456, 7001, "huvo11a", 1500, 4000, 2, 9, false});
     double grant = encoded_bytes(AcquireGranted{123456, 7001});
@@ -48,7 +49,8 @@
     return text;
 }
 
-// Bytes of a configuration of kRoutes routes: complete, and as the change of one route.
+// Encoded size in bytes of a configuration with kRoutes routes: complete, and as a delta that changes one
+// route.
 struct ConfigurationSizes {
     double complete = 0;
     double one_change = 0;
@@ -75,11 +77,11 @@
 
 void print_row(int proxies, const MessageSizes& messages, const ConfigurationSizes& configuration) {
     const double requests = kRequestsPerProxy * proxies;
-    const double restricted = requests * kRestrictedShare;
-    const double message_rate = restricted * 3 + proxies * 1.0;
-    const double byte_rate = restricted * (messages.acquire + messages.grant + messages.release) +
-                             restricted * kNewRunnerShare * kProxiesPerNewRunner * messages.runner_update *
-                                 kNotificationsPerRunner +
+    const double coordinated = requests * kCoordinatedFraction;
+    const double message_rate = coordinated * 3 + proxies * 1.0;
+    const double byte_rate = coordinated * (messages.acquire + messages.grant + messages.release) +
+                             coordinated * kNewRunnerFraction * kProxiesPerNewRunner *
+                                 messages.runner_update * kNotificationsPerRunner +
                              proxies * (messages.load_report + messages.heartbeat);
     std::printf("%7d  %10.0f  %18.0f  %5.1f  %20.2f  %22.1f  %19.0f\n", proxies, requests, message_rate,
                 byte_rate / kBytesPerKilobyte, byte_rate / proxies / kBytesPerKilobyte,
--- a/tests/system/placement/start_cost_test.cpp
+++ b/tests/system/placement/start_cost_test.cpp
@@ -24,15 +24,15 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_start_costs_its_price_and_the_memory_that_it_holds) {
+BOOST_AUTO_TEST_CASE(the_cost_of_a_start_includes_the_memory_that_it_holds) {
     const StartCost cost(rates(), BootTimes(), service(2'000'000, 0));
     BOOST_TEST(cost.runner_second() == 0.5);
     BOOST_TEST(cost.start() == 2.0);
     BOOST_TEST(cost.break_even() == 4'000'000);
-    BOOST_TEST(cost.late_requests(100) == 0.0);  // no route leads to it
+    BOOST_TEST(cost.late_requests(100) == 0.0);  // no latency target, because no route leads to the function
 }
 
-BOOST_AUTO_TEST_CASE(requests_are_late_for_as_long_as_a_start_outlasts_their_target) {
+BOOST_AUTO_TEST_CASE(requests_are_late_while_a_start_exceeds_their_latency_target) {
     const StartCost slow(rates(), BootTimes(), service(2'000'000, 200'000));
     BOOST_TEST(slow.late_requests(0) == 1.0, boost::test_tools::tolerance(1e-3));
     BOOST_TEST(slow.late_requests(10) == 1 + 10 * 1.96, boost::test_tools::tolerance(1e-2));
@@ -40,7 +40,7 @@
     BOOST_TEST(fast.late_requests(10) < 1e-6);
 }
 
-BOOST_AUTO_TEST_CASE(what_a_late_start_costs_rises_with_the_start_without_a_step) {
+BOOST_AUTO_TEST_CASE(the_cost_of_late_requests_rises_continuously_with_the_boot_duration) {
     double last = 0;
     for (Micros boot = 100'000; boot <= 3'000'000; boot += 20'000) {
         const double late = StartCost(rates(), BootTimes(), service(boot, 1'500'000)).late_requests(1);
@@ -51,24 +51,24 @@
     BOOST_TEST(last > 2);
 }
 
-BOOST_AUTO_TEST_CASE(an_idle_runner_is_kept_where_the_next_request_comes_soon_enough) {
+BOOST_AUTO_TEST_CASE(an_idle_runner_is_kept_if_the_next_request_arrives_soon_enough) {
     const StartCost cost(rates(), BootTimes(), service(2'000'000, 10'000'000));
-    BOOST_TEST(!cost.pays_to_keep(0.24));  // one request in four seconds is worth half a start a second
-    BOOST_TEST(cost.pays_to_keep(0.26));
-    BOOST_TEST(!cost.pays_to_start_ahead(10));  // no request would be late
+    BOOST_TEST(!cost.is_cheaper_to_keep(0.24));  // a start costs as much as four seconds of an idle runner
+    BOOST_TEST(cost.is_cheaper_to_keep(0.26));
+    BOOST_TEST(!cost.is_cheaper_to_start_ahead(10));  // no request would be late
     const StartCost urgent(rates(), BootTimes(), service(2'000'000, 200'000));
-    BOOST_TEST(!urgent.pays_to_start_ahead(0.1));
-    BOOST_TEST(urgent.pays_to_start_ahead(0.5));
+    BOOST_TEST(!urgent.is_cheaper_to_start_ahead(0.1));
+    BOOST_TEST(urgent.is_cheaper_to_start_ahead(0.5));
 }
 
-BOOST_AUTO_TEST_CASE(starts_that_take_longer_than_stated_are_believed) {
+BOOST_AUTO_TEST_CASE(measured_boot_durations_replace_the_configured_duration) {
     BootTimes boot_times;
     for (int n = 0; n < 500; ++n) boot_times.add(3'000'000, 1'000'000);
     BOOST_TEST(boot_times.mean() == 3.0, boost::test_tools::tolerance(1e-2));
     BOOST_TEST(boot_times.deviation() < 0.2);
-    const Service stated = service(1'000'000, 2'500'000);
-    BOOST_TEST(StartCost(rates(), boot_times, stated).late_requests(0) >
-               StartCost(rates(), BootTimes(), stated).late_requests(0) + 0.9);
+    const Service configured = service(1'000'000, 2'500'000);
+    BOOST_TEST(StartCost(rates(), boot_times, configured).late_requests(0) >
+               StartCost(rates(), BootTimes(), configured).late_requests(0) + 0.9);
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/placement/token_bucket_test.cpp
+++ b/tests/system/placement/token_bucket_test.cpp
@@ -4,7 +4,7 @@
 
 namespace gannethold::cluster {
 
-BOOST_AUTO_TEST_CASE(tokens_come_at_the_share_of_the_rate) {
+BOOST_AUTO_TEST_CASE(tokens_accrue_at_the_share_of_the_rate) {
     TokenBucket bucket({10, 0.5, 2}, 0);
     BOOST_TEST(!bucket.try_spend(0));
     BOOST_TEST(!bucket.try_spend(199'999));
@@ -12,7 +12,7 @@
     BOOST_TEST(!bucket.try_spend(200'002));
 }
 
-BOOST_AUTO_TEST_CASE(no_more_tokens_are_saved_than_a_burst) {
+BOOST_AUTO_TEST_CASE(tokens_accrue_up_to_the_burst) {
     TokenBucket bucket({10, 1, 2}, 0);
     BOOST_TEST(bucket.try_spend(60'000'000));
     BOOST_TEST(bucket.try_spend(60'000'000));
--- a/tests/system/placement/worker_table_test.cpp
+++ b/tests/system/placement/worker_table_test.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 // Workers of 1000 MB: "a" and "b" in zones of one region, "c" in another.
-struct ThreeWorkers {
-    ThreeWorkers() {
+struct ThreeWorkersFixture {
+    ThreeWorkersFixture() {
         table.update({{"a", "z-a", 1000, 0, true}, {"b", "z-b", 1000, 0, true}, {"c", "z-c", 1000, 0, true}});
     }
     std::string choose(const std::string& zone, std::map<std::string, int> runners = {}) const {
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_zone_goes_before_the_region_and_that_before_the_rest) {
-    ThreeWorkers workers;
+BOOST_AUTO_TEST_CASE(the_zone_is_preferred_to_the_region_and_the_region_to_others) {
+    ThreeWorkersFixture workers;
     BOOST_TEST(workers.choose("z-b") == "b");
     workers.table.add_used("b", 950);
     BOOST_TEST(workers.choose("z-b") == "a");
@@ -32,8 +32,8 @@
     BOOST_TEST(workers.choose("z-b") == "b");
 }
 
-BOOST_AUTO_TEST_CASE(without_a_zone_runners_are_spread_and_the_emptiest_worker_is_taken) {
-    ThreeWorkers workers;
+BOOST_AUTO_TEST_CASE(without_a_zone_runners_are_spread_and_the_worker_with_most_free_memory_is_chosen) {
+    ThreeWorkersFixture workers;
     BOOST_TEST(workers.choose("", {{"a", 1}, {"b", 1}}) == "c");
     workers.table.add_used("a", 300);
     workers.table.add_used("b", 100);
@@ -42,15 +42,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(pending_starts_use_memory) {
-    ThreeWorkers workers;
+    ThreeWorkersFixture workers;
     const Worker* const worker =
         workers.table.choose(0, {100, "z-a", {}, {{"a", 901}, {"b", 950}, {"c", 900}}});
     BOOST_REQUIRE(worker != nullptr);
     BOOST_TEST(worker->name == "c");
 }
 
-BOOST_AUTO_TEST_CASE(a_worker_that_drains_or_was_full_is_passed_over) {
-    ThreeWorkers workers;
+BOOST_AUTO_TEST_CASE(a_worker_that_is_draining_or_full_is_not_chosen) {
+    ThreeWorkersFixture workers;
     workers.table.set_full("a", 1000);
     BOOST_TEST(workers.choose("z-a") == "b");
     BOOST_TEST(workers.table.choose(1000, {100, "z-a", {}, {}})->name == "a");
--- a/tests/system/slots/arrivals_test.cpp
+++ b/tests/system/slots/arrivals_test.cpp
@@ -9,7 +9,7 @@
 constexpr Micros kSecond = 1'000'000;
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(requests_are_forgotten_over_the_memory) {
+BOOST_AUTO_TEST_CASE(an_arrival_count_decays_exponentially) {
     ArrivalCount count;
     count.add(kStart, 10);
     BOOST_TEST(count.recent(kStart) == 10.0);
@@ -19,7 +19,7 @@
                boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(time_counts_from_the_first_request_on_and_up_to_the_memory) {
+BOOST_AUTO_TEST_CASE(observed_time_starts_with_the_first_request_and_is_bounded_by_the_decay_time) {
     ObservedTime time;
     BOOST_TEST(time.seconds(kStart) == 0.0);
     time.on_request(kStart);
@@ -29,19 +29,20 @@
     BOOST_TEST(time.seconds(kStart + 1000 * kSecond) == 30.0, boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(a_rate_goes_from_the_groups_to_what_was_seen) {
+BOOST_AUTO_TEST_CASE(the_estimated_rate_moves_from_the_group_mean_to_the_observed_rate) {
     FunctionGroup group{10, {}};
     ArrivalCount used;
     const ArrivalCount unused;
-    // Before any request: the prior, shared by the members.
-    BOOST_TEST(ExpectedRate(0, 20).of(kStart, unused, group) == 2.0);
-    // Twenty seconds later one function of ten has had all 400 requests, 20 a second.
+    // Before any request: the prior divided by the number of members.
+    BOOST_TEST(ExpectedRate(0, 20).requests_per_s(kStart, unused, group) == 2.0);
+    // Twenty seconds later one function of ten has received all 400 requests, 20 per second.
     const Micros now = kStart + 20 * kSecond;
     used.add(now, 400);
     group.arrivals.add(now, 400);
     const ExpectedRate rate(20, 20);
-    BOOST_TEST(rate.of(now, used, group) == (400 + 3 * 2.0) / 23, boost::test_tools::tolerance(1e-6));
-    BOOST_TEST(rate.of(now, unused, group) == 3 * 2.0 / 23, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(rate.requests_per_s(now, used, group) == (400 + 3 * 2.0) / 23,
+               boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(rate.requests_per_s(now, unused, group) == 3 * 2.0 / 23, boost::test_tools::tolerance(1e-6));
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/slots/demand_test.cpp
+++ b/tests/system/slots/demand_test.cpp
@@ -8,7 +8,7 @@
 constexpr double kSpan = 0.1;
 }
 
-BOOST_AUTO_TEST_CASE(demand_approaches_the_work_that_arrives_each_second) {
+BOOST_AUTO_TEST_CASE(demand_approaches_the_work_that_arrives_per_second) {
     Demand demand(0.7);
     BOOST_TEST(demand.slots() == 0.0);
     for (int n = 0; n < 100; ++n) demand.sample(0.3, 3, kSpan);
@@ -17,25 +17,25 @@
     BOOST_TEST(demand.slots() < 1e-4);
 }
 
-BOOST_AUTO_TEST_CASE(the_first_requests_count_at_once) {
+BOOST_AUTO_TEST_CASE(the_first_requests_have_their_full_effect_immediately) {
     Demand demand(6);
     for (int n = 0; n < 5; ++n) demand.sample(0.3, 3, kSpan);
     BOOST_TEST(demand.slots() == 3.0, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(many_requests_in_the_first_moment_count_more_than_few) {
+BOOST_AUTO_TEST_CASE(the_first_sample_has_more_weight_with_more_requests) {
     Demand few(0.7);
-    few.sample(0.1, 1, kSpan);  // one request may be all there is: a third of its work a second
+    few.sample(0.1, 1, kSpan);  // a single request: its work divided by the minimal observed time
     BOOST_TEST(few.slots() == 0.1 / 0.3, boost::test_tools::tolerance(1e-9));
     Demand many(0.7);
-    many.sample(1.6, 16, kSpan);  // of 16 slots, what 16 requests at random hardly fall short of
+    many.sample(1.6, 16, kSpan);  // 16 slots less one standard deviation of 16 random arrivals
     BOOST_TEST(many.slots() == 12.0, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(a_load_is_the_larger_of_demand_and_occupied_slots) {
+BOOST_AUTO_TEST_CASE(the_load_is_the_larger_of_demand_and_occupied_slots) {
     SlotLoad by_demand;
     SlotLoad by_occupation;
-    for (int n = 0; n < 600; ++n) {
+    for (int sample = 0; sample < 600; ++sample) {
         by_demand.add_work(0.4);
         by_demand.sample(0, 0, 1, kSpan);
         by_occupation.add_work(0.1);
@@ -53,7 +53,7 @@
     BOOST_TEST(load.slow() == 2.5, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(requests_of_a_zone_are_smoothed_and_added_up) {
+BOOST_AUTO_TEST_CASE(request_rates_of_zones_are_smoothed_and_summed) {
     ZoneDemands zones;
     BOOST_TEST(zones.requests_per_s() == 0.0);
     for (int n = 0; n < 1000; ++n) {
--- a/tests/system/slots/fixture.hpp
+++ b/tests/system/slots/fixture.hpp
@@ -1,4 +1,5 @@
-// What the tests of the slot table and of its parts share: one configured function "f" and two proxies.
+// Shared by the tests of the slot table, its parts and the planner: a configured function "f" and two
+// proxies.
 #pragma once
 
 #include <algorithm>
@@ -13,11 +14,11 @@
 
 namespace gannethold::cluster {
 
-constexpr Session kFirst = 1;
-constexpr Session kSecond = 2;
+constexpr Session kFirstProxy = 1;
+constexpr Session kSecondProxy = 2;
 
-// A function "f" whose runners take `slots` requests at once, and its only route. Without a latency target
-// the configuration's default stands, for which the function is kept warm.
+// A configuration with a function "f", whose runners have `slots` slots, and one route to it. With a
+// latency_target_ms of 0 the route has the default latency target, for which the planner keeps a runner warm.
 inline std::shared_ptr<const Configuration> one_function(int slots = 1, int boot_ms = 1000,
                                                          int latency_target_ms = 0) {
     const std::string latency_target =
@@ -45,7 +46,7 @@
 
 inline AcquireRequest acquire(std::uint32_t id) { return {id, 0, "f", 1000, 4000, 1, 1, false}; }
 
-// How many messages of that type there are for the session.
+// The number of messages of the type to the session.
 template <class Type>
 std::ptrdiff_t count_of(const ProxyOutbox& outbox, Session to) {
     return std::count_if(outbox.begin(), outbox.end(), [&](const ProxyMessage& message) {
@@ -53,7 +54,7 @@
     });
 }
 
-// The last message of that type to the session; nullptr: there is none. Valid until the outbox changes.
+// The last message of the type to the session; nullptr if there is none. Valid until the outbox changes.
 template <class Type>
 const Type* last_of(const ProxyOutbox& outbox, Session to) {
     const Type* last = nullptr;
@@ -63,11 +64,12 @@
     return last;
 }
 
+// A slot table with function "f" and two registered proxies, without runners.
 struct SlotTableFixture {
     explicit SlotTableFixture(const SlotTable::Options& options = {}, int slots = 1) : slot_table(options) {
         slot_table.configure(one_function(slots));
-        slot_table.on_proxy_registered(0, kFirst, registration("first"), outbox);
-        slot_table.on_proxy_registered(0, kSecond, registration("second"), outbox);
+        slot_table.on_proxy_registered(0, kFirstProxy, registration("first"), outbox);
+        slot_table.on_proxy_registered(0, kSecondProxy, registration("second"), outbox);
     }
     const Function& function() const { return *slot_table.functions().at("f"); }
     // REQUIRES: there is exactly one runner.
--- a/tests/system/slots/function_test.cpp
+++ b/tests/system/slots/function_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// A function "f" of two slots a runner, with ready runners in zones "a" and "b".
-struct TwoRunners {
-    TwoRunners()
+// A function "f" with two slots per runner and ready runners in zones "a" and "b".
+struct TwoRunnersFixture {
+    TwoRunnersFixture()
         : configuration(one_function(2)),
           function(configured(*configuration)),
           in_a(runners.add(0, runner_info("i-a", "a"), function)),
@@ -33,81 +33,81 @@
 };
 
 constexpr Micros kNow = 10'000'000;
-const RunnerSlots::Grant kGrant{kFirst, 1, 1, kNow};
+const RunnerSlots::Grant kGrant{kFirstProxy, 1, 1, kNow};
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_drawn_runner_is_taken_then_one_of_the_zone_then_the_emptiest) {
-    TwoRunners two;
-    BOOST_TEST((two.function.pick_runner(kNow, &two.in_b, "a") == &two.in_b));
-    BOOST_TEST((two.function.pick_runner(kNow, nullptr, "a") == &two.in_a));
-    BOOST_TEST((two.function.pick_runner(kNow, nullptr, "b") == &two.in_b));
-    BOOST_TEST((two.function.pick_runner(kNow, nullptr, "c") == &two.in_a));
-    two.in_a.grants.push_back(kGrant);
-    BOOST_TEST((two.function.pick_runner(kNow, nullptr, "c") == &two.in_b));
-    two.in_a.grants.push_back(kGrant);  // full
-    BOOST_TEST((two.function.pick_runner(kNow, &two.in_a, "a") == &two.in_b));
-    BOOST_TEST(two.function.outstanding() == 2.0);
+BOOST_AUTO_TEST_CASE(the_drawn_runner_is_preferred_then_one_in_the_zone_then_the_least_utilized) {
+    TwoRunnersFixture fixture;
+    BOOST_TEST((fixture.function.pick_runner(kNow, &fixture.in_b, "a") == &fixture.in_b));
+    BOOST_TEST((fixture.function.pick_runner(kNow, nullptr, "a") == &fixture.in_a));
+    BOOST_TEST((fixture.function.pick_runner(kNow, nullptr, "b") == &fixture.in_b));
+    BOOST_TEST((fixture.function.pick_runner(kNow, nullptr, "c") == &fixture.in_a));
+    fixture.in_a.grants.push_back(kGrant);
+    BOOST_TEST((fixture.function.pick_runner(kNow, nullptr, "c") == &fixture.in_b));
+    fixture.in_a.grants.push_back(kGrant);  // full
+    BOOST_TEST((fixture.function.pick_runner(kNow, &fixture.in_a, "a") == &fixture.in_b));
+    BOOST_TEST(fixture.function.outstanding() == 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(a_runner_that_drains_starts_or_is_ejected_is_not_available) {
-    TwoRunners two;
-    two.in_a.draining = true;
-    two.in_b.eject_until(kNow + 1);
-    BOOST_TEST((two.function.pick_runner(kNow, nullptr, "a") == nullptr));
-    BOOST_TEST((two.function.pick_runner(kNow + 1, nullptr, "a") == &two.in_b));
-    two.in_b.eject_until(kNow);  // never shortens an ejection
-    BOOST_TEST(two.in_b.ejected_until == kNow + 1);
-    two.in_b.state = RunnerState::starting;
-    BOOST_TEST((two.function.pick_runner(kNow + 1, nullptr, "a") == nullptr));
-    BOOST_TEST(two.function.total_slots() == 2.0);
+BOOST_AUTO_TEST_CASE(a_runner_that_is_draining_starting_or_ejected_is_not_available) {
+    TwoRunnersFixture fixture;
+    fixture.in_a.draining = true;
+    fixture.in_b.eject_until(kNow + 1);
+    BOOST_TEST((fixture.function.pick_runner(kNow, nullptr, "a") == nullptr));
+    BOOST_TEST((fixture.function.pick_runner(kNow + 1, nullptr, "a") == &fixture.in_b));
+    fixture.in_b.eject_until(kNow);  // does not shorten an ejection
+    BOOST_TEST(fixture.in_b.ejected_until == kNow + 1);
+    fixture.in_b.state = RunnerState::starting;
+    BOOST_TEST((fixture.function.pick_runner(kNow + 1, nullptr, "a") == nullptr));
+    BOOST_TEST(fixture.function.total_slots() == 2.0);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_waits_for_a_slot_a_start_or_memory) {
-    TwoRunners two;
-    BOOST_TEST((two.function.missing() == WaitReason::slot));
-    two.in_a.draining = true;
-    two.in_b.state = RunnerState::starting;
-    BOOST_TEST((two.function.missing() == WaitReason::start));
-    two.function.no_worker_has_room = true;
-    BOOST_TEST((two.function.missing() == WaitReason::memory));
+    TwoRunnersFixture fixture;
+    BOOST_TEST((fixture.function.wait_reason() == WaitReason::slot));
+    fixture.in_a.draining = true;
+    fixture.in_b.state = RunnerState::starting;
+    BOOST_TEST((fixture.function.wait_reason() == WaitReason::start));
+    fixture.function.no_worker_has_room = true;
+    BOOST_TEST((fixture.function.wait_reason() == WaitReason::memory));
 }
 
-BOOST_AUTO_TEST_CASE(traffic_is_observed_after_three_seconds_without_a_long_pause) {
+BOOST_AUTO_TEST_CASE(traffic_counts_as_observed_after_three_seconds_without_a_long_pause) {
     Function function("f", RetryBudget::Options{});
     function.on_request(kNow);
     BOOST_TEST(!function.is_observed(kNow));
     function.on_request(kNow + 3'000'000);
     BOOST_TEST(function.is_observed(kNow + 3'000'000));
-    BOOST_TEST(!function.is_observed(kNow + 8'000'000));  // nobody asks any more
+    BOOST_TEST(!function.is_observed(kNow + 8'000'000));  // no request for 5 s
     function.on_request(kNow + 9'000'000);
     BOOST_TEST(!function.is_observed(kNow + 9'000'000));
     function.assume_observed(kNow + 9'000'000);
     BOOST_TEST(function.is_observed(kNow + 9'000'000));
 }
 
-BOOST_AUTO_TEST_CASE(the_expected_wait_is_that_of_the_slot_that_comes_free_first) {
-    TwoRunners two;
+BOOST_AUTO_TEST_CASE(the_expected_wait_is_the_time_until_the_first_slot_becomes_free) {
+    TwoRunnersFixture fixture;
     WorkDurations durations;
     durations.add(1, 300'000);
-    BOOST_TEST(expected_wait(kNow, two.function, durations) == 0.0);
+    BOOST_TEST(expected_wait(kNow, fixture.function, durations) == 0.0);
     for (int n = 0; n < 2; ++n) {
-        two.in_a.grants.push_back(kGrant);
-        two.in_b.grants.push_back(kGrant);
+        fixture.in_a.grants.push_back(kGrant);
+        fixture.in_b.grants.push_back(kGrant);
     }
-    BOOST_TEST(expected_wait(kNow + 100'000, two.function, durations) == 200'000.0);
-    two.in_b.grants.pop_back();
-    two.in_b.ejected_until = kNow + 150'000;
-    BOOST_TEST(expected_wait(kNow + 100'000, two.function, durations) == 50'000.0);
-    // One that waits takes that slot.
+    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 200'000.0);
+    fixture.in_b.grants.pop_back();
+    fixture.in_b.ejected_until = kNow + 150'000;
+    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 50'000.0);
+    // The first waiting request takes that slot.
     WaitQueue::Waiting waiting;
     waiting.work = 400'000;
-    two.function.waiting.add(waiting);
-    two.function.waiting.add(waiting);
-    BOOST_TEST(expected_wait(kNow + 100'000, two.function, durations) == 200'000.0);
-    two.in_a.draining = true;
-    two.in_b.draining = true;
-    BOOST_TEST(expected_wait(kNow, two.function, durations) > 1e9);
+    fixture.function.waiting.add(waiting);
+    fixture.function.waiting.add(waiting);
+    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 200'000.0);
+    fixture.in_a.draining = true;
+    fixture.in_b.draining = true;
+    BOOST_TEST(expected_wait(kNow, fixture.function, durations) > 1e9);
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/slots/retry_budget_test.cpp
+++ b/tests/system/slots/retry_budget_test.cpp
@@ -4,7 +4,7 @@
 
 namespace gannethold::cluster {
 
-BOOST_AUTO_TEST_CASE(a_coordinator_spends_half_of_the_retry_budget_in_a_window) {
+BOOST_AUTO_TEST_CASE(a_coordinator_spends_at_most_half_of_the_retry_budget_per_window) {
     RetryBudget budget({4, 10'000'000});
     BOOST_TEST(budget.try_spend(0));
     BOOST_TEST(budget.try_spend(1'000'000));
@@ -14,12 +14,12 @@
     BOOST_TEST(!budget.try_spend(10'000'002));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_budget_nothing_is_retried) {
+BOOST_AUTO_TEST_CASE(a_budget_of_zero_allows_no_retry) {
     RetryBudget budget({0, 10'000'000});
     BOOST_TEST(!budget.try_spend(0));
 }
 
-BOOST_AUTO_TEST_CASE(a_sliding_window_counts_events_of_its_span) {
+BOOST_AUTO_TEST_CASE(a_sliding_window_counts_the_events_within_its_span) {
     SlidingWindow window(100);
     window.add(0);
     window.add(50);
--- a/tests/system/slots/runner_notifier_test.cpp
+++ b/tests/system/slots/runner_notifier_test.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-struct Notified {
-    Notified() {
-        proxies.open(kFirst, "first", "a");
-        proxies.open(kSecond, "second", "b");
+// Two proxies, in zones "a" and "b", and a function without runners.
+struct NotifierFixture {
+    NotifierFixture() {
+        proxies.open(kFirstProxy, "first", "a");
+        proxies.open(kSecondProxy, "second", "b");
     }
     RunnerSlots& add(const std::string& id, const char* zone) {
         return runners.add(0, runner_info(id, zone), function);
@@ -25,62 +26,62 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_proxy_of_the_runners_zone_probes_it) {
-    Notified notified;
-    notified.function.subscribers.insert(kFirst);
-    RunnerSlots& runner = notified.add("i-1", "b");
-    notified.notifier.assign_prober(runner, notified.outbox);
-    BOOST_TEST(runner.prober == kSecond);
-    const RunnerUpdate* const update = last_of<RunnerUpdate>(notified.outbox, kSecond);
+BOOST_AUTO_TEST_CASE(a_proxy_in_the_zone_of_the_runner_probes_it) {
+    NotifierFixture fixture;
+    fixture.function.subscribers.insert(kFirstProxy);
+    RunnerSlots& runner = fixture.add("i-1", "b");
+    fixture.notifier.assign_prober(runner, fixture.outbox);
+    BOOST_TEST(runner.prober == kSecondProxy);
+    const RunnerUpdate* const update = last_of<RunnerUpdate>(fixture.outbox, kSecondProxy);
     BOOST_REQUIRE(update != nullptr);
     BOOST_TEST(update->watch);
     BOOST_TEST(update->number == runner.number);
-    notified.outbox.clear();
-    notified.notifier.assign_prober(runner, notified.outbox);  // it has one
-    BOOST_TEST(notified.outbox.empty());
+    fixture.outbox.clear();
+    fixture.notifier.assign_prober(runner, fixture.outbox);  // the runner already has a prober
+    BOOST_TEST(fixture.outbox.empty());
 }
 
-BOOST_AUTO_TEST_CASE(of_proxies_equally_near_one_that_uses_the_function_probes) {
-    Notified notified;
-    notified.function.subscribers.insert(kFirst);
-    RunnerSlots& runner = notified.add("i-1", "c");
-    notified.notifier.assign_prober(runner, notified.outbox);
-    BOOST_TEST(runner.prober == kFirst);
+BOOST_AUTO_TEST_CASE(of_equally_near_proxies_one_that_uses_the_function_probes) {
+    NotifierFixture fixture;
+    fixture.function.subscribers.insert(kFirstProxy);
+    RunnerSlots& runner = fixture.add("i-1", "c");
+    fixture.notifier.assign_prober(runner, fixture.outbox);
+    BOOST_TEST(runner.prober == kFirstProxy);
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_that_knows_a_runner_is_sent_its_number_only_when_it_is_gone) {
-    Notified notified;
-    notified.function.subscribers.insert(kFirst);
-    RunnerSlots& runner = notified.add("i-1", "a");
-    notified.notifier.notify_all(runner, notified.outbox);
-    BOOST_TEST(count_of<RunnerUpdate>(notified.outbox, kSecond) == 0);
-    BOOST_REQUIRE(last_of<RunnerUpdate>(notified.outbox, kFirst) != nullptr);
-    BOOST_TEST(last_of<RunnerUpdate>(notified.outbox, kFirst)->runner.runner_id == "i-1");
+BOOST_AUTO_TEST_CASE(a_proxy_that_was_notified_of_a_runner_receives_only_its_number_when_it_is_gone) {
+    NotifierFixture fixture;
+    fixture.function.subscribers.insert(kFirstProxy);
+    RunnerSlots& runner = fixture.add("i-1", "a");
+    fixture.notifier.notify_all(runner, fixture.outbox);
+    BOOST_TEST(count_of<RunnerUpdate>(fixture.outbox, kSecondProxy) == 0);
+    BOOST_REQUIRE(last_of<RunnerUpdate>(fixture.outbox, kFirstProxy) != nullptr);
+    BOOST_TEST(last_of<RunnerUpdate>(fixture.outbox, kFirstProxy)->runner.runner_id == "i-1");
     runner.draining = true;
-    notified.notifier.notify_all(runner, notified.outbox);
-    const RunnerUpdate* const gone = last_of<RunnerUpdate>(notified.outbox, kFirst);
+    fixture.notifier.notify_all(runner, fixture.outbox);
+    const RunnerUpdate* const gone = last_of<RunnerUpdate>(fixture.outbox, kFirstProxy);
     BOOST_TEST((gone->state == RunnerState::gone));
     BOOST_TEST(gone->runner.runner_id.empty());
-    // One that never heard of it knows it by its id only.
-    notified.notifier.notify(runner, kSecond, notified.outbox);
-    BOOST_REQUIRE(last_of<RunnerUpdate>(notified.outbox, kSecond) != nullptr);
-    BOOST_TEST(last_of<RunnerUpdate>(notified.outbox, kSecond)->runner.runner_id == "i-1");
+    // A proxy that was never notified of the runner can identify it only by its id.
+    fixture.notifier.notify(runner, kSecondProxy, fixture.outbox);
+    BOOST_REQUIRE(last_of<RunnerUpdate>(fixture.outbox, kSecondProxy) != nullptr);
+    BOOST_TEST(last_of<RunnerUpdate>(fixture.outbox, kSecondProxy)->runner.runner_id == "i-1");
 }
 
-BOOST_AUTO_TEST_CASE(a_session_remembers_the_runners_that_are_still_there) {
-    Notified notified;
-    for (int n = 0; n < 1000; ++n) {
-        RunnerSlots& runner = notified.add("i-" + std::to_string(n), "a");
-        notified.notifier.notify(runner, kFirst, notified.outbox);
-        if (n != 500) notified.runners.remove(0, runner);
+BOOST_AUTO_TEST_CASE(runner_records_of_a_session_are_compacted_and_keep_existing_runners) {
+    NotifierFixture fixture;
+    for (int added = 0; added < 1000; ++added) {
+        RunnerSlots& runner = fixture.add("i-" + std::to_string(added), "a");
+        fixture.notifier.notify(runner, kFirstProxy, fixture.outbox);
+        if (added != 500) fixture.runners.remove(0, runner);
     }
-    BOOST_TEST(notified.proxies.find(kFirst)->runners.size() < 20U);
-    const auto closed = notified.proxies.close(kFirst);
+    BOOST_TEST(fixture.proxies.find(kFirstProxy)->runners.size() < 20U);
+    const auto closed = fixture.proxies.close(kFirstProxy);
     BOOST_REQUIRE(closed.has_value());
-    const RunnerSlots* const last = notified.runners.find("i-500");
-    BOOST_TEST((std::count(closed->runners.begin(), closed->runners.end(), last->number) == 1));
-    BOOST_TEST(!notified.proxies.close(kFirst).has_value());
-    BOOST_TEST(!notified.proxies.contains(kFirst));
+    const RunnerSlots* const existing = fixture.runners.find("i-500");
+    BOOST_TEST((std::count(closed->runners.begin(), closed->runners.end(), existing->number) == 1));
+    BOOST_TEST(!fixture.proxies.close(kFirstProxy).has_value());
+    BOOST_TEST(!fixture.proxies.contains(kFirstProxy));
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/slots/runner_table_test.cpp
+++ b/tests/system/slots/runner_table_test.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-struct Tables {
-    explicit Tables(int slots = 4) { functions.configure(one_function(slots, 1000, 5000)); }  // not warm
+// A function registry with function "f" and an empty runner table.
+struct TablesFixture {
+    explicit TablesFixture(int slots = 4) { functions.configure(one_function(slots, 1000, 5000)); }
     Function& function() { return functions.get_or_add("f"); }
 
     FunctionRegistry functions{RetryBudget::Options{}};
@@ -20,10 +21,10 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(a_runner_is_found_by_number_and_id_until_it_is_removed) {
-    Tables tables;
+    TablesFixture tables;
     RunnerSlots& runner = tables.runners.add(5, runner_info("i-1"), tables.function());
     BOOST_TEST(runner.number == 7U);
-    BOOST_TEST(runner.info.slots == 4U);  // as configured, not as listed
+    BOOST_TEST(runner.info.slots == 4U);  // the configured value, not the listed one
     BOOST_TEST((runner.state == RunnerState::starting));
     BOOST_TEST(tables.runners.starting().contains(7));
     BOOST_TEST((tables.runners.find(7) == &runner));
@@ -38,25 +39,25 @@
     BOOST_TEST(tables.runners.has_ended("i-1"));
 }
 
-BOOST_AUTO_TEST_CASE(an_ended_runner_is_remembered_for_a_minute) {
-    Tables tables;
+BOOST_AUTO_TEST_CASE(the_end_of_a_runner_is_recorded_for_a_minute) {
+    TablesFixture tables;
     tables.runners.record_end(0, "i-1");
-    tables.runners.forget_ended(60'000'000);
+    tables.runners.remove_old_ends(60'000'000);
     BOOST_TEST(tables.runners.has_ended("i-1"));
-    tables.runners.forget_ended(60'000'001);
+    tables.runners.remove_old_ends(60'000'001);
     BOOST_TEST(!tables.runners.has_ended("i-1"));
 }
 
-BOOST_AUTO_TEST_CASE(a_new_configuration_sets_the_slots_of_known_runners) {
-    Tables tables;
+BOOST_AUTO_TEST_CASE(a_new_configuration_sets_the_slots_of_existing_runners) {
+    TablesFixture tables;
     const RunnerSlots& runner = tables.runners.add(0, runner_info("i-1"), tables.function());
     tables.functions.configure(one_function(9, 1000, 5000));
     tables.runners.update_slots();
     BOOST_TEST(runner.info.slots == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(a_function_is_active_until_it_has_been_idle) {
-    Tables tables;
+BOOST_AUTO_TEST_CASE(a_function_remains_active_until_it_is_idle) {
+    TablesFixture tables;
     Function& function = tables.function();
     BOOST_TEST(function.active);
     function.on_request(30'000'000);
--- a/tests/system/slots/wait_queue_test.cpp
+++ b/tests/system/slots/wait_queue_test.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_request_with_least_time_left_is_served_first) {
+BOOST_AUTO_TEST_CASE(the_request_with_the_earliest_target_is_served_first) {
     WaitQueue queue;
     queue.add(waiting(1, 0, 3'000'000));
     queue.add(waiting(2, 1, 1'000'000));
@@ -42,7 +42,7 @@
     BOOST_TEST(queue.total_work() == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(a_step_of_priority_counts_as_time_left) {
+BOOST_AUTO_TEST_CASE(a_step_of_priority_is_equivalent_to_a_later_target) {
     WaitQueue queue;
     queue.add(waiting(1, 0, 1'000'000, 2));
     queue.add(waiting(2, 1, 1'000'000 + 2 * kPriorityStep - 1, 0));
@@ -52,7 +52,7 @@
     BOOST_TEST((serve_all(queue, 10, false) == std::vector<std::uint32_t>{1, 2}));
 }
 
-BOOST_AUTO_TEST_CASE(late_requests_go_last_in_order_of_arrival_unless_it_is_their_turn) {
+BOOST_AUTO_TEST_CASE(late_requests_are_served_last_in_order_of_arrival_except_in_a_late_turn) {
     WaitQueue queue;
     const WaitQueue::Ticket first = queue.add(waiting(1, 0, 500'000));
     queue.add(waiting(2, 1, 200'000));
@@ -67,7 +67,7 @@
     BOOST_TEST((serve_all(queue, 600'000, false) == std::vector<std::uint32_t>{3, 1, 2}));
 }
 
-BOOST_AUTO_TEST_CASE(a_request_is_late_once_its_work_does_not_fit_before_the_target) {
+BOOST_AUTO_TEST_CASE(a_request_is_late_when_the_time_until_its_target_is_shorter_than_its_work) {
     WaitQueue queue;
     const WaitQueue::Ticket ticket = queue.add(waiting(1, 0, 1'000'000));
     queue.next(900'000, false);
@@ -77,7 +77,7 @@
     BOOST_TEST(!queue.has_on_target());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_has_expired_once_its_work_does_not_fit_before_the_deadline) {
+BOOST_AUTO_TEST_CASE(a_request_expires_when_the_time_until_its_deadline_is_shorter_than_its_work) {
     WaitQueue queue;
     queue.add(waiting(1, 0, 1'000'000, 0, 4'000'000));
     queue.add(waiting(2, 1, 1'000'000, 0, 2'000'000));
@@ -87,17 +87,17 @@
     BOOST_TEST(expired->waiting->request.id == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(the_last_late_request_is_out_of_reach_where_its_turn_comes_after_its_deadline) {
+BOOST_AUTO_TEST_CASE(the_last_late_request_is_unservable_if_its_turn_comes_after_its_deadline) {
     WaitQueue queue;
     for (std::uint32_t id = 1; id <= 3; ++id) queue.add(waiting(id, id, 100'000, 0, 1'100'000));
-    BOOST_TEST(!queue.last_out_of_reach(0, 1e9).has_value());  // nobody is late
-    BOOST_TEST(!queue.last_out_of_reach(100'000, 300'000).has_value());
-    const auto last = queue.last_out_of_reach(100'000, 300'001);
+    BOOST_TEST(!queue.last_unservable(0, 1e9).has_value());  // no request is late
+    BOOST_TEST(!queue.last_unservable(100'000, 300'000).has_value());
+    const auto last = queue.last_unservable(100'000, 300'001);
     BOOST_REQUIRE(last.has_value());
     BOOST_TEST(last->waiting->request.id == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(requests_of_a_disconnected_proxy_leave_the_queue) {
+BOOST_AUTO_TEST_CASE(requests_of_a_disconnected_proxy_are_removed) {
     WaitQueue queue;
     queue.add(waiting(1, 0, 1'000'000));
     WaitQueue::Waiting other = waiting(2, 1, 1'000'000);
