--- a/src/cluster/placement/planner.cpp
+++ b/src/cluster/placement/planner.cpp
@@ -231,8 +231,7 @@
             pending->next_attempt_at = now + kBusyRetryInterval;
             break;
         case StartResult::timed_out:
-            // The runner may have been started; the same nonce on the same worker does not start a second
-            // one.
+            // The runner may have been started; a retry with the same nonce does not start a second one.
             pending->in_flight = false;
             pending->next_attempt_at = now + kTimeoutRetryInterval;
             if (pending->attempts >= kMaxStartAttempts) starts_.remove(nonce);
--- a/src/cluster/placement/runner_target.cpp
+++ b/src/cluster/placement/runner_target.cpp
@@ -94,9 +94,9 @@
 // The load of a function and the time that its requests may wait for a slot.
 struct OfferedLoad {
     double requests_per_s = 0;
-    double load = 0;      // in slots
-    double work = 0;      // of one request, in seconds
-    double max_wait = 0;  // in seconds; a request that waits longer is late
+    double load = 0;        // in slots
+    double work_s = 0;      // of one request
+    double max_wait_s = 0;  // a request that waits longer is late
 };
 
 // expected: the expected requests per second; the smoothed rate is initially too low.
@@ -106,20 +106,20 @@
     const double peak = function.load.peak();
     demand.load = peak + std::max(kLoadGrowthFraction * peak, kLoadDeviationFactor * std::sqrt(peak));
     const double load = function.load.slow();
-    demand.work = kDefaultWorkSeconds;
-    if (load > 0 && demand.requests_per_s > 0) demand.work = std::max(1e-3, load / demand.requests_per_s);
-    const double target = seconds(function.service->min_latency_target);
-    demand.max_wait = std::max(0.0, target - kWorkDurationsInTarget * demand.work);
+    demand.work_s = kDefaultWorkSeconds;
+    if (load > 0 && demand.requests_per_s > 0) demand.work_s = std::max(1e-3, load / demand.requests_per_s);
+    const double target_s = seconds(function.service->min_latency_target);
+    demand.max_wait_s = std::max(0.0, target_s - kWorkDurationsInTarget * demand.work_s);
     return demand;
 }
 
 // The time after an interruption during which requests are late, until the accumulated requests have been
 // served. REQUIRES: slots > demand.load.
 double late_seconds_after_interruption(const OfferedLoad& demand, double slots) {
-    const double peak_wait = kInterruptionSeconds * demand.load / slots;
-    if (peak_wait <= demand.max_wait) return 0;
+    const double peak_wait_s = kInterruptionSeconds * demand.load / slots;
+    if (peak_wait_s <= demand.max_wait_s) return 0;
     const double backlog_seconds = kInterruptionSeconds * demand.load / (slots - demand.load);
-    return backlog_seconds * (1 - demand.max_wait / peak_wait);
+    return backlog_seconds * (1 - demand.max_wait_s / peak_wait_s);
 }
 
 // The mean number of requests per second that are late because they wait for a slot.
@@ -127,7 +127,7 @@
     const double at_random = is_off(Mechanism::late_by_chance)
                                  ? 0
                                  : probability_wait_exceeds(demand.load, static_cast<std::uint32_t>(slots),
-                                                            demand.max_wait / demand.work);
+                                                            demand.max_wait_s / demand.work_s);
     if (slots <= demand.load) return demand.requests_per_s;
     const double interrupted =
         is_off(Mechanism::room_for_interruptions)
@@ -159,12 +159,12 @@
                              const SlotTable& slot_table) {
     const Service& service = *function.service;
     if (is_off(Mechanism::starts_for_waiting) && runners.total > 0) return false;
-    const double wait = slot_table.expected_wait(now, function);
+    const double wait_us = slot_table.expected_wait_us(now, function);
     if (runners.starting * service.max_concurrency >= function.waiting.size() ||
-        wait <= kMinWaitPerBoot * static_cast<double>(service.boot_duration))
+        wait_us <= kMinWaitPerBoot * static_cast<double>(service.boot_duration))
         return false;
     const WaitQueue::Waiting& newest = *function.waiting.newest();
-    const double done_at = static_cast<double>(now) + wait + static_cast<double>(newest.work);
+    const double done_at = static_cast<double>(now) + wait_us + static_cast<double>(newest.work);
     return runners.total == 0 || done_at > static_cast<double>(newest.target_at);
 }
 
--- a/src/cluster/runners/runner_list_poller.hpp
+++ b/src/cluster/runners/runner_list_poller.hpp
@@ -41,8 +41,7 @@
     RunnerListPoller(const Options& options, Micros now) : options_(options), next_request_at_(now) {}
 
     /// Returns the token of the page to request now (empty: the first page); nullopt if no request is due.
-    /// The request is pending until on_page() or on_failure() is called, and no other request is due until
-    /// then.
+    /// It is pending until on_page() or on_failure() is called; no other request is due until then.
     std::optional<std::string> take_due_request(Micros now);
     /// The pending request has been answered. REQUIRES: the page is the one of the last token.
     Update on_page(Micros now, const RunnerListPage& page);
--- a/src/cluster/slots/expected_wait.cpp
+++ b/src/cluster/slots/expected_wait.cpp
@@ -13,8 +13,8 @@
 constexpr double kMinRemainingBootUs = 50'000;  // assumed for a start that exceeds its expected duration
 constexpr Micros kDefaultBoot = 1'000'000;      // for a function that is no longer configured
 
-// The time in microseconds until the free slots of a runner can be used.
-double time_until_usable(Micros now, const RunnerSlots& runner, const Function& function) {
+// The time until the free slots of a runner can be used.
+double time_until_usable_us(Micros now, const RunnerSlots& runner, const Function& function) {
     if (runner.state == RunnerState::starting) {
         const Micros boot = function.service ? function.service->boot_duration : kDefaultBoot;
         return std::max(kMinRemainingBootUs, static_cast<double>(runner.started_at + boot - now));
@@ -23,38 +23,38 @@
     return 0;
 }
 
-// The time in microseconds until each slot of the function becomes free, in no particular order.
-std::vector<double> slot_free_times(Micros now, const Function& function, const WorkDurations& durations) {
-    std::vector<double> free_in;
+// The time until each slot of the function becomes free, in no particular order.
+std::vector<double> slot_free_times_us(Micros now, const Function& function, const WorkDurations& durations) {
+    std::vector<double> free_in_us;
     for (const RunnerSlots* const runner : function.runners) {
         if (runner->draining) continue;
         for (const RunnerSlots::Grant& grant : runner->grants)
-            free_in.push_back(
+            free_in_us.push_back(
                 std::max(durations.expected_us(grant.request_class) - static_cast<double>(now - grant.since),
                          kMinRemainingWorkUs));
-        const double usable = time_until_usable(now, *runner, function);
+        const double usable_us = time_until_usable_us(now, *runner, function);
         for (std::uint32_t slot = runner->outstanding(); slot < runner->info.slots; ++slot)
-            free_in.push_back(usable);
+            free_in_us.push_back(usable_us);
     }
-    return free_in;
+    return free_in_us;
 }
 
 }  // namespace
 
-double expected_wait(Micros now, const Function& function, const WorkDurations& durations) {
-    std::vector<double> free_in = slot_free_times(now, function, durations);
-    if (free_in.empty()) return kNeverUs;
+double expected_wait_us(Micros now, const Function& function, const WorkDurations& durations) {
+    std::vector<double> free_in_us = slot_free_times_us(now, function, durations);
+    if (free_in_us.empty()) return kNeverUs;
     // Each waiting request takes the slot that becomes free first.
     const auto later = std::greater<>();
-    std::make_heap(free_in.begin(), free_in.end(), later);
-    double last = free_in.front();
+    std::make_heap(free_in_us.begin(), free_in_us.end(), later);
+    double wait_us = free_in_us.front();
     for (const auto& [ticket, waiting] : function.waiting.all()) {
-        std::pop_heap(free_in.begin(), free_in.end(), later);
-        last = free_in.back();
-        free_in.back() += static_cast<double>(waiting.work);
-        std::push_heap(free_in.begin(), free_in.end(), later);
+        std::pop_heap(free_in_us.begin(), free_in_us.end(), later);
+        wait_us = free_in_us.back();
+        free_in_us.back() += static_cast<double>(waiting.work);
+        std::push_heap(free_in_us.begin(), free_in_us.end(), later);
     }
-    return last;
+    return wait_us;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/expected_wait.hpp
+++ b/src/cluster/slots/expected_wait.hpp
@@ -6,8 +6,8 @@
 
 namespace gannethold::cluster {
 
-// The expected time in microseconds until the last request in the function's wait queue gets a slot, or a new
+// The expected time until the last request in the function's wait queue gets a slot, or a new
 // request if the queue is empty: 0 if a slot is free, 1e12 if no runner can take requests.
-double expected_wait(Micros now, const Function& function, const WorkDurations& durations);
+double expected_wait_us(Micros now, const Function& function, const WorkDurations& durations);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/slots/request_scheduler.cpp
+++ b/src/cluster/slots/request_scheduler.cpp
@@ -21,7 +21,7 @@
 std::uint32_t queue_retry_ms(const Function& function, const AcquireRequest& request) {
     const double slots = function.total_slots();
     if (slots == 0 || is_off(Mechanism::early_rejection)) return 0;
-    const double wait_ms = function.waiting.total_work() / slots / 1e3;
+    const double wait_ms = function.waiting.total_work_us() / slots / 1e3;
     const double max_wait_ms =
         std::max<double>(request.latency_target_ms, request.deadline_ms * kMaxWaitFraction);
     if (wait_ms <= max_wait_ms) return 0;
@@ -84,11 +84,11 @@
             function.pick_runner(now, runners_.find(next->waiting->request.preferred_runner), proxy->zone);
         if (!runner) return;
         const WaitQueue::Waiting served = *next->waiting;
-        const bool late = function.waiting.is_late(next->ticket);
-        const bool late_turn = late && is_late_turn(function);
+        const bool was_late = function.waiting.is_late(next->ticket);
+        const bool was_late_turn = was_late && is_late_turn(function);
         function.waiting.remove(next->ticket);
-        function.grants_since_late_turn = late ? 0 : function.grants_since_late_turn + 1;
-        record_inversion(now, function, served, late_turn);
+        function.grants_since_late_turn = was_late ? 0 : function.grants_since_late_turn + 1;
+        record_inversion(now, function, served, was_late_turn);
         proxy->waiting.erase(served.request.id);
         grant(now, *runner, served.session, served.request, served.wait_reason, out);
     }
@@ -121,10 +121,11 @@
     while (const auto expired = function.waiting.expired(now)) deny_waiting(function, *expired, 0, out);
     const double slots = function.total_slots();
     while (slots > 0 && !function.waiting.empty()) {
-        const double work = function.waiting.total_work() / static_cast<double>(function.waiting.size());
+        const double work_us =
+            function.waiting.total_work_us() / static_cast<double>(function.waiting.size());
         const double slots_per_turn = function.waiting.has_on_target() ? options_.late_turn_interval : 1;
-        const double turn_interval = kTurnMargin * work / slots * slots_per_turn;
-        const auto last = function.waiting.last_unservable(now, turn_interval);
+        const double turn_interval_us = kTurnMargin * work_us / slots * slots_per_turn;
+        const auto last = function.waiting.last_unservable(now, turn_interval_us);
         if (!last) break;
         deny_waiting(function, *last, kUnservableRetryMs, out);
     }
--- a/src/cluster/slots/slot_table.cpp
+++ b/src/cluster/slots/slot_table.cpp
@@ -40,8 +40,8 @@
     return proxy ? &proxy->name : nullptr;
 }
 
-double SlotTable::expected_wait(Micros now, const Function& function) const {
-    return cluster::expected_wait(now, function, durations_);
+double SlotTable::expected_wait_us(Micros now, const Function& function) const {
+    return cluster::expected_wait_us(now, function, durations_);
 }
 
 double SlotTable::expected_rate(Micros now, const Function& function, double prior) const {
--- a/src/cluster/slots/slot_table.hpp
+++ b/src/cluster/slots/slot_table.hpp
@@ -108,8 +108,8 @@
     // nullptr: the session is not registered.
     const std::string* proxy_zone(Session session) const;
     const std::string* proxy_name(Session session) const;
-    // slots/expected_wait.hpp
-    double expected_wait(Micros now, const Function& function) const;
+    // See slots/expected_wait.hpp.
+    double expected_wait_us(Micros now, const Function& function) const;
 
   private:
     void subscribe(Session session, Function& function);
--- a/src/cluster/slots/wait_queue.cpp
+++ b/src/cluster/slots/wait_queue.cpp
@@ -10,7 +10,7 @@
     on_target_.emplace(on_target_key(waiting), ticket);
     becoming_late_.emplace(late_at(waiting), ticket);
     by_latest_start_.emplace(latest_start(waiting), ticket);
-    total_work_ += static_cast<double>(waiting.work);
+    total_work_us_ += static_cast<double>(waiting.work);
     return ticket;
 }
 
@@ -22,9 +22,9 @@
     becoming_late_.erase({late_at(waiting), ticket});
     late_.erase({waiting.since, ticket});
     by_latest_start_.erase({latest_start(waiting), ticket});
-    total_work_ -= static_cast<double>(waiting.work);
+    total_work_us_ -= static_cast<double>(waiting.work);
     all_.erase(at);
-    if (all_.empty()) total_work_ = 0;  // prevents rounding errors from accumulating
+    if (all_.empty()) total_work_us_ = 0;  // prevents rounding errors from accumulating
 }
 
 void WaitQueue::on_proxy_disconnected(Session session) {
@@ -58,13 +58,13 @@
     return Entry{ticket, &all_.at(ticket)};
 }
 
-std::optional<WaitQueue::Entry> WaitQueue::last_unservable(Micros now, double turn_interval) {
+std::optional<WaitQueue::Entry> WaitQueue::last_unservable(Micros now, double turn_interval_us) {
     update_late(now);
     if (late_.empty()) return std::nullopt;
     const Ticket ticket = late_.rbegin()->second;
     const Waiting& last = all_.at(ticket);
-    const double turn_at = static_cast<double>(now) + turn_interval * static_cast<double>(late_.size());
-    if (turn_at <= static_cast<double>(latest_start(last))) return std::nullopt;
+    const double turn_at_us = static_cast<double>(now) + turn_interval_us * static_cast<double>(late_.size());
+    if (turn_at_us <= static_cast<double>(latest_start(last))) return std::nullopt;
     return Entry{ticket, &last};
 }
 
--- a/src/cluster/slots/wait_queue.hpp
+++ b/src/cluster/slots/wait_queue.hpp
@@ -55,14 +55,14 @@
     // Returns a request that can no longer be completed within its deadline; nullopt if there is none.
     std::optional<Entry> expired(Micros now) const;
     // Returns the last late request if its turn would come too late for its deadline, given that one late
-    // request is served every turn_interval microseconds; nullopt otherwise, or if no request is late.
-    std::optional<Entry> last_unservable(Micros now, double turn_interval);
+    // request is served every turn_interval_us; nullopt otherwise, or if no request is late.
+    std::optional<Entry> last_unservable(Micros now, double turn_interval_us);
     bool has_on_target() const { return !on_target_.empty(); }
 
     bool empty() const { return all_.empty(); }
     std::size_t size() const { return all_.size(); }
-    // The sum of the expected durations of all requests, in microseconds.
-    double total_work() const { return total_work_; }
+    // The sum of the expected durations of all requests.
+    double total_work_us() const { return total_work_us_; }
     // In the order of arrival.
     const std::map<Ticket, Waiting>& all() const { return all_; }
 
@@ -85,7 +85,7 @@
     std::set<TimedTicket> becoming_late_;    // by late_at()
     std::set<TimedTicket> late_;             // by arrival
     std::set<TimedTicket> by_latest_start_;  // by latest_start()
-    double total_work_ = 0;
+    double total_work_us_ = 0;
     Ticket last_ticket_ = 0;
 };
 
--- a/tests/system/slots/function_test.cpp
+++ b/tests/system/slots/function_test.cpp
@@ -90,24 +90,24 @@
     TwoRunnersFixture fixture;
     WorkDurations durations;
     durations.add(1, 300'000);
-    BOOST_TEST(expected_wait(kNow, fixture.function, durations) == 0.0);
+    BOOST_TEST(expected_wait_us(kNow, fixture.function, durations) == 0.0);
     for (int n = 0; n < 2; ++n) {
         fixture.in_a.grants.push_back(kGrant);
         fixture.in_b.grants.push_back(kGrant);
     }
-    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 200'000.0);
+    BOOST_TEST(expected_wait_us(kNow + 100'000, fixture.function, durations) == 200'000.0);
     fixture.in_b.grants.pop_back();
     fixture.in_b.ejected_until = kNow + 150'000;
-    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 50'000.0);
+    BOOST_TEST(expected_wait_us(kNow + 100'000, fixture.function, durations) == 50'000.0);
     // The first waiting request takes that slot.
     WaitQueue::Waiting waiting;
     waiting.work = 400'000;
     fixture.function.waiting.add(waiting);
     fixture.function.waiting.add(waiting);
-    BOOST_TEST(expected_wait(kNow + 100'000, fixture.function, durations) == 200'000.0);
+    BOOST_TEST(expected_wait_us(kNow + 100'000, fixture.function, durations) == 200'000.0);
     fixture.in_a.draining = true;
     fixture.in_b.draining = true;
-    BOOST_TEST(expected_wait(kNow, fixture.function, durations) > 1e9);
+    BOOST_TEST(expected_wait_us(kNow, fixture.function, durations) > 1e9);
 }
 
 }  // namespace gannethold::cluster
--- a/tests/system/slots/wait_queue_test.cpp
+++ b/tests/system/slots/wait_queue_test.cpp
@@ -39,7 +39,7 @@
     queue.add(waiting(3, 2, 2'000'000));
     BOOST_TEST((serve_all(queue, 10, false) == std::vector<std::uint32_t>{2, 3, 1}));
     BOOST_TEST(queue.empty());
-    BOOST_TEST(queue.total_work() == 0.0);
+    BOOST_TEST(queue.total_work_us() == 0.0);
 }
 
 BOOST_AUTO_TEST_CASE(a_step_of_priority_is_equivalent_to_a_later_target) {
@@ -105,7 +105,7 @@
     queue.add(other);
     queue.on_proxy_disconnected(1);
     BOOST_TEST(queue.size() == 1U);
-    BOOST_TEST(queue.total_work() == 100'000.0);
+    BOOST_TEST(queue.total_work_us() == 100'000.0);
     BOOST_TEST(queue.oldest()->request.id == 2U);
     BOOST_TEST(queue.newest()->request.id == 2U);
     queue.on_proxy_disconnected(2);
