--- a/src/cluster/programs/proxy_explain.cpp
+++ b/src/cluster/programs/proxy_explain.cpp
@@ -34,8 +34,8 @@
 
 json::Value explain_losses(const RequestStatistics& statistics) {
     json::List losses;
-    for (std::size_t cause = 0; cause < ValueLoss::kCauses; ++cause)
-        for (std::size_t outcome = 0; outcome < ValueLoss::kOutcomes; ++outcome) {
+    for (std::size_t cause = 0; cause < ValueLoss::kCauseCount; ++cause)
+        for (std::size_t outcome = 0; outcome < ValueLoss::kOutcomeCount; ++outcome) {
             const auto of_cause = static_cast<ValueLoss::Cause>(cause);
             const auto of_outcome = static_cast<ValueLoss::Outcome>(outcome);
             const std::uint64_t count = statistics.count(of_cause, of_outcome);
--- a/src/cluster/proxy/deadline_queue.hpp
+++ b/src/cluster/proxy/deadline_queue.hpp
@@ -1,4 +1,4 @@
-// The deadlines of all pending requests, earliest first.
+// The deadlines of all pending requests.
 #pragma once
 
 #include <map>
@@ -9,13 +9,14 @@
 
 namespace gannethold::cluster {
 
+/// Holds requests ordered by deadline, earliest first.
 class DeadlineQueue {
   public:
-    void add(Micros at, RequestId request) { requests_.emplace(at, request); }
+    void add(Micros deadline, RequestId request) { requests_.emplace(deadline, request); }
 
-    /// Removes what add() was called with; without effect where it is not there.
-    void remove(Micros at, RequestId request) {
-        const auto [first, last] = requests_.equal_range(at);
+    /// Removes the entry that add() made with the same arguments. No effect if there is no such entry.
+    void remove(Micros deadline, RequestId request) {
+        const auto [first, last] = requests_.equal_range(deadline);
         for (auto entry = first; entry != last; ++entry)
             if (entry->second == request) {
                 requests_.erase(entry);
@@ -23,13 +24,13 @@
             }
     }
 
-    /// The request whose deadline is the earliest and has passed; it stays until it is removed.
+    /// Returns the request with the earliest deadline if that deadline has passed. Does not remove the entry.
     std::optional<RequestId> expired(Micros now) const {
         if (requests_.empty() || requests_.begin()->first > now) return std::nullopt;
         return requests_.begin()->second;
     }
 
-    /// The earliest deadline; nothing where there is none.
+    /// Returns the earliest deadline; nullopt if the queue is empty.
     std::optional<Micros> next() const {
         if (requests_.empty()) return std::nullopt;
         return requests_.begin()->first;
--- a/src/cluster/proxy/endpoint_table.cpp
+++ b/src/cluster/proxy/endpoint_table.cpp
@@ -18,16 +18,16 @@
 
 Endpoint* EndpointTable::select(const Split& split, std::string_view zone, double draw,
                                 const IsEligible& is_eligible) {
-    const auto drawn_among = [&](bool only_in_zone) {
+    const auto select_share = [&](bool only_in_zone) {
         return split.draw(draw, [&](const Split::Share& share) {
             const Endpoint* const endpoint = find(share.runner);
             return endpoint && is_eligible(*endpoint, share) &&
                    (!only_in_zone || endpoint->info.zone == zone);
         });
     };
-    const Split::Share* drawn = is_off(Mechanism::near_zone_first) ? nullptr : drawn_among(true);
-    if (!drawn) drawn = drawn_among(false);
-    return drawn ? find(drawn->runner) : nullptr;
+    const Split::Share* selected = is_off(Mechanism::near_zone_first) ? nullptr : select_share(true);
+    if (!selected) selected = select_share(false);
+    return selected ? find(selected->runner) : nullptr;
 }
 
 void EndpointTable::begin_session() {
@@ -41,7 +41,7 @@
         endpoint.registered_in_flight = 0;
         if (endpoint.state == RunnerState::gone && endpoint.in_flight == 0) continue;
         RunnerInfo info = endpoint.info;
-        // The end of what was sent without a slot is not reported, so it is not counted either.
+        // Attempts without a slot are not counted, because the coordinator is not notified when they end.
         info.outstanding = functions_.is_unrestricted(info.service) ? 0 : endpoint.in_flight;
         info.reachable = endpoint.state == RunnerState::ready;
         endpoint.registered_in_flight = info.outstanding;
@@ -54,13 +54,13 @@
     if (update.state == RunnerState::gone) return on_gone(update, actions);
     const std::string& runner = update.runner.runner_id;
     Endpoint& endpoint = endpoints_[runner];
-    const bool first_of_session = endpoint.number == 0;
+    const bool is_first_in_session = endpoint.number == 0;
     if (endpoint.number != update.number) runner_by_number_.erase(endpoint.number);
     endpoint.info = update.runner;
     endpoint.number = update.number;
     endpoint.state = update.state;
     runner_by_number_[update.number] = runner;
-    if (first_of_session) correct_registration(endpoint, actions);
+    if (is_first_in_session) correct_registration(endpoint, actions);
     if (update.state == RunnerState::ready)
         functions_.state_of(update.runner.service).split.add_runner(runner, update.runner.slots);
     if (update.watch && update.state == RunnerState::starting) {
@@ -69,8 +69,8 @@
     }
 }
 
-// A runner that is gone may still have attempts of ours in flight, whose ends the coordinator counts under
-// the number that it gives here.
+// Attempts of this proxy may still be in flight at a removed runner. Their slots are released under the
+// number that this update assigns.
 void EndpointTable::on_gone(const RunnerUpdate& update, Actions& actions) {
     if (Endpoint* const endpoint = find(update.runner.runner_id); endpoint && endpoint->number == 0) {
         endpoint->number = update.number;
@@ -81,8 +81,8 @@
         remove(std::string(runner->second), actions);
 }
 
-// What ended between the registration and the coordinator's answer is released, and what was sent then is
-// reported: else a slot would be taken, or granted twice, for as long as the session lasts.
+// Releases the slots of attempts that ended after the registration was sent, and reports attempts that
+// started after it. Otherwise a slot would stay occupied, or be granted twice, until the session ends.
 void EndpointTable::correct_registration(Endpoint& endpoint, Actions& actions) {
     const std::uint32_t registered = std::exchange(endpoint.registered_in_flight, 0);
     if (functions_.state_of(endpoint.info.service).unrestricted) return;
@@ -94,15 +94,15 @@
 }
 
 void EndpointTable::remove(const std::string& runner, Actions& actions) {
-    const auto at = endpoints_.find(runner);
-    if (at == endpoints_.end()) return;
-    Endpoint& endpoint = at->second;
+    const auto found = endpoints_.find(runner);
+    if (found == endpoints_.end()) return;
+    Endpoint& endpoint = found->second;
     functions_.state_of(endpoint.info.service).split.remove_runner(runner);
     actions.evicted_addresses.push_back(endpoint.info.address);
     endpoint.state = RunnerState::gone;
     if (endpoint.in_flight > 0) return;
     runner_by_number_.erase(endpoint.number);
-    endpoints_.erase(at);
+    endpoints_.erase(found);
 }
 
 void EndpointTable::eject(const std::string& runner, Micros until) {
--- a/src/cluster/proxy/endpoint_table.hpp
+++ b/src/cluster/proxy/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// The runners that the coordinator has announced to this proxy, with what this proxy does at each of them.
+// The runners that the coordinator has announced to this proxy, with the proxy's attempts in flight at each.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,51 @@
 
 namespace gannethold::cluster {
 
+/// A runner as this proxy sees it.
 struct Endpoint {
     RunnerInfo info;
-    std::uint32_t number = 0;     ///< the coordinator's name for it in this session; 0: not yet announced
-    std::uint32_t in_flight = 0;  ///< attempts that this proxy has there
-    std::uint32_t registered_in_flight = 0;  ///< of those, what the registration under way has stated
+    std::uint32_t number = 0;     ///< the coordinator's id of it in this session; 0: not announced yet
+    std::uint32_t in_flight = 0;  ///< attempts of this proxy in flight at the runner
+    std::uint32_t registered_in_flight = 0;  ///< the value of in_flight stated in the pending registration
     RunnerState state = RunnerState::starting;
-    Micros ejected_until = 0;  ///< after it could not be reached
+    Micros ejected_until = 0;  ///< set when a connection to the runner fails
 
     bool is_selectable(Micros now) const { return state == RunnerState::ready && now >= ejected_until; }
 };
 
-/// Pointers to endpoints are valid until the endpoint is removed.
+/// Returned pointers to an endpoint are valid until that endpoint is removed.
 class EndpointTable {
   public:
     using IsEligible = std::function<bool(const Endpoint&, const Split::Share&)>;
 
-    /// functions is kept by reference: runners enter and leave the splits there.
+    /// Keeps a reference to functions and adds runners to, and removes them from, the splits in it.
     explicit EndpointTable(FunctionTable& functions) : functions_(functions) {}
 
-    /// A runner is announced, has changed or is gone.
+    /// Handles the announcement, the change or the removal of a runner.
     void on_update(const RunnerUpdate& update, Actions& actions);
-    /// A probed address took a connection, or did not for too long. has_coordinator: somebody to be notified.
+    /// Handles the end of a probe: the address accepted a connection, or the probe expired. Reports the
+    /// result to the coordinator if has_coordinator is true.
     void on_probe_completed(const std::string& address, bool reachable, bool has_coordinator,
                             Actions& actions);
-    /// A session with a coordinator has begun, which will give the runners other numbers.
+    /// Starts a session with a coordinator. The coordinator assigns new numbers to the runners.
     void begin_session();
-    /// What this proxy has in flight, for a registration. What changes until the coordinator announces the
-    /// runner is corrected by on_update().
+    /// Returns the attempts in flight at each runner, for a registration. on_update() corrects the changes
+    /// that occur before the coordinator announces the runner.
     std::vector<RunnerInfo> make_registration();
 
-    /// nullptr: not known here.
+    /// Returns nullptr if the runner is unknown.
     Endpoint* find(const std::string& runner);
-    /// nullptr: no runner of this session has the number.
+    /// Returns nullptr if no runner of this session has the number.
     Endpoint* find_by_number(std::uint32_t number);
-    /// Draws a runner by the split's fractions among those that are eligible, in zone where there are such
-    /// ones: what crosses zones is paid for and slower. draw: uniform in [0, 1). nullptr: none is eligible.
+    /// Selects one of the eligible runners at random, weighted by the split's fractions. Prefers runners in
+    /// zone, because traffic between zones is slower and costs money. draw: uniform in [0, 1). Returns
+    /// nullptr if no runner is eligible.
     Endpoint* select(const Split& split, std::string_view zone, double draw, const IsEligible& is_eligible);
 
-    /// The runner takes no further requests from here. It is kept while attempts are in flight, whose ends
-    /// still release their slots.
+    /// Stops selecting the runner. Its entry is kept while attempts are in flight, because their slots are
+    /// released when they end.
     void remove(const std::string& runner, Actions& actions);
-    /// No request is sent there until then.
+    /// Excludes the runner from selection until the given time.
     void eject(const std::string& runner, Micros until);
 
   private:
--- a/src/cluster/proxy/function_table.cpp
+++ b/src/cluster/proxy/function_table.cpp
@@ -25,10 +25,10 @@
 }
 
 std::optional<LoadReport> FunctionTable::make_load_report(Micros now) {
-    if (now < reported_at_ + kReportInterval) return std::nullopt;
-    const Micros span = std::min<Micros>(now - reported_at_, kMaxReportedSpan);
+    if (now < last_report_at_ + kReportInterval) return std::nullopt;
+    const Micros span = std::min<Micros>(now - last_report_at_, kMaxReportedSpan);
     LoadReport report{static_cast<std::uint32_t>(span / 1000), {}};
-    reported_at_ = now;
+    last_report_at_ = now;
     for (auto& [service, function] : functions_) {
         const FunctionLoad load = function.load.take(service);
         if (function.unrestricted && load.requests > 0) report.loads.push_back(load);
--- a/src/cluster/proxy/function_table.hpp
+++ b/src/cluster/proxy/function_table.hpp
@@ -1,4 +1,4 @@
-// What a proxy holds about each function that it has seen: its split over the runners, its mode and its load.
+// The state that a proxy keeps for each function: the split over its runners, its mode and its load.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,24 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cluster/proxy/local_queue.hpp"
+#include "cluster/proxy/local_queue_scheduler.hpp"
 #include "cluster/split/split.hpp"
 #include "cluster/wire/messages.hpp"
 
 namespace gannethold::cluster {
 
-/// Requests of one function that were sent without a slot, since the last report to the coordinator.
+/// Counts the requests of one function that were sent without a slot since the last report to the
+/// coordinator.
 class LoadCounter {
   public:
+    /// Adds a request that occupied a runner for the given time.
     void add(Micros busy) {
         ++requests_;
         busy_ += busy;
     }
-    /// What was counted since the last call.
+    /// Returns the load since the previous call, and resets the counters.
     FunctionLoad take(const std::string& service);
-    /// What take() returned last, for the registration with the next coordinator.
+    /// Returns the result of the last take(), for the registration with the next coordinator.
     const FunctionLoad& last() const { return last_; }
 
   private:
@@ -31,15 +33,16 @@
     FunctionLoad last_;
 };
 
+/// The state of one function.
 struct FunctionState {
     Split split;
-    bool unrestricted = false;         ///< its runners have so much room that no slot is asked for
-    bool has_spare_slots = false;      ///< FunctionMode::has_spare_slots
-    std::uint32_t full_in_outage = 0;  ///< the last outage in which a runner was full; 0: none
+    bool unrestricted = false;     ///< requests need no slot, because the runners have ample free capacity
+    bool has_spare_slots = false;  ///< FunctionMode::has_spare_slots
+    std::uint32_t full_in_outage = 0;  ///< the last outage in which a runner rejected a request; 0: none
     LoadCounter load;
-    LateTurns late_turns;  ///< while there is no coordinator
+    LocalQueueScheduler queue_scheduler;  ///< used while there is no coordinator
 
-    /// Without a coordinator: whether any slot of its runners may be used.
+    /// Whether a proxy without a coordinator may use all slots of the function's runners during the outage.
     bool may_use_spare_slots(std::uint32_t outage) const {
         return has_spare_slots && full_in_outage != outage;
     }
@@ -55,15 +58,18 @@
     bool unrestricted = false;
 };
 
+/// The functions that this proxy has received requests or messages for.
 class FunctionTable {
   public:
-    /// Made where it is not there yet. The reference stays valid.
+    /// Creates the state if there is none. The reference stays valid as long as the table exists.
     FunctionState& state_of(const std::string& service) { return functions_[service]; }
     bool is_unrestricted(const std::string& service) const;
-    /// The unrestricted functions, each with its last reported load.
+    /// Returns the last reported load of each unrestricted function.
     std::vector<FunctionLoad> unrestricted_loads() const;
-    /// The loads of the unrestricted functions, once per second; nothing where there is none to report.
+    /// Returns the loads of the unrestricted functions, once per second. Returns nullopt if no report is due,
+    /// or if there is no load to report.
     std::optional<LoadReport> make_load_report(Micros now);
+    /// Returns the shares of all functions.
     std::vector<RunnerShare> shares() const;
 
   private:
@@ -71,7 +77,7 @@
     static constexpr Micros kMaxReportedSpan = 10'000'000;
 
     std::unordered_map<std::string, FunctionState> functions_;
-    Micros reported_at_ = 0;
+    Micros last_report_at_ = 0;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/pending_acquires.hpp
+++ b/src/cluster/proxy/pending_acquires.hpp
@@ -1,4 +1,4 @@
-// The slots that this proxy has asked the coordinator for and has no reply about yet.
+// The acquire requests that the coordinator has not answered yet.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace gannethold::cluster {
 
-/// An id names one AcquireRequest; 0 names none. Ids go on over sessions, so that a reply of an earlier
-/// session finds nothing.
+/// Maps the id of each unanswered AcquireRequest to its client request. 0 is not an id. Ids are not reused in
+/// the next session, so that a reply from an earlier session matches no request.
 class PendingAcquires {
   public:
-    /// The id under which a slot is asked for now.
+    /// Returns the id of a new AcquireRequest.
     std::uint32_t add(RequestId request) {
         if (++last_id_ == 0) ++last_id_;
         requests_[last_id_] = request;
         return last_id_;
     }
-    /// Whose slot was asked for under that id; nothing once it is removed.
+    /// Returns the request that the slot was acquired for; nullopt if the id is not pending.
     std::optional<RequestId> find(std::uint32_t id) const {
-        const auto at = requests_.find(id);
-        if (at == requests_.end()) return std::nullopt;
-        return at->second;
+        const auto found = requests_.find(id);
+        if (found == requests_.end()) return std::nullopt;
+        return found->second;
     }
     void remove(std::uint32_t id) { requests_.erase(id); }
-    /// The session with the coordinator has begun anew or is lost.
+    /// Discards all ids. Called when the session with the coordinator starts or ends.
     void clear() { requests_.clear(); }
 
   private:
--- a/src/cluster/proxy/request_handler.cpp
+++ b/src/cluster/proxy/request_handler.cpp
@@ -8,11 +8,11 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::uint32_t kRetrySlotMs = 150;           // where a slot is likely to come free
-constexpr std::uint32_t kRetryConfigurationMs = 500;  // while there is no configuration yet
-constexpr Micros kResponseMargin = 15'000;            // for a response on its way to the client
-constexpr Micros kEjection = 1'000'000;               // of a runner that can not be reached
-constexpr Micros kMinLatency = 100;                   // that counts as a sample of the split
+constexpr std::uint32_t kRetrySlotMs = 150;           // by then a slot is likely to be free
+constexpr std::uint32_t kRetryConfigurationMs = 500;  // until a configuration is received
+constexpr Micros kResponseMargin = 15'000;            // for a response to reach the client
+constexpr Micros kEjectionDuration = 1'000'000;       // of a runner that can not be reached
+constexpr Micros kMinLatency = 100;                   // the smallest sample that the split accepts
 
 double seconds(Micros span) { return static_cast<double>(span) / 1e6; }
 
@@ -38,11 +38,11 @@
     return ReleaseReason::failed;
 }
 
-// What the split takes for the runner's latency; 0: that says nothing about it.
-Micros sampled_latency(AttemptResult result, Micros took, Micros timeout) {
+// The latency sample for the split; 0: the result says nothing about the runner's latency.
+Micros sampled_latency(AttemptResult result, Micros duration, Micros timeout) {
     switch (result) {
         case AttemptResult::succeeded:
-            return std::max(took, kMinLatency);
+            return std::max(duration, kMinLatency);
         case AttemptResult::misdirected:
         case AttemptResult::connect_failed:
             return 0;
@@ -84,13 +84,13 @@
 }
 
 void RequestHandler::on_client_disconnected(Micros now, RequestId id, Actions& actions) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    Request& request = at->second;
+    const auto found = requests_.find(id);
+    if (found == requests_.end()) return;
+    Request& request = found->second;
     request.client_connected = false;
     if (request.phase == Phase::sent) {
-        // What may run only once goes on to its end, since its client can't tell whether it has run. Work
-        // that may be repeated is of no use to anyone any more.
+        // A non-idempotent request is completed, because its client can not know whether it has run. The
+        // result of an idempotent request is not needed, because the client can repeat it.
         if (request.route->is_idempotent) abandon_attempt(now, request, actions);
         return;
     }
@@ -98,25 +98,25 @@
     close(id);
 }
 
-// Ends the attempt under way: the runner drops its work as the connection closes.
+// Ends the current attempt. The runner stops its work when the connection is closed.
 void RequestHandler::abandon_attempt(Micros now, Request& request, Actions& actions) {
     functions_.state_of(request.service).split.on_completed(request.runner, 0);
     release_slot(now, request, ReleaseReason::failed, actions);
     actions.cancelled_attempts.push_back(request.id);
     const std::string service = request.service;
     close(request.id);
-    if (!has_coordinator_) serve_queued(now, service, actions);  // the slot that came free
+    if (!has_coordinator_) serve_queued(now, service, actions);  // a slot is free now
 }
 
 void RequestHandler::close(RequestId id) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    acquires_.remove(at->second.acquire_id);
-    deadlines_.remove(at->second.deadline_at - kResponseMargin, id);
-    requests_.erase(at);
+    const auto found = requests_.find(id);
+    if (found == requests_.end()) return;
+    acquires_.remove(found->second.acquire_id);
+    deadlines_.remove(found->second.deadline_at - kResponseMargin, id);
+    requests_.erase(found);
 }
 
-// The request is closed by this: the reference is not valid after it.
+// Closes the request, which invalidates the reference.
 void RequestHandler::reply(Micros now, const Request& request, ErrorCode error, std::uint32_t retry_after_ms,
                            Actions& actions) {
     if (request.retry.may_have_run() && error_response(error).guarantees_not_run) {
@@ -146,7 +146,8 @@
 
 // ---- attempts ----
 
-// Acquires a slot, or takes one of the own share. The request may be closed by this.
+// Acquires a slot from the coordinator, or uses one of the own share. May close the request, which
+// invalidates the reference.
 void RequestHandler::start_attempt(Micros now, Request& request, Actions& actions) {
     request.runner.clear();
     request.unrestricted = false;
@@ -158,31 +159,32 @@
         return serve_queued(now, std::string(request.service), actions);
     }
     const FunctionState& function = functions_.state_of(request.service);
-    Endpoint* const drawn = endpoints_.select(function.split, options_.zone, random_.next(),
-                                              [now](const Endpoint& endpoint, const Split::Share& share) {
-                                                  return endpoint.is_selectable(now) && endpoint.number > 0 &&
-                                                         share.in_flight < share.slots;
-                                              });
-    if (function.unrestricted && drawn && !request.retry.is_retry()) {
+    Endpoint* const selected = endpoints_.select(
+        function.split, options_.zone, random_.next(),
+        [now](const Endpoint& endpoint, const Split::Share& share) {
+            return endpoint.is_selectable(now) && endpoint.number > 0 && share.in_flight < share.slots;
+        });
+    if (function.unrestricted && selected && !request.retry.is_retry()) {
         request.unrestricted = true;
-        record_decision(now, request, drawn->info.runner_id, "drawn_unasked");
-        return send(now, request, *drawn, actions);
+        record_decision(now, request, selected->info.runner_id, "drawn_unasked");
+        return send(now, request, *selected, actions);
     }
     if (coordinator_silent_ && try_spare_slot(now, request, actions)) return;
-    acquire_slot(now, request, drawn, actions);
+    acquire_slot(now, request, selected, actions);
 }
 
-void RequestHandler::acquire_slot(Micros now, Request& request, const Endpoint* drawn, Actions& actions) {
+void RequestHandler::acquire_slot(Micros now, Request& request, const Endpoint* preferred, Actions& actions) {
     request.phase = Phase::acquiring;
     request.acquire_id = acquires_.add(request.id);
-    request.drawn_number = drawn ? drawn->number : 0;
-    actions.messages.emplace_back(AcquireRequest{request.acquire_id, request.drawn_number, request.service,
-                                                 ms_until(now, request.target_at),
+    request.preferred_runner = preferred ? preferred->number : 0;
+    actions.messages.emplace_back(AcquireRequest{request.acquire_id, request.preferred_runner,
+                                                 request.service, ms_until(now, request.target_at),
                                                  ms_until(now, request.deadline_at), request.route->priority,
                                                  request.route->request_class, request.retry.is_retry()});
 }
 
-// A request that has just arrived does not take the slot for which a more urgent one waits here.
+// Serves the queued requests of a service in the order of urgency, so that a new request does not take a slot
+// that a more urgent one waits for.
 void RequestHandler::serve_queued(Micros now, const std::string& service, Actions& actions) {
     std::vector<QueuedRequest> queue;
     for (const auto& [id, request] : requests_)
@@ -190,12 +192,12 @@
             queue.push_back(
                 {id,
                  {request.arrived_at, request.target_at, request.route->priority, now > request.target_at}});
-    LateTurns& late_turns = functions_.state_of(service).late_turns;
+    LocalQueueScheduler& scheduler = functions_.state_of(service).queue_scheduler;
     while (!queue.empty()) {
-        const std::size_t first = late_turns.next(queue, options_.late_turn);
-        if (!try_own_share(now, requests_.at(queue[first].id), actions)) return;
-        late_turns.on_served(queue[first]);
-        queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(first));
+        const std::size_t next = scheduler.next(queue, options_.late_turn_interval);
+        if (!try_own_share(now, requests_.at(queue[next].id), actions)) return;
+        scheduler.on_served(queue[next]);
+        queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(next));
     }
 }
 
@@ -206,49 +208,50 @@
     for (const std::string& service : services) serve_queued(now, service, actions);
 }
 
-// False: no runner has a slot of the own share free. Else the request is sent or closed.
+// Sends or closes the request and returns true; returns false if no runner has a free slot of the own share.
 bool RequestHandler::try_own_share(Micros now, Request& request, Actions& actions) {
-    // A retry is granted from the budget of all proxies, which can not be asked.
+    // The coordinator manages the retry budget of all proxies, so that no retry can be granted without it.
     if (request.retry.is_retry()) {
         request.delay_cause = ValueLoss::Cause::coordinator;
         reply(now, request, ErrorCode::no_slot, kRetrySlotMs, actions);
         return true;
     }
     const FunctionState& function = functions_.state_of(request.service);
-    Endpoint* const drawn = draw_without_coordinator(now, function);
-    if (!drawn) {
+    Endpoint* const selected = select_without_coordinator(now, function);
+    if (!selected) {
         request.delay_cause = ValueLoss::Cause::coordinator;
         return false;
     }
     request.unrestricted = function.unrestricted;
-    record_decision(now, request, drawn->info.runner_id, "drawn_without_keeper");
-    send(now, request, *drawn, actions);
+    record_decision(now, request, selected->info.runner_id, "drawn_without_keeper");
+    send(now, request, *selected, actions);
     return true;
 }
 
 std::uint32_t RequestHandler::own_slots(const Endpoint& endpoint) const {
-    return is_off(Mechanism::own_share) ? 0 : slot_share_.of(endpoint.info);
+    return is_off(Mechanism::own_share) ? 0 : slot_share_.slots_of(endpoint.info);
 }
 
-// Among runners with a slot of the own share free, or with any where the function has slots to spare.
-Endpoint* RequestHandler::draw_without_coordinator(Micros now, const FunctionState& function) {
-    const bool is_open = function.unrestricted || function.may_use_spare_slots(outage_);
+// Selects a runner with a free slot of the own share. If the function is unrestricted or has spare slots, any
+// free slot qualifies.
+Endpoint* RequestHandler::select_without_coordinator(Micros now, const FunctionState& function) {
+    const bool may_use_all_slots = function.unrestricted || function.may_use_spare_slots(outage_);
     return endpoints_.select(
         function.split, options_.zone, random_.next(), [&](const Endpoint& endpoint, const Split::Share&) {
-            const std::uint32_t slots = is_open ? endpoint.info.slots : own_slots(endpoint);
+            const std::uint32_t slots = may_use_all_slots ? endpoint.info.slots : own_slots(endpoint);
             return endpoint.is_selectable(now) && endpoint.in_flight < slots;
         });
 }
 
-// False: the coordinator has to be asked all the same.
+// Sends the request to a runner with spare slots; returns false if a slot has to be acquired instead.
 bool RequestHandler::try_spare_slot(Micros now, Request& request, Actions& actions) {
     const FunctionState& function = functions_.state_of(request.service);
     if (request.retry.is_retry() || !function.may_use_spare_slots(outage_)) return false;
-    Endpoint* const drawn = draw_without_coordinator(now, function);
-    if (!drawn) return false;
+    Endpoint* const selected = select_without_coordinator(now, function);
+    if (!selected) return false;
     request.is_uncounted = true;
-    record_decision(now, request, drawn->info.runner_id, "drawn_without_keeper");
-    send(now, request, *drawn, actions);
+    record_decision(now, request, selected->info.runner_id, "drawn_without_keeper");
+    send(now, request, *selected, actions);
     return true;
 }
 
@@ -260,7 +263,7 @@
         if (request.phase != Phase::acquiring) continue;
         const std::uint32_t acquire_id = request.acquire_id;
         if (!try_spare_slot(now, request, actions)) continue;
-        // A grant that still comes is given back.
+        // Without a pending id, a grant that arrives later is released.
         acquires_.remove(acquire_id);
         request.acquire_id = 0;
         actions.messages.emplace_back(Release{acquire_id, 0, ReleaseReason::unused, 0});
@@ -280,16 +283,16 @@
 }
 
 void RequestHandler::on_attempt_completed(Micros now, RequestId id, AttemptResult result, Actions& actions) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end() || at->second.phase != Phase::sent) return;
-    Request& request = at->second;
+    const auto found = requests_.find(id);
+    if (found == requests_.end() || found->second.phase != Phase::sent) return;
+    Request& request = found->second;
     const std::string service = request.service;
     account_attempt(now, request, result, actions);
     if (result == AttemptResult::succeeded)
         relay_success(now, request, actions);
     else
         retry_or_reply(now, request, result, actions);
-    if (!has_coordinator_) serve_queued(now, service, actions);  // the slot that came free
+    if (!has_coordinator_) serve_queued(now, service, actions);  // a slot is free now
 }
 
 void RequestHandler::account_attempt(Micros now, Request& request, AttemptResult result, Actions& actions) {
@@ -297,28 +300,29 @@
     functions_.state_of(request.service).split.on_completed(request.runner, seconds(latency));
     release_slot(now, request, release_reason(result), actions);
     if (result == AttemptResult::misdirected) endpoints_.remove(request.runner, actions);
-    if (result == AttemptResult::connect_failed) endpoints_.eject(request.runner, now + kEjection);
+    if (result == AttemptResult::connect_failed) endpoints_.eject(request.runner, now + kEjectionDuration);
     if (result == AttemptResult::rejected && (!has_coordinator_ || request.is_uncounted))
         functions_.state_of(request.service).full_in_outage = outage_;
     request.retry.on_attempt_completed(result);
 }
 
 void RequestHandler::release_slot(Micros now, Request& request, ReleaseReason reason, Actions& actions) {
-    const Micros took = now - request.sent_at;
+    const Micros duration = now - request.sent_at;
     std::uint32_t number = 0;
     if (Endpoint* const endpoint = endpoints_.find(request.runner)) {
         if (endpoint->in_flight > 0) --endpoint->in_flight;
         number = endpoint->number;
     }
-    if (request.unrestricted) functions_.state_of(request.service).load.add(took);
-    // Of what was sent without a slot only faults are reported, or what the coordinator counts by now.
+    if (request.unrestricted) functions_.state_of(request.service).load.add(duration);
+    // The end of an attempt without a slot is reported only if it is a fault. on_function_mode() clears
+    // `unrestricted` once the coordinator counts the attempt.
     const bool is_fault = reason == ReleaseReason::rejected || reason == ReleaseReason::unreachable ||
                           reason == ReleaseReason::gone;
     const bool is_counted = !request.is_uncounted &&
                             (request.acquire_id > 0 || (number > 0 && (!request.unrestricted || is_fault)));
     if (has_coordinator_ && is_counted)
         actions.messages.emplace_back(
-            Release{request.acquire_id, number, reason, static_cast<std::uint32_t>(took / 1000)});
+            Release{request.acquire_id, number, reason, static_cast<std::uint32_t>(duration / 1000)});
     acquires_.remove(request.acquire_id);
     request.acquire_id = 0;
 }
@@ -340,7 +344,7 @@
         request.retry.begin_next_attempt();
         return start_attempt(now, request, actions);
     }
-    // The runner's own error is the client's to see; what has not run is said to be so.
+    // A runner's error response is relayed. In the other cases the reply states whether the request has run.
     if (result == AttemptResult::runner_error) {
         actions.relayed_responses.push_back(request.id);
         record_loss(now, request, ValueLoss::Outcome::failed);
@@ -382,16 +386,16 @@
 // ---- shutdown ----
 
 bool RequestHandler::can_finish_before_shutdown(Micros now, const Request& request) const {
-    return !answer_by_ || now + work_times_.upper_estimate(*request.route) <= *answer_by_;
+    return !response_deadline_ || now + work_times_.upper_estimate(*request.route) <= *response_deadline_;
 }
 
-void RequestHandler::begin_shutdown(Micros now, Micros answer_by, Actions& actions) {
-    answer_by_ = answer_by;
+void RequestHandler::begin_shutdown(Micros now, Micros response_deadline, Actions& actions) {
+    response_deadline_ = response_deadline;
     reject_unfinishable(now, actions);
 }
 
 void RequestHandler::reject_unfinishable(Micros now, Actions& actions) {
-    if (!answer_by_) return;
+    if (!response_deadline_) return;
     std::vector<RequestId> rejected;
     for (const auto& [id, request] : requests_)
         if (request.phase != Phase::sent && !can_finish_before_shutdown(now, request)) rejected.push_back(id);
@@ -403,7 +407,7 @@
 }
 
 void RequestHandler::answer_all_pending(Micros now, Actions& actions) {
-    answer_by_ = now;
+    response_deadline_ = now;
     reject_unfinishable(now, actions);
     std::vector<RequestId> sent;
     for (const auto& [id, request] : requests_) sent.push_back(id);
--- a/src/cluster/proxy/request_handler.hpp
+++ b/src/cluster/proxy/request_handler.hpp
@@ -1,11 +1,11 @@
-// What a proxy does with each request, from its head to its response. Routes are looked up in the
-// configuration in force, the runner is drawn by the function's split, the slot is acquired from the
-// coordinator (slots/slot_table.hpp); what may be answered follows from whether the request may have run.
-// While no coordinator answers, a proxy uses its own share of each runner's slots (slot_share.hpp), so that
-// all proxies together keep the limit.
+// The processing of each request in a proxy, from its head to its response. The handler finds the route in
+// the current configuration, selects a runner by the function's split and acquires a slot from the
+// coordinator (slots/slot_table.hpp). Whether the request may have run determines which responses are
+// allowed. While no coordinator answers, the proxy uses its own share of each runner's slots
+// (slot_share.hpp), so that all proxies together respect the limit.
 //
-// No I/O and no clock: inputs are handlers, the time is passed in, and what is to be done is collected in
-// Actions. One thread.
+// No I/O and no clock: the caller passes in events and the time, and executes the collected Actions. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -35,6 +35,7 @@
 
 namespace gannethold::cluster {
 
+/// Handles the requests of a proxy.
 class RequestHandler {
   public:
     struct Options {
@@ -42,7 +43,7 @@
         std::string zone;
         Number incarnation = 1;  ///< differs after each start of the process
         std::uint64_t random_seed = 1;
-        int late_turn = 4;  ///< of so many slots one goes to a late request, as at the coordinator
+        int late_turn_interval = 4;  ///< one in this many slots goes to a late request, as at the coordinator
     };
     explicit RequestHandler(Options options)
         : options_(std::move(options)), endpoints_(functions_), random_(options_.random_seed) {}
@@ -50,52 +51,55 @@
     RequestHandler& operator=(const RequestHandler&) = delete;
     ~RequestHandler() = default;
 
-    /// Without effect for a version that is not above the one in force: a proxy never goes back.
+    /// Installs a configuration. No effect unless its version is newer than the current one: a proxy never
+    /// reverts to an older configuration.
     void configure(std::shared_ptr<const Configuration> configuration);
-    /// nullptr: none yet.
+    /// Returns nullptr if no configuration has been received.
     const Configuration* configuration() const { return configuration_.get(); }
-    /// Of the configuration in force; 0: none yet.
+    /// Returns the version of the current configuration; 0 if there is none.
     Number version() const { return configuration_ ? configuration_->version() : 0; }
 
     // ---- clients and runners ----
 
-    /// A client's request. It is answered once, by a local reply or a relayed response, unless the client
-    /// disconnects before.
+    /// Handles a client's request. It is answered exactly once, by a local reply or a relayed response,
+    /// unless the client disconnects first.
     void on_request(Micros now, RequestId id, std::string_view host, std::string_view path,
                     std::uint32_t deadline_ms, Actions& actions);
-    /// The client has left. What waits, or is at a runner and may be repeated, is given up.
+    /// Handles the disconnection of a client. Its request is dropped if it waits for a slot, or if it is at a
+    /// runner and idempotent.
     void on_client_disconnected(Micros now, RequestId id, Actions& actions);
-    /// The attempt that was forwarded last for that request has ended.
+    /// Handles the end of the request's current attempt.
     void on_attempt_completed(Micros now, RequestId id, AttemptResult result, Actions& actions);
-    /// A probed address took a connection, or did not for too long.
+    /// Handles the end of a probe: the address accepted a connection, or the probe expired.
     void on_probe_completed(const std::string& address, bool reachable, Actions& actions);
 
     // ---- the coordinator ----
 
-    /// What a coordinator is sent as a session begins. What changes until on_coordinator_registered() is
-    /// reported after it.
+    /// Returns the message that opens a session with a coordinator. Changes that occur before
+    /// on_coordinator_registered() are reported after it.
     RegisterRequest make_registration();
     void on_coordinator_registered(Micros now, Actions& actions);
     void on_coordinator_disconnected(Micros now, Actions& actions);
     bool has_coordinator() const { return has_coordinator_; }
-    /// Whether the coordinator does not answer at present, though the session goes on. Meanwhile functions
-    /// with spare slots are served without it, those too that wait for its answer.
+    /// Sets whether the coordinator is currently silent in a session that is still open. While it is silent,
+    /// requests of functions with spare slots are served without it, including those that wait for its
+    /// answer.
     void set_coordinator_silent(Micros now, bool silent, Actions& actions);
     void on_message(Micros now, const Message& message, Actions& actions);
 
     // ---- time ----
 
-    /// To be called at next_deadline(), at least every 0.2 s, and more often while requests wait without a
+    /// Call it at next_deadline(), at least every 0.2 s, and more often while requests are queued without a
     /// coordinator.
     void tick(Micros now, Actions& actions);
     std::optional<Micros> next_deadline() const { return deadlines_.next(); }
 
-    /// This process shuts down and can write its last responses at `answer_by`. From now on a request that
-    /// was not sent to a runner, and whose work usually takes longer than is left, is rejected at once: it
-    /// has not run and can go elsewhere.
-    void begin_shutdown(Micros now, Micros answer_by, Actions& actions);
-    /// Answers all pending requests: a rejection for what never ran, an error for what may have run. What
-    /// arrives later is rejected.
+    /// Starts the shutdown of this process, whose last responses must be ready at `response_deadline`. From
+    /// now on, a request that was not sent to a runner and that is not expected to complete in time is
+    /// rejected at once. It has not run, so the client can send it to another proxy.
+    void begin_shutdown(Micros now, Micros response_deadline, Actions& actions);
+    /// Answers all pending requests: rejects those that have not run, and answers those that may have run
+    /// with an error. Later requests are rejected.
     void answer_all_pending(Micros now, Actions& actions);
 
     // ---- for operators ----
@@ -106,41 +110,42 @@
     std::vector<ValueLoss> take_new_losses() { return statistics_.take_new_losses(); }
 
   private:
-    static constexpr std::uint32_t kRetryOtherProxyMs = 50;  // where another proxy takes the request
+    // Retry-After of a rejection that another proxy can serve at once.
+    static constexpr std::uint32_t kRetryOtherProxyMs = 50;
 
     enum class Phase {
-        acquiring,  ///< a slot was asked for at the coordinator
-        queued,     ///< waits here for a slot of the own share
-        sent,       ///< an attempt is at a runner
+        acquiring,  ///< waits for the coordinator to grant a slot
+        queued,     ///< waits in this proxy for a slot of its own share
+        sent,       ///< an attempt is in flight
     };
     struct Request {
         RequestId id = 0;
-        std::shared_ptr<const Configuration> configuration;  ///< in which its route stands
-        const Route* route = nullptr;                        ///< nullptr: there is none
+        std::shared_ptr<const Configuration> configuration;  ///< owns the route
+        const Route* route = nullptr;                        ///< nullptr: no route matches
         std::string service;
-        std::string runner;  ///< of the attempt under way
+        std::string runner;  ///< of the current attempt
         Phase phase = Phase::acquiring;
         RetryState retry;
         Micros arrived_at = 0;
-        Micros target_at = 0;            ///< by when it should be answered
-        Micros deadline_at = 0;          ///< by when it must be
-        Micros sent_at = 0;              ///< the attempt under way
-        std::uint32_t acquire_id = 0;    ///< under which its slot is counted in this session; 0: none
-        std::uint32_t drawn_number = 0;  ///< the runner that the coordinator was asked for; 0: any
+        Micros target_at = 0;                ///< the end of its latency target
+        Micros deadline_at = 0;              ///< the end of its timeout
+        Micros sent_at = 0;                  ///< when the current attempt was sent
+        std::uint32_t acquire_id = 0;        ///< of the slot's AcquireRequest in this session; 0: none
+        std::uint32_t preferred_runner = 0;  ///< the runner number in its AcquireRequest; 0: any
         bool client_connected = true;
-        bool is_uncounted = false;                              ///< sent while the coordinator was silent
-        bool unrestricted = false;                              ///< the attempt was sent without a slot
-        ValueLoss::Cause delay_cause = ValueLoss::Cause::work;  ///< what held it up last
+        bool is_uncounted = false;  ///< sent without a grant while the coordinator was silent
+        bool unrestricted = false;  ///< the attempt was sent without a slot
+        ValueLoss::Cause delay_cause = ValueLoss::Cause::work;  ///< the last cause of delay
     };
 
-    // Finding a runner and a slot.
+    // Selection of a runner and a slot.
     void start_attempt(Micros now, Request& request, Actions& actions);
-    void acquire_slot(Micros now, Request& request, const Endpoint* drawn, Actions& actions);
+    void acquire_slot(Micros now, Request& request, const Endpoint* preferred, Actions& actions);
     void serve_queued(Micros now, const std::string& service, Actions& actions);
     void serve_all_queued(Micros now, Actions& actions);
     bool try_own_share(Micros now, Request& request, Actions& actions);
     std::uint32_t own_slots(const Endpoint& endpoint) const;
-    Endpoint* draw_without_coordinator(Micros now, const FunctionState& function);
+    Endpoint* select_without_coordinator(Micros now, const FunctionState& function);
     bool try_spare_slot(Micros now, Request& request, Actions& actions);
     void send(Micros now, Request& request, Endpoint& endpoint, Actions& actions);
 
@@ -156,7 +161,7 @@
     void cancel_attempt(Micros now, Request& request, ErrorCode error, Actions& actions);
     void close(RequestId id);
 
-    // What the coordinator sends.
+    // Messages from the coordinator.
     void on_granted(Micros now, const AcquireGranted& granted, Actions& actions);
     void reject_grant(Micros now, const AcquireGranted& granted, Request& request, bool is_usable,
                       Actions& actions);
@@ -178,10 +183,10 @@
     SlotShare slot_share_;
     bool has_coordinator_ = false;
     bool coordinator_silent_ = false;
-    std::uint32_t outage_ = 0;  // counts the times without a coordinator that answers
+    std::uint32_t outage_ = 0;  // the number of periods so far in which no coordinator answered
     RequestStatistics statistics_;
     UniformRandom random_;
-    std::optional<Micros> answer_by_;  // once this process shuts down
+    std::optional<Micros> response_deadline_;  // nullopt: not shutting down
     WorkTimeTable work_times_;
 };
 
--- a/src/cluster/proxy/request_handler_coordinator.cpp
+++ b/src/cluster/proxy/request_handler_coordinator.cpp
@@ -1,4 +1,4 @@
-// What the request handler does when its coordinator registers it, disconnects or sends a message.
+// The part of the request handler that handles the session with the coordinator and its messages.
 #include <algorithm>
 #include <map>
 #include <variant>
@@ -8,11 +8,11 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kMinTimeToSend = 5'000;           // before the deadline: less is too late for a runner
-constexpr Micros kMinTimeToAcquireAgain = 20'000;  // likewise, for another slot
+constexpr Micros kMinTimeToSend = 5'000;           // a runner can not answer in less time to the deadline
+constexpr Micros kMinTimeToAcquireAgain = 20'000;  // the same, if another slot has to be acquired first
 
-void set_delay_cause(ValueLoss::Cause& cause, WaitReason waited) {
-    switch (waited) {
+void set_delay_cause(ValueLoss::Cause& cause, WaitReason wait_reason) {
+    switch (wait_reason) {
         case WaitReason::none:
             return;
         case WaitReason::start:
@@ -40,9 +40,9 @@
     return registration;
 }
 
-// A function that was unrestricted stays so until this coordinator sends another mode: the registration has
-// stated it. All functions restricted at once, after a change of coordinators, would be more acquire requests
-// than one coordinator can answer.
+// An unrestricted function, which the registration states, remains unrestricted until this coordinator sends
+// another mode. If all functions became restricted after a change of coordinators, their acquire requests
+// would overload the new coordinator.
 void RequestHandler::on_coordinator_registered(Micros now, Actions& actions) {
     has_coordinator_ = true;
     acquires_.clear();
@@ -51,7 +51,7 @@
     for (auto& [id, request] : requests_) {
         request.is_uncounted = false;
         if (request.phase == Phase::sent)
-            request.acquire_id = 0;  // counted with the registration
+            request.acquire_id = 0;  // the registration has counted its slot
         else
             unsent.push_back(id);
     }
@@ -92,7 +92,7 @@
 void RequestHandler::on_granted(Micros now, const AcquireGranted& granted, Actions& actions) {
     const std::optional<RequestId> id = acquires_.find(granted.id);
     if (!id) {
-        // The client has disconnected meanwhile, or the deadline has passed.
+        // The client has disconnected, or the deadline has passed.
         actions.messages.emplace_back(Release{granted.id, granted.runner, ReleaseReason::unused, 0});
         return;
     }
@@ -102,12 +102,12 @@
     if (!is_usable || !can_finish_before_shutdown(now, request) || now + kMinTimeToSend > request.deadline_at)
         return reject_grant(now, granted, request, is_usable, actions);
     set_delay_cause(request.delay_cause, granted.wait_reason);
-    const bool as_drawn = request.drawn_number == granted.runner;
+    const bool is_preferred = request.preferred_runner == granted.runner;
     record_decision(now, request, endpoint->info.runner_id,
-                    request.retry.is_retry()    ? "granted_again"
-                    : as_drawn                  ? "granted_as_drawn"
-                    : request.drawn_number == 0 ? "granted_none_known"
-                                                : "granted_another_drawn_is_full");
+                    request.retry.is_retry()        ? "granted_again"
+                    : is_preferred                  ? "granted_as_drawn"
+                    : request.preferred_runner == 0 ? "granted_none_known"
+                                                    : "granted_another_drawn_is_full");
     send(now, request, *endpoint, actions);
 }
 
@@ -133,7 +133,8 @@
     reply(now, request, ErrorCode::no_slot, denied.retry_after_ms, actions);
 }
 
-// What was sent without a slot is counted by the coordinator from the change of mode on, and released to it.
+// When the mode changes to restricted, the coordinator starts to count the attempts that were sent without a
+// slot. They are reported here, and released to the coordinator when they end.
 void RequestHandler::on_function_mode(const FunctionMode& mode, Actions& actions) {
     FunctionState& function = functions_.state_of(mode.service);
     function.has_spare_slots = mode.has_spare_slots;
--- a/src/cluster/proxy/retry_state.hpp
+++ b/src/cluster/proxy/retry_state.hpp
@@ -1,4 +1,4 @@
-// The attempts of one request, and whether another one may follow.
+// The attempts of one request, and the rules for retries.
 #pragma once
 
 #include <cstdint>
@@ -9,29 +9,30 @@
 
 namespace gannethold::cluster {
 
+/// Tracks the attempts of one request and decides whether it may be retried.
 class RetryState {
   public:
-    /// An attempt is on its way to a runner.
+    /// Records that an attempt was sent to a runner.
     void on_attempt_sent() { ++attempts_; }
 
-    /// The attempt sent last has ended. One that could not connect is not counted.
+    /// Records the result of the last attempt. An attempt that failed to connect does not count.
     void on_attempt_completed(AttemptResult result);
 
-    /// Whether the request may be sent to another runner after that result: one that may have run needs an
-    /// idempotent route, and attempts and time must be left.
+    /// Whether the request may be sent to another runner after the result. Attempts and time must be left,
+    /// and a request that may have run is retried on an idempotent route only.
     bool may_retry(const Route& route, AttemptResult result, Micros now, Micros deadline) const;
 
-    /// The next attempt is looked for. It counts as a retry if an earlier one was sent.
+    /// Starts the next attempt. It is a retry if an earlier attempt was sent.
     void begin_next_attempt() { is_retry_ = attempts_ > 0; }
 
-    /// Whether the attempt that is being made is a retry, which the coordinator grants from the retry budget.
+    /// Whether the current attempt is a retry. The coordinator grants retries from the retry budget.
     bool is_retry() const { return is_retry_; }
 
-    /// Whether some attempt may have run the request, so that nothing may be answered that says it has not.
+    /// Whether an attempt may have run the request. The response must then not state that it has not run.
     bool may_have_run() const { return may_have_run_; }
 
   private:
-    // A further attempt needs so much time, the way to the runner included.
+    // The time that a further attempt needs before the deadline, transfer to the runner included.
     static constexpr Micros kMinTimeForRetry = 20'000;
 
     std::uint32_t attempts_ = 0;
--- a/src/cluster/proxy/routing.hpp
+++ b/src/cluster/proxy/routing.hpp
@@ -1,4 +1,4 @@
-// Which of a route's services takes a request.
+// Selection of the service that serves a request.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace gannethold::cluster {
 
-/// Draws a service of the route by the weights. draw: uniform in [0, 1).
+/// Selects one of the route's services at random, by weight. draw: uniform in [0, 1).
 const std::string& choose_service(const Route& route, double draw);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/shutdown.cpp
+++ b/src/cluster/proxy/shutdown.cpp
@@ -5,27 +5,27 @@
 namespace gannethold::cluster {
 
 void Shutdown::begin(Micros now, Micros grace_period) {
-    if (begun_) return;
-    begun_ = true;
-    const Micros answer_margin = std::min(kAnswerMargin, grace_period / 4);
+    if (has_begun_) return;
+    has_begun_ = true;
+    const Micros response_margin = std::min(kResponseMargin, grace_period / 4);
     const Micros stop_margin = std::min(kStopMargin, grace_period / 16);
-    answer_by_ = now + grace_period - answer_margin;
-    stop_by_ = now + grace_period - stop_margin;
-    close_idle_at_ = now + std::min(kAcceptFor, grace_period / 2);
+    response_deadline_ = now + grace_period - response_margin;
+    stop_deadline_ = now + grace_period - stop_margin;
+    close_idle_at_ = now + std::min(kAcceptPeriod, grace_period / 2);
 }
 
-Shutdown::Step Shutdown::step(Micros now, std::size_t unfinished) {
-    if (!begun_) return Step::none;
+Shutdown::Step Shutdown::next_step(Micros now, std::size_t busy_connections) {
+    if (!has_begun_) return Step::none;
     if (!idle_closed_ && now >= close_idle_at_) {
         idle_closed_ = true;
         return Step::close_idle;
     }
-    if (!answered_ && now >= answer_by_) {
+    if (!answered_ && now >= response_deadline_) {
         answered_ = true;
-        return Step::answer_open;
+        return Step::answer_pending;
     }
-    const bool done = idle_closed_ && unfinished == 0;
-    if (done || now >= stop_by_) return Step::stop;
+    const bool is_done = idle_closed_ && busy_connections == 0;
+    if (is_done || now >= stop_deadline_) return Step::stop;
     return Step::none;
 }
 
--- a/src/cluster/proxy/shutdown.hpp
+++ b/src/cluster/proxy/shutdown.hpp
@@ -1,8 +1,8 @@
-// The steps by which a process that serves clients ends: what is open is answered and written before the loop
-// stops.
+// The sequence of a graceful shutdown. All open requests are answered, and the responses are written, before
+// the event loop stops.
 //
-// No I/O and no clock: the caller passes the time and how many connections are unfinished, and does what
-// step() says.
+// No I/O and no clock: the caller passes the time and the number of busy connections, and performs the steps
+// that next_step() returns.
 #pragma once
 
 #include <cstddef>
@@ -11,40 +11,41 @@
 
 namespace gannethold::cluster {
 
+/// The state machine of a graceful shutdown.
 class Shutdown {
   public:
     enum class Step {
         none,
-        close_idle,   ///< accept no more connections, and close those on which nothing is under way
-        answer_open,  ///< give every open request its final answer
-        stop,         ///< end the loop
+        close_idle,      ///< stop accepting connections, and close the idle ones
+        answer_pending,  ///< send the final response to every open request
+        stop,            ///< stop the event loop
     };
 
-    /// Starts the shutdown. The process is killed `grace_period` after `now`. Later calls change nothing.
+    /// Starts the shutdown. The process is killed `grace_period` after `now`. Later calls have no effect.
     void begin(Micros now, Micros grace_period);
-    bool begun() const { return begun_; }
+    bool has_begun() const { return has_begun_; }
 
-    /// By when every open request has its final answer. Valid once begun.
-    Micros answer_by() const { return answer_by_; }
+    /// Returns the time by which every open request must have its final response. Valid after begin().
+    Micros response_deadline() const { return response_deadline_; }
 
-    /// The next thing to do, each at most once and in the order of Step. Call it until it says `none`.
-    /// `unfinished`: connections on which a request is read, waits for its answer, or has an answer not yet
-    /// written.
-    Step step(Micros now, std::size_t unfinished);
+    /// Returns the next step to perform. Each step is returned at most once, in the order of Step, except
+    /// `stop`. Call it until it returns `none` or `stop`. `busy_connections`: connections on which a request
+    /// is being read, waits for its response, or has a response that is not completely written.
+    Step next_step(Micros now, std::size_t busy_connections);
 
   private:
-    // Readiness probes come each second and two must miss before new connections go elsewhere.
-    static constexpr Micros kAcceptFor = 2'600'000;
-    // For the last answers to be made and written; shares of a short grace period.
-    static constexpr Micros kAnswerMargin = 400'000;
+    // The platform probes readiness once a second and redirects new connections after two failed probes.
+    static constexpr Micros kAcceptPeriod = 2'600'000;
+    // Time to generate and write the last responses. A short grace period uses a fraction of it instead.
+    static constexpr Micros kResponseMargin = 400'000;
     static constexpr Micros kStopMargin = 100'000;
 
-    bool begun_ = false;
+    bool has_begun_ = false;
     bool idle_closed_ = false;
     bool answered_ = false;
     Micros close_idle_at_ = 0;
-    Micros answer_by_ = 0;
-    Micros stop_by_ = 0;
+    Micros response_deadline_ = 0;
+    Micros stop_deadline_ = 0;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy/uniform_random.hpp
+++ b/src/cluster/proxy/uniform_random.hpp
@@ -1,15 +1,16 @@
-// A small source of random numbers (xorshift64), repeatable by its seed.
+// A small pseudo-random number generator (xorshift64).
 #pragma once
 
 #include <cstdint>
 
 namespace gannethold::cluster {
 
+/// The same seed gives the same sequence.
 class UniformRandom {
   public:
     explicit UniformRandom(std::uint64_t seed) : state_(seed * 2 + 1) {}
 
-    /// Uniform in [0, 1).
+    /// Returns the next number, uniform in [0, 1).
     double next() {
         state_ ^= state_ << 13;
         state_ ^= state_ >> 7;
--- a/src/cluster/proxy/work_time.hpp
+++ b/src/cluster/proxy/work_time.hpp
@@ -1,4 +1,4 @@
-// How long runners work on requests of one class, estimated as RFC 6298 estimates round trips.
+// Estimates of how long runners take for requests, by the method that RFC 6298 uses for round-trip times.
 #pragma once
 
 #include <cmath>
@@ -12,11 +12,12 @@
 
 namespace gannethold::cluster {
 
+/// The estimate for requests of one class.
 class WorkTime {
   public:
-    /// Adds one observed time from the send to the complete response.
-    void add(Micros took) {
-        const auto sample = static_cast<double>(took);
+    /// Adds a sample: the time from sending a request to its complete response.
+    void add(Micros duration) {
+        const auto sample = static_cast<double>(duration);
         if (!known_) {
             known_ = true;
             mean_ = sample;
@@ -27,7 +28,7 @@
         mean_ += kMeanGain * (sample - mean_);
     }
 
-    /// The time within which most requests of this class end; nothing before the first observation.
+    /// Returns the time within which most requests of the class complete; nullopt before the first sample.
     std::optional<Micros> upper_estimate() const {
         if (!known_) return std::nullopt;
         return static_cast<Micros>(mean_ + kDeviations * deviation_);
@@ -36,7 +37,8 @@
   private:
     static constexpr double kMeanGain = 1.0 / 8;
     static constexpr double kDeviationGain = 1.0 / 4;
-    // With a log-normal spread, about 95 of 100 end within this many mean deviations above the mean.
+    // For a log-normal distribution, about 95 % of requests complete within this many mean deviations above
+    // the mean.
     static constexpr double kDeviations = 2;
 
     bool known_ = false;
@@ -44,8 +46,8 @@
     double deviation_ = 0;
 };
 
-/// Routes that agree in these are taken to ask for work that takes alike long. A route's request class would
-/// not do: its number means something else in the next configuration.
+/// Requests of routes with equal values are assumed to take a similar time. Route::request_class can not be
+/// the key, because its meaning changes with each configuration.
 struct WorkClass {
     std::uint8_t priority = 0;
     Micros latency_target = 0;
@@ -54,17 +56,18 @@
     static WorkClass of(const Route& route) {
         return {route.priority, route.latency_target, route.is_idempotent};
     }
-    // clang-tidy 14 takes the defaulted comparison for a null pointer.
+    // clang-tidy 14 reports the defaulted comparison as a null pointer constant.
     friend auto operator<=>(const WorkClass&,
                             const WorkClass&) = default;  // NOLINT(modernize-use-nullptr)
 };
 
+/// The estimates of all classes.
 class WorkTimeTable {
   public:
-    void add(const Route& route, Micros took) { times_[WorkClass::of(route)].add(took); }
+    void add(const Route& route, Micros duration) { times_[WorkClass::of(route)].add(duration); }
 
-    /// How long a request of that route may well take at a runner. Before the first observation it is the
-    /// latency target: the operators mean it to be kept.
+    /// Returns the time within which most requests of the route complete at a runner. Before the first sample
+    /// it is the route's latency target, which operators expect to be met.
     Micros upper_estimate(const Route& route) const {
         const auto known = times_.find(WorkClass::of(route));
         if (known == times_.end()) return route.latency_target;
--- a/src/cluster/proxy_server/proxy_server.cpp
+++ b/src/cluster/proxy_server/proxy_server.cpp
@@ -22,7 +22,7 @@
     options.incarnation = (static_cast<Number>(random()) << 16) + 1;
     const Number high = static_cast<Number>(random()) << 32;
     options.random_seed = high | random();
-    options.late_turn = settings.late_turn;
+    options.late_turn_interval = settings.late_turn;
     return options;
 }
 
@@ -151,7 +151,7 @@
 }
 
 Readiness ProxyServer::readiness() const {
-    if (shutdown_.begun()) return Readiness::shutting_down;
+    if (shutdown_.has_begun()) return Readiness::shutting_down;
     return handler_.configuration() ? Readiness::ready : Readiness::no_configuration;
 }
 
@@ -164,7 +164,7 @@
     carry_out(actions);
     upstream_.tick(now);
     if (now >= next_sweep_) sweep(now);
-    if (shutdown_.begun()) advance_shutdown(now);
+    if (shutdown_.has_begun()) advance_shutdown(now);
     set_timer();
 }
 
@@ -177,25 +177,25 @@
 }
 
 void ProxyServer::begin_shutdown() {
-    if (shutdown_.begun()) return;
+    if (shutdown_.has_begun()) return;
     const Micros now = net::Loop::now();
     shutdown_.begin(now, settings_.grace_period);
     Event("shutdown_started").with("pending", handler_.pending_requests());
     downstream_.begin_shutdown();
     Actions actions;
-    handler_.begin_shutdown(now, shutdown_.answer_by(), actions);
+    handler_.begin_shutdown(now, shutdown_.response_deadline(), actions);
     carry_out(actions);
 }
 
 void ProxyServer::advance_shutdown(Micros now) {
     for (;;) {
-        switch (shutdown_.step(now, downstream_.unfinished())) {
+        switch (shutdown_.next_step(now, downstream_.unfinished())) {
             case Shutdown::Step::none:
                 return;
             case Shutdown::Step::close_idle:
                 downstream_.close_idle();
                 break;
-            case Shutdown::Step::answer_open: {
+            case Shutdown::Step::answer_pending: {
                 Actions actions;
                 handler_.answer_all_pending(now, actions);
                 carry_out(actions);
@@ -214,7 +214,7 @@
     for (const std::optional<Micros> at :
          {coordinator_.next_timer(), handler_.next_deadline(), upstream_.next_probe()})
         if (at) next = std::min(next, *at);
-    if (shutdown_.begun()) next = std::min(next, now + kShutdownInterval);
+    if (shutdown_.has_begun()) next = std::min(next, now + kShutdownInterval);
     const bool is_queueing = !handler_.has_coordinator() && handler_.pending_requests() > 0;
     if (is_queueing) next = std::min(next, now + kQueuedInterval);
     timer_.set(next);
--- a/tests/system/proxy/deadline_queue_test.cpp
+++ b/tests/system/proxy/deadline_queue_test.cpp
@@ -6,7 +6,7 @@
 namespace gannethold::cluster {
 namespace {
 
-BOOST_AUTO_TEST_CASE(deadlines_expire_in_their_order_and_stay_until_they_are_removed) {
+BOOST_AUTO_TEST_CASE(deadlines_expire_in_order_and_are_kept_until_removed) {
     DeadlineQueue queue;
     BOOST_TEST(!queue.next().has_value());
     BOOST_TEST(!queue.expired(1'000).has_value());
@@ -24,7 +24,7 @@
     BOOST_TEST(queue.next().value() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(the_removal_of_what_is_not_there_changes_nothing) {
+BOOST_AUTO_TEST_CASE(removing_an_absent_entry_has_no_effect) {
     DeadlineQueue queue;
     queue.add(100, 1);
     queue.remove(100, 2);
--- a/tests/system/proxy/pending_acquires_test.cpp
+++ b/tests/system/proxy/pending_acquires_test.cpp
@@ -18,7 +18,7 @@
     BOOST_TEST(acquires.find(second).value() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(an_id_of_an_earlier_session_finds_nothing) {
+BOOST_AUTO_TEST_CASE(an_id_of_an_earlier_session_is_unknown) {
     PendingAcquires acquires;
     const std::uint32_t earlier = acquires.add(7);
     acquires.clear();
--- a/tests/system/proxy/request_handler_test.cpp
+++ b/tests/system/proxy/request_handler_test.cpp
@@ -1,4 +1,4 @@
-// The request handler alone, and against a slot table for what the two hold about one request.
+// Tests the request handler alone, and together with a slot table: both must agree on the slots in use.
 #define BOOST_TEST_DYN_LINK
 #include <boost/test/unit_test.hpp>
 
@@ -32,8 +32,8 @@
                                 });
 }
 
-// One proxy and the slot tables of the coordinators that it registers with. Messages arrive at once, unless a
-// test delays them.
+// A proxy and the slot table of the coordinator that it is registered with. Messages are delivered
+// immediately, unless a test delays them.
 struct ProxyWithCoordinator {
     explicit ProxyWithCoordinator(bool idempotent = true, int attempts = 2)
         : routes(configuration(idempotent, attempts)), handler({"front", "z0"}) {
@@ -54,30 +54,30 @@
         deliver_to_proxy(messages);
     }
     void deliver_to_proxy(ProxyOutbox& messages) {
-        for (const ProxyMessage& one : messages) handler.on_message(now, one.message, actions);
+        for (const ProxyMessage& outgoing : messages) handler.on_message(now, outgoing.message, actions);
         messages.clear();
         deliver_actions();
     }
-    // Delivers what the proxy sends to the coordinator, and its answers.
+    // Delivers the proxy's messages to the coordinator, and the coordinator's replies to the proxy.
     void deliver_actions() {
         while (!actions.messages.empty()) {
             ProxyOutbox messages;
             for (const Message& message : std::exchange(actions.messages, {})) {
                 sent_messages.push_back(message);
-                if (const auto* ask = std::get_if<AcquireRequest>(&message))
-                    table->on_acquire_request(now, kSession, *ask, messages);
+                if (const auto* acquire = std::get_if<AcquireRequest>(&message))
+                    table->on_acquire_request(now, kSession, *acquire, messages);
                 if (const auto* release = std::get_if<Release>(&message))
                     table->on_release(now, kSession, *release, messages);
-                if (const auto* outs = std::get_if<OutstandingReport>(&message))
-                    table->on_outstanding_report(now, kSession, *outs);
+                if (const auto* outstanding = std::get_if<OutstandingReport>(&message))
+                    table->on_outstanding_report(now, kSession, *outstanding);
             }
-            for (const ProxyMessage& one : messages) handler.on_message(now, one.message, actions);
+            for (const ProxyMessage& outgoing : messages) handler.on_message(now, outgoing.message, actions);
         }
     }
-    // The registration is under way while meanwhile() runs; then it is answered.
-    void register_proxy(const std::function<void()>& meanwhile = [] {}) {
+    // Registers the proxy. Calls before_response() between the registration and the coordinator's response.
+    void register_proxy(const std::function<void()>& before_response = [] {}) {
         const RegisterRequest registration = handler.make_registration();
-        meanwhile();
+        before_response();
         ProxyOutbox messages;
         table->on_proxy_registered(now, kSession, registration, messages);
         handler.on_message(now, RegisterResponse{1, 0, 1, {}}, actions);
@@ -115,7 +115,7 @@
     std::vector<Message> sent_messages;
 };
 
-BOOST_AUTO_TEST_CASE(work_that_may_be_repeated_is_cancelled_when_its_client_leaves) {
+BOOST_AUTO_TEST_CASE(an_idempotent_request_is_cancelled_when_its_client_disconnects) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -127,11 +127,11 @@
     BOOST_TEST(fixture.slots_in_use() == 0U);
     BOOST_TEST(fixture.handler.pending_requests() == 0U);
     BOOST_TEST(fixture.actions.local_replies.empty());
-    fixture.complete_attempt(1, AttemptResult::succeeded);  // crossed the cancellation
+    fixture.complete_attempt(1, AttemptResult::succeeded);  // completed at the same time as the cancellation
     BOOST_TEST(fixture.actions.relayed_responses.empty());
 }
 
-BOOST_AUTO_TEST_CASE(work_that_may_run_only_once_goes_on_when_its_client_leaves) {
+BOOST_AUTO_TEST_CASE(a_non_idempotent_request_is_completed_when_its_client_disconnects) {
     ProxyWithCoordinator fixture(false);
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -144,12 +144,12 @@
     BOOST_TEST(fixture.actions.relayed_responses.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_waiting_request_whose_client_leaves_is_withdrawn) {
+BOOST_AUTO_TEST_CASE(a_waiting_request_is_withdrawn_when_its_client_disconnects) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
     fixture.request(1);
-    fixture.request(2);  // waits behind it
+    fixture.request(2);  // waits for the slot of request 1
     fixture.disconnect_client(2);
     BOOST_TEST(fixture.handler.pending_requests() == 1U);
     fixture.complete_attempt(1, AttemptResult::succeeded);
@@ -163,9 +163,9 @@
     fixture.register_proxy();
     fixture.request(1);  // so that the proxy knows the runner
     fixture.complete_attempt(1, AttemptResult::succeeded);
-    // Of two proxies, the one that has no share of the only slot.
+    // Gives this proxy the rank, of two, whose share of the only slot is zero.
     const SlotShare first{0, 2};
-    const std::uint32_t rank = first.of(fixture.runners[0]) > 0 ? 1 : 0;
+    const std::uint32_t rank = first.slots_of(fixture.runners[0]) > 0 ? 1 : 0;
     fixture.handler.on_message(fixture.now, RegisterResponse{1, rank, 2, {}}, fixture.actions);
     fixture.disconnect_coordinator();
     fixture.request(2);
@@ -173,20 +173,20 @@
     fixture.handler.on_message(fixture.now, FunctionMode{kService, false, true}, fixture.actions);
     fixture.request(3);
     BOOST_TEST(fixture.actions.forwards.size() == 2U);
-    // A runner that was full all the same: back to the own share for a while.
+    // After a runner has rejected a request, the proxy uses only its own share until the outage ends.
     const RequestId sent = fixture.actions.forwards.back().request;
     fixture.complete_attempt(sent, AttemptResult::rejected);
     fixture.request(4);
     BOOST_TEST(fixture.actions.forwards.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_coordinator_is_passed_over_where_there_are_spare_slots) {
+BOOST_AUTO_TEST_CASE(requests_do_not_wait_for_a_silent_coordinator_if_there_are_spare_slots) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
     fixture.request(1);  // so that the proxy knows the runner
     fixture.complete_attempt(1, AttemptResult::succeeded);
-    // The next request's messages reach nobody.
+    // The messages of the next request are lost.
     fixture.handler.on_request(fixture.now, 2, "h", "/f/x", 3000, fixture.actions);
     fixture.actions.messages.clear();
     fixture.handler.set_coordinator_silent(fixture.now, true, fixture.actions);
@@ -196,14 +196,14 @@
     BOOST_REQUIRE(fixture.actions.forwards.size() == 2U);
     BOOST_TEST(fixture.actions.forwards.back().request == 2U);
     BOOST_TEST(fixture.handler.has_coordinator());
-    // Its slot was never granted: the end releases nothing.
+    // No slot was granted for the request, so that its end releases none.
     fixture.actions.messages.clear();
     fixture.handler.on_attempt_completed(fixture.now, 2, AttemptResult::succeeded, fixture.actions);
     BOOST_TEST(fixture.actions.messages.empty());
     BOOST_TEST(fixture.actions.relayed_responses.back() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_sent_past_a_silent_coordinator_is_counted_by_the_next) {
+BOOST_AUTO_TEST_CASE(attempts_sent_while_a_coordinator_was_silent_are_counted_by_the_next_one) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -222,7 +222,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_is_never_rejected_as_not_run) {
-    // It is retried, and the second attempt is rejected.
+    // The request is retried, and the second attempt is rejected.
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -240,9 +240,9 @@
     fixture.add_runner("i-1");
     fixture.register_proxy();
     fixture.request(1);
-    fixture.request(2);  // waits behind it
+    fixture.request(2);  // waits for the slot of request 1
     fixture.complete_attempt(1, AttemptResult::outcome_unknown);
-    // The second has the slot now, and the first waits for another one until its deadline.
+    // Request 2 has the slot now, and request 1 waits for another slot until its deadline.
     fixture.now += 3'100'000;
     fixture.handler.tick(fixture.now, fixture.actions);
     for (const Actions::LocalReply& reply : fixture.actions.local_replies)
@@ -273,7 +273,7 @@
 BOOST_AUTO_TEST_CASE(a_grant_of_an_earlier_session_forwards_nothing) {
     ProxyWithCoordinator fixture;
     fixture.register_proxy();
-    fixture.request(1);  // waits: there is no runner
+    fixture.request(1);  // waits, because there is no runner
     BOOST_REQUIRE(!fixture.sent_messages.empty());
     const auto* const acquire = std::get_if<AcquireRequest>(&fixture.sent_messages.back());
     BOOST_REQUIRE(acquire != nullptr);
@@ -289,7 +289,7 @@
     BOOST_TEST(fixture.slots_in_use() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_coordinator_counts_what_ended_during_the_registration) {
+BOOST_AUTO_TEST_CASE(a_new_coordinator_counts_an_attempt_that_ended_during_the_registration) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -305,7 +305,7 @@
     BOOST_TEST(fixture.actions.forwards.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_coordinator_counts_what_began_during_the_registration) {
+BOOST_AUTO_TEST_CASE(a_new_coordinator_counts_an_attempt_that_started_during_the_registration) {
     ProxyWithCoordinator fixture;
     fixture.add_runner("i-1");
     fixture.register_proxy();
@@ -315,7 +315,7 @@
     fixture.start_coordinator();
     fixture.register_proxy([&] {
         fixture.handler.on_request(fixture.now, 2, "h", "/f/x", 3000, fixture.actions);
-        BOOST_REQUIRE(fixture.actions.forwards.size() == 2U);  // of its own part
+        BOOST_REQUIRE(fixture.actions.forwards.size() == 2U);  // from its own share
     });
     BOOST_TEST(fixture.slots_in_use() == 1U);
     fixture.complete_attempt(2, AttemptResult::succeeded);
@@ -338,7 +338,7 @@
     BOOST_TEST(fixture.slots_in_use() == 1U);
     BOOST_TEST(!fixture.table->drain_runner(fixture.now, number, messages));
     fixture.complete_attempt(1, AttemptResult::succeeded);
-    // Nothing is in flight there any more: it may be stopped.
+    // No attempt is in flight at the runner, so that it may be stopped.
     BOOST_TEST(fixture.slots_in_use() == 0U);
     BOOST_TEST(fixture.table->drain_runner(fixture.now, number, messages));
     fixture.request(2);
@@ -350,7 +350,7 @@
     R"("timeout_ms":8000,"target_latency_ms":2000,"priority":0,"service":"a","max_attempts":1}],)"
     R"("services":[{"name":"a","connection_limit":20,"memory_mb":128,"boot_duration_ms":900,"max_concurrency":1}]})";
 
-// A proxy with a configuration and a coordinator, whose requests wait for slots.
+// A proxy with a configuration and a coordinator. Its requests wait for slots, because it knows no runner.
 struct WaitingProxy {
     WaitingProxy() : handler({"front-0", "z0", 1, 7}) {
         leaf::try_handle_all(
@@ -377,31 +377,31 @@
     }
 
     static constexpr Micros kStart = 1'000'000;
-    static constexpr Micros kAnswerBy = kStart + 5'600'000;
+    static constexpr Micros kResponseDeadline = kStart + 5'600'000;
     RequestHandler handler;
 };
 
-BOOST_AUTO_TEST_CASE(a_proxy_that_shuts_down_rejects_what_it_can_not_finish_and_no_more) {
+BOOST_AUTO_TEST_CASE(a_proxy_that_shuts_down_rejects_only_requests_that_can_not_complete_in_time) {
     WaitingProxy proxy;
     const Actions requested = proxy.request(WaitingProxy::kStart, 1);
     BOOST_REQUIRE(requested.messages.size() == 1U);
     const auto* const request = std::get_if<AcquireRequest>(&requested.messages.front());
     BOOST_REQUIRE(request != nullptr);
     Actions begun;
-    proxy.handler.begin_shutdown(WaitingProxy::kStart, WaitingProxy::kAnswerBy, begun);
+    proxy.handler.begin_shutdown(WaitingProxy::kStart, WaitingProxy::kResponseDeadline, begun);
     BOOST_TEST(begun.local_replies.empty());
-    // The latency target, 2 s, stands for the time of the work: until 3.6 s it can still be finished.
+    // The estimated work time is the latency target, 2 s: the request can complete if it is sent before 3.6 s.
     BOOST_TEST(proxy.tick(WaitingProxy::kStart + 3'500'000).local_replies.empty());
     const Actions late = proxy.tick(WaitingProxy::kStart + 3'700'000);
     BOOST_REQUIRE(late.local_replies.size() == 1U);
     BOOST_TEST((late.local_replies.front().error == ErrorCode::shutting_down));
     BOOST_TEST(late.local_replies.front().retry_after_ms > 0U);
-    // The coordinator is notified that the slot is not needed any more.
+    // The coordinator is notified that the slot is no longer needed.
     BOOST_REQUIRE(late.messages.size() == 1U);
     const auto* const release = std::get_if<Release>(&late.messages.front());
     BOOST_REQUIRE(release != nullptr);
     BOOST_TEST((release->id == request->id && release->reason == ReleaseReason::unused));
-    // What arrives now is rejected at once.
+    // Requests that arrive now are rejected at once.
     const Actions rejected = proxy.request(WaitingProxy::kStart + 3'800'000, 2);
     BOOST_REQUIRE(rejected.local_replies.size() == 1U);
     BOOST_TEST((rejected.local_replies.front().error == ErrorCode::shutting_down));
@@ -420,7 +420,7 @@
     Actions announced;
     proxy.handler.on_message(WaitingProxy::kStart, runner, announced);
     Actions begun;
-    proxy.handler.begin_shutdown(WaitingProxy::kStart, WaitingProxy::kAnswerBy, begun);
+    proxy.handler.begin_shutdown(WaitingProxy::kStart, WaitingProxy::kResponseDeadline, begun);
     Actions granted;
     proxy.handler.on_message(WaitingProxy::kStart + 3'700'000, AcquireGranted{id, 3}, granted);
     BOOST_TEST(granted.forwards.empty());
--- a/tests/system/proxy/request_statistics_test.cpp
+++ b/tests/system/proxy/request_statistics_test.cpp
@@ -8,29 +8,29 @@
 namespace gannethold::cluster {
 namespace {
 
-BOOST_AUTO_TEST_CASE(losses_are_counted_for_good_and_handed_out_once) {
+BOOST_AUTO_TEST_CASE(losses_are_counted_permanently_and_returned_once) {
     RequestStatistics statistics;
     const ValueLoss loss{1, 2, "f", ValueLoss::Cause::memory, ValueLoss::Outcome::rejected};
-    const std::size_t recorded = RequestStatistics::kMaxKept + 10;
+    const std::size_t recorded = RequestStatistics::kMaxEntries + 10;
     for (std::size_t n = 0; n < recorded; ++n) statistics.record(loss);
     BOOST_TEST(statistics.count(ValueLoss::Cause::memory, ValueLoss::Outcome::rejected) == recorded);
     BOOST_TEST(statistics.count(ValueLoss::Cause::memory, ValueLoss::Outcome::late) == 0U);
-    BOOST_TEST(statistics.take_new_losses().size() == RequestStatistics::kMaxKept);
+    BOOST_TEST(statistics.take_new_losses().size() == RequestStatistics::kMaxEntries);
     BOOST_TEST(statistics.take_new_losses().empty());
 }
 
 BOOST_AUTO_TEST_CASE(decisions_are_kept_up_to_a_bound) {
     RequestStatistics statistics;
-    for (RequestId id = 1; id <= RequestStatistics::kMaxKept + 1; ++id) {
+    for (RequestId id = 1; id <= RequestStatistics::kMaxEntries + 1; ++id) {
         RoutingDecision decision;
         decision.request = id;
         statistics.record(decision);
     }
-    BOOST_TEST(statistics.decisions().entries().size() == RequestStatistics::kMaxKept);
+    BOOST_TEST(statistics.decisions().entries().size() == RequestStatistics::kMaxEntries);
     BOOST_TEST(statistics.decisions().entries().front().request == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(operators_see_the_words_that_their_pages_name) {
+BOOST_AUTO_TEST_CASE(causes_and_outcomes_have_their_documented_names) {
     BOOST_TEST(std::string(name_of(ValueLoss::Cause::cold_start)) == "cold_start");
     BOOST_TEST(std::string(name_of(ValueLoss::Cause::coordinator)) == "keeper_away");
     BOOST_TEST(std::string(name_of(ValueLoss::Cause::runner)) == "runner_lost");
--- a/tests/system/proxy/retry_state_test.cpp
+++ b/tests/system/proxy/retry_state_test.cpp
@@ -9,14 +9,15 @@
 constexpr Micros kNow = 10'000'000;
 constexpr Micros kDeadline = kNow + 1'000'000;
 
-Route route(bool idempotent, std::uint32_t attempts) {
-    Route made;
-    made.is_idempotent = idempotent;
-    made.max_attempts = attempts;
-    return made;
+Route make_route(bool idempotent, std::uint32_t max_attempts) {
+    Route route;
+    route.is_idempotent = idempotent;
+    route.max_attempts = max_attempts;
+    return route;
 }
 
-RetryState after(AttemptResult result) {
+// The state after one attempt with that result.
+RetryState state_after(AttemptResult result) {
     RetryState state;
     state.on_attempt_sent();
     state.on_attempt_completed(result);
@@ -25,39 +26,39 @@
 
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_is_retried_on_an_idempotent_route_only) {
     for (const AttemptResult result : {AttemptResult::runner_error, AttemptResult::outcome_unknown}) {
-        const RetryState state = after(result);
+        const RetryState state = state_after(result);
         BOOST_TEST(state.may_have_run());
-        BOOST_TEST(state.may_retry(route(true, 2), result, kNow, kDeadline));
-        BOOST_TEST(!state.may_retry(route(false, 2), result, kNow, kDeadline));
+        BOOST_TEST(state.may_retry(make_route(true, 2), result, kNow, kDeadline));
+        BOOST_TEST(!state.may_retry(make_route(false, 2), result, kNow, kDeadline));
     }
     for (const AttemptResult result : {AttemptResult::rejected, AttemptResult::misdirected,
                                        AttemptResult::connect_failed, AttemptResult::not_sent}) {
-        const RetryState state = after(result);
+        const RetryState state = state_after(result);
         BOOST_TEST(!state.may_have_run());
-        BOOST_TEST(state.may_retry(route(false, 2), result, kNow, kDeadline));
+        BOOST_TEST(state.may_retry(make_route(false, 2), result, kNow, kDeadline));
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_attempt_that_could_not_connect_is_not_counted) {
-    RetryState state = after(AttemptResult::connect_failed);
-    BOOST_TEST(state.may_retry(route(false, 1), AttemptResult::connect_failed, kNow, kDeadline));
+BOOST_AUTO_TEST_CASE(an_attempt_that_failed_to_connect_does_not_count) {
+    RetryState state = state_after(AttemptResult::connect_failed);
+    BOOST_TEST(state.may_retry(make_route(false, 1), AttemptResult::connect_failed, kNow, kDeadline));
     state.begin_next_attempt();
     BOOST_TEST(!state.is_retry());
     state.on_attempt_sent();
     state.on_attempt_completed(AttemptResult::rejected);
-    BOOST_TEST(!state.may_retry(route(false, 1), AttemptResult::rejected, kNow, kDeadline));
+    BOOST_TEST(!state.may_retry(make_route(false, 1), AttemptResult::rejected, kNow, kDeadline));
     state.begin_next_attempt();
     BOOST_TEST(state.is_retry());
 }
 
-BOOST_AUTO_TEST_CASE(too_short_before_the_deadline_nothing_is_retried) {
-    const RetryState state = after(AttemptResult::rejected);
-    BOOST_TEST(!state.may_retry(route(true, 2), AttemptResult::rejected, kDeadline - 20'000, kDeadline));
-    BOOST_TEST(state.may_retry(route(true, 2), AttemptResult::rejected, kDeadline - 20'001, kDeadline));
+BOOST_AUTO_TEST_CASE(a_request_is_not_retried_shortly_before_its_deadline) {
+    const RetryState state = state_after(AttemptResult::rejected);
+    BOOST_TEST(!state.may_retry(make_route(true, 2), AttemptResult::rejected, kDeadline - 20'000, kDeadline));
+    BOOST_TEST(state.may_retry(make_route(true, 2), AttemptResult::rejected, kDeadline - 20'001, kDeadline));
 }
 
-BOOST_AUTO_TEST_CASE(what_may_have_run_once_stays_so) {
-    RetryState state = after(AttemptResult::outcome_unknown);
+BOOST_AUTO_TEST_CASE(a_later_rejection_does_not_clear_that_the_request_may_have_run) {
+    RetryState state = state_after(AttemptResult::outcome_unknown);
     state.on_attempt_sent();
     state.on_attempt_completed(AttemptResult::rejected);
     BOOST_TEST(state.may_have_run());
--- a/tests/system/proxy/routing_test.cpp
+++ b/tests/system/proxy/routing_test.cpp
@@ -6,7 +6,7 @@
 namespace gannethold::cluster {
 namespace {
 
-BOOST_AUTO_TEST_CASE(a_service_is_drawn_by_its_weight_and_never_without_one) {
+BOOST_AUTO_TEST_CASE(a_service_is_selected_by_weight_and_never_with_weight_zero) {
     Route route;
     route.services = {{"none", 0}, {"small", 1}, {"large", 3}};
     BOOST_TEST(choose_service(route, 0) == "small");
--- a/tests/system/proxy/slot_share_test.cpp
+++ b/tests/system/proxy/slot_share_test.cpp
@@ -16,7 +16,7 @@
             runner.slots = slots;
             std::uint32_t sum = 0;
             for (std::uint32_t rank = 0; rank < proxies; ++rank) {
-                const std::uint32_t share = SlotShare{rank, proxies}.of(runner);
+                const std::uint32_t share = SlotShare{rank, proxies}.slots_of(runner);
                 BOOST_TEST(share <= slots / proxies + 1);
                 sum += share;
             }
--- a/tests/system/simulation/proxies.cpp
+++ b/tests/system/simulation/proxies.cpp
@@ -59,11 +59,11 @@
     Actions actions;
     drop_lost_session(proxy, actions);
     if (!ticking.core && !ticking.cut_off) register_with_next(proxy, actions);
-    if (!ticking.shutdown.begun() && ticking.handler->configuration()) ticking.accepts_connections = true;
+    if (!ticking.shutdown.has_begun() && ticking.handler->configuration()) ticking.accepts_connections = true;
     ticking.handler->tick(environment_.now(), actions);
     carry_out(proxy, actions);
     check_probed_addresses(proxy);
-    if (ticking.shutdown.begun()) advance_shutdown(proxy);
+    if (ticking.shutdown.has_begun()) advance_shutdown(proxy);
     environment_.events.after(kTickInterval, [this, proxy, incarnation] {
         if (at(proxy).incarnation == incarnation) tick(proxy);
     });
@@ -143,7 +143,7 @@
     ending.shutdown.begin(now, grace);
     if (environment_.has_fault(PlantedFault::end_without_answers)) return;
     Actions actions;
-    ending.handler->begin_shutdown(now, ending.shutdown.answer_by(), actions);
+    ending.handler->begin_shutdown(now, ending.shutdown.response_deadline(), actions);
     carry_out(proxy, actions);
 }
 
@@ -151,13 +151,13 @@
     Proxy& ending = at(proxy);
     for (;;) {
         const std::size_t open = requests_.unanswered(proxy, ending.incarnation).size();
-        switch (ending.shutdown.step(environment_.now(), open)) {
+        switch (ending.shutdown.next_step(environment_.now(), open)) {
             case Shutdown::Step::none:
                 return;
             case Shutdown::Step::close_idle:
                 ending.accepts_connections = false;
                 break;
-            case Shutdown::Step::answer_open: {
+            case Shutdown::Step::answer_pending: {
                 if (environment_.has_fault(PlantedFault::end_without_answers)) break;
                 Actions actions;
                 ending.handler->answer_all_pending(environment_.now(), actions);
