--- a/src/cluster/proxy_server/classify_attempt.cpp
+++ b/src/cluster/proxy_server/classify_attempt.cpp
@@ -11,21 +11,22 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kFirstServerError = 500;
 
-// Clients take these for a statement that the request has not run, which the runner has not made.
-bool suggests_not_run(int status) {
+// Clients interpret these statuses as a guarantee that the request has not run, which only kNotRunHeader
+// gives.
+bool implies_not_run(int status) {
     return status == kRequestTimeout || status == kTooManyRequests || status == kServiceUnavailable;
 }
 
 AttemptResult classify_response(const HttpMessage& response, bool is_first_response) {
-    const bool bears_id = !response.field(kAttemptIdHeader).empty();
+    const bool has_id = !response.field(kAttemptIdHeader).empty();
     const bool is_misdirected = response.status == kMisdirectedRequest;
     if (is_misdirected || !response.field(kNotRunHeader).empty()) {
-        // Without an id, on a connection that served others, it may be a surplus response to one of those.
-        if (!bears_id && !is_first_response) return AttemptResult::outcome_unknown;
+        // Without an id, it may be a surplus response to an earlier request on the same connection.
+        if (!has_id && !is_first_response) return AttemptResult::outcome_unknown;
         return is_misdirected ? AttemptResult::misdirected : AttemptResult::rejected;
     }
-    if (!bears_id || !response.field("Content-Encoding").empty()) return AttemptResult::outcome_unknown;
-    if (suggests_not_run(response.status)) return AttemptResult::outcome_unknown;
+    if (!has_id || !response.field("Content-Encoding").empty()) return AttemptResult::outcome_unknown;
+    if (implies_not_run(response.status)) return AttemptResult::outcome_unknown;
     return response.status >= kFirstServerError ? AttemptResult::runner_error : AttemptResult::succeeded;
 }
 
--- a/src/cluster/proxy_server/classify_attempt.hpp
+++ b/src/cluster/proxy_server/classify_attempt.hpp
@@ -1,4 +1,4 @@
-// What the end of a call to a runner says about whether the request has run.
+// Classification of completed calls to runners, by whether the request has run.
 #pragma once
 
 #include "cluster/proxy/attempt_result.hpp"
@@ -6,9 +6,10 @@
 
 namespace gannethold::cluster {
 
-/// Judges how a call that bore kAttemptIdHeader ended. Only what the runner itself states counts as a promise
-/// that the request has not run; a response that can not be shown to be this request's is outcome_unknown.
-/// is_first_response: the first one on its connection, so that it can be no other request's.
+/// Classifies the result of a call whose request had a kAttemptIdHeader field. Only a statement of the runner
+/// itself guarantees that the request has not run. A response that may belong to another request gives
+/// outcome_unknown. is_first_response: the response is the first on its connection, so that it can not belong
+/// to an earlier request.
 AttemptResult classify_attempt(CallResult call_result, const HttpMessage& response, bool is_first_response);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/configuration_receiver.hpp
+++ b/src/cluster/proxy_server/configuration_receiver.hpp
@@ -1,4 +1,4 @@
-// Puts the configurations together that a coordinator sends as differences.
+// Reconstructs the configurations that a coordinator sends as differences.
 #pragma once
 
 #include <memory>
@@ -9,16 +9,18 @@
 
 namespace gannethold::cluster {
 
+/// Keeps the body of the current configuration, which the next difference is applied to.
 class ConfigurationReceiver {
   public:
-    /// The configuration that was sent. version: of the one in force, which is the one returned last.
-    /// Errors: bytes_malformed (a difference to another version, or that does not fit), and those of
-    /// Configuration::read(). After an error the next difference to the version in force still fits.
-    leaf::result<std::shared_ptr<const Configuration>> receive(const ConfigurationUpdate& sent,
+    /// Returns the configuration in the update. version: of the current configuration, which is the last one
+    /// returned. Errors: bytes_malformed (a difference to another version, or one that can not be applied),
+    /// and those of Configuration::parse(). After an error, a difference to the current version can still be
+    /// received.
+    leaf::result<std::shared_ptr<const Configuration>> receive(const ConfigurationUpdate& update,
                                                                Number version);
 
   private:
-    std::string body_;  // of the configuration in force
+    std::string body_;  // of the current configuration
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/coordinator_addresses.hpp
+++ b/src/cluster/proxy_server/coordinator_addresses.hpp
@@ -1,4 +1,4 @@
-// Which member of the core a proxy tries next to find the coordinator.
+// The addresses at which a proxy looks for the coordinator.
 #pragma once
 
 #include <cstddef>
@@ -8,24 +8,25 @@
 
 namespace gannethold::cluster {
 
-/// A redirect goes first; else the known members and the seeds take turns.
+/// Returns the address of a redirect first, otherwise the known members and the seeds in round-robin order.
 class CoordinatorAddresses {
   public:
-    /// first: where the turns begin, so that proxies do not all begin at the same member.
-    CoordinatorAddresses(std::vector<std::string> seeds, std::size_t first)
-        : seeds_(std::move(seeds)), next_(first) {}
+    /// first_index: where the round robin starts. Proxies use different values, so that they do not all
+    /// connect to the same member first.
+    CoordinatorAddresses(std::vector<std::string> seeds, std::size_t first_index)
+        : seeds_(std::move(seeds)), next_(first_index) {}
 
     void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
     void set_members(std::vector<std::string> members) { members_ = std::move(members); }
-    /// leader: empty where the member that redirects knows none.
+    /// leader: empty if the member that sent the redirect knows no leader.
     void set_redirect(std::string leader) { redirect_ = std::move(leader); }
-    /// The control_plane address to try now; nothing: none is known.
+    /// Returns the next control-plane address to try; nullopt if none is known.
     std::optional<std::string> take_next();
 
   private:
     std::vector<std::string> seeds_;
-    std::vector<std::string> members_;  // as the last coordinator stated them
-    std::string redirect_;              // once
+    std::vector<std::string> members_;  // from the last registration response
+    std::string redirect_;              // cleared when it is returned
     std::size_t next_;
 };
 
--- a/src/cluster/proxy_server/coordinator_client.cpp
+++ b/src/cluster/proxy_server/coordinator_client.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 350'000;
-constexpr Micros kRegistrationTimeout = 500'000;  // without any message before the registration is answered
-constexpr Micros kPeerTimeout = 800'000;          // without any message in a session
+constexpr Micros kRegistrationTimeout = 500'000;  // without a message, before the registration is answered
+constexpr Micros kSessionTimeout = 800'000;       // without a message, in a session
 constexpr Micros kHeartbeatInterval = 250'000;
 constexpr Micros kReconnectInterval = 60'000;
 constexpr Micros kStallThreshold = 1'000'000;  // timers are at most 0.2 s apart
-// An acquire request may wait for its slot: only a heartbeat that is not answered either says that the
-// coordinator is silent. Its answer takes a round trip.
-constexpr Micros kProbeDelay = 100'000;
-constexpr Micros kSilenceAfter = 300'000;
-constexpr Micros kLongAgo = -1'000'000;
+// An unanswered acquire request may be waiting for a slot, so that it does not prove that the coordinator is
+// silent. An unanswered heartbeat does, because its answer takes one round trip only.
+constexpr Micros kProbeHeartbeatDelay = 100'000;
+constexpr Micros kSilenceTimeout = 300'000;
+constexpr Micros kNeverConnected = -1'000'000;
 
 }  // namespace
 
@@ -30,27 +30,27 @@
       settings_(settings),
       events_(std::move(events)),
       addresses_(settings.seed_addresses, static_cast<std::size_t>(getpid())),
-      connect_began_at_(kLongAgo),
-      last_turn_at_(net::Loop::now()) {}
+      connect_started_at_(kNeverConnected),
+      last_active_at_(net::Loop::now()) {}
 
 void CoordinatorClient::send(const Message& message) {
     if (!connection_ || !connection_->is_open()) return;
     connection_->send(message);
-    sent_at_ = net::Loop::now();
-    const bool wants_answer =
+    last_sent_at_ = net::Loop::now();
+    const bool expects_answer =
         std::holds_alternative<AcquireRequest>(message) || std::holds_alternative<Heartbeat>(message);
-    if (wants_answer && unanswered_since_ == 0) unanswered_since_ = sent_at_;
+    if (expects_answer && unanswered_since_ == 0) unanswered_since_ = last_sent_at_;
 }
 
 bool CoordinatorClient::is_silent(Micros now) const {
     return !is_off(Mechanism::silence_detection) && registered_ && unanswered_since_ > 0 &&
-           now >= unanswered_since_ + kSilenceAfter;
+           now >= unanswered_since_ + kSilenceTimeout;
 }
 
 void CoordinatorClient::connect(Micros now) {
     const std::optional<std::string> member = addresses_.take_next();
     if (!member) return;
-    connect_began_at_ = now;
+    connect_started_at_ = now;
     const auto address = net::Address::read(settings_.internal_address_of(*member));
     if (!address) return;
     MessageConnection::Events events;
@@ -66,19 +66,19 @@
     closed_.push_back(std::move(connection_));
     registered_ = false;
     unanswered_since_ = 0;
-    probed_ = false;
-    events_.disconnected();
+    probe_heartbeat_sent_ = false;
+    events_.on_disconnected();
 }
 
-bool CoordinatorClient::is_stalled(Micros now) const { return now > last_turn_at_ + kStallThreshold; }
+bool CoordinatorClient::is_stalled(Micros now) const { return now > last_active_at_ + kStallThreshold; }
 
 void CoordinatorClient::on_message(const Message& message) {
     const Micros now = net::Loop::now();
     unanswered_since_ = 0;
-    probed_ = false;
+    probe_heartbeat_sent_ = false;
     if (is_stalled(now)) {
-        last_turn_at_ = now;
-        events_.stalled();
+        last_active_at_ = now;
+        events_.on_stalled();
         return disconnect();
     }
     if (const auto* redirect = std::get_if<Redirect>(&message)) return on_redirect(now, *redirect);
@@ -87,51 +87,51 @@
         addresses_.set_members(registered->members);
         begins_session = !std::exchange(registered_, true);
     }
-    events_.message_received(message, begins_session);
+    events_.on_message(message, begins_session);
 }
 
-// A named leader is tried at once, another member after the usual interval.
+// Connects to a named leader at once, and to another member after kReconnectInterval.
 void CoordinatorClient::on_redirect(Micros now, const Redirect& redirect) {
-    const bool names_leader = !redirect.leader.empty();
+    const bool has_leader = !redirect.leader.empty();
     addresses_.set_redirect(redirect.leader);
     disconnect();
-    connect_began_at_ = names_leader ? 0 : now;
+    connect_started_at_ = has_leader ? 0 : now;
 }
 
 void CoordinatorClient::tick(Micros now) {
     if (is_stalled(now) && connection_) {
-        events_.stalled();
+        events_.on_stalled();
         disconnect();
     }
-    last_turn_at_ = now;
+    last_active_at_ = now;
     if (connection_) {
-        const Micros timeout = registered_ ? kPeerTimeout : kRegistrationTimeout;
-        if (now > std::max(connection_->last_received_at(), connect_began_at_) + timeout)
+        const Micros timeout = registered_ ? kSessionTimeout : kRegistrationTimeout;
+        if (now > std::max(connection_->last_received_at(), connect_started_at_) + timeout)
             disconnect();
         else if (const std::optional<Micros> due = next_heartbeat(); due && now >= *due)
             send_heartbeat();
     }
-    if (!connection_ && now >= connect_began_at_ + kReconnectInterval) connect(now);
+    if (!connection_ && now >= connect_started_at_ + kReconnectInterval) connect(now);
 }
 
 void CoordinatorClient::send_heartbeat() {
-    probed_ = unanswered_since_ > 0;
+    probe_heartbeat_sent_ = unanswered_since_ > 0;
     send(Heartbeat{});
 }
 
-// Nothing: there is no session.
+// Returns when the next heartbeat is due; nullopt if there is no session.
 std::optional<Micros> CoordinatorClient::next_heartbeat() const {
     if (!connection_ || !registered_) return std::nullopt;
-    const Micros usual = std::max(connection_->last_received_at(), sent_at_) + kHeartbeatInterval;
-    if (unanswered_since_ == 0 || probed_) return usual;
-    return std::min(usual, unanswered_since_ + kProbeDelay);
+    const Micros regular = std::max(connection_->last_received_at(), last_sent_at_) + kHeartbeatInterval;
+    if (unanswered_since_ == 0 || probe_heartbeat_sent_) return regular;
+    return std::min(regular, unanswered_since_ + kProbeHeartbeatDelay);
 }
 
 std::optional<Micros> CoordinatorClient::next_timer() const {
-    if (!connection_) return connect_began_at_ + kReconnectInterval;
+    if (!connection_) return connect_started_at_ + kReconnectInterval;
     const std::optional<Micros> heartbeat = next_heartbeat();
     if (!heartbeat || unanswered_since_ == 0) return heartbeat;
-    const Micros silent_at = unanswered_since_ + kSilenceAfter;
+    const Micros silent_at = unanswered_since_ + kSilenceTimeout;
     return net::Loop::now() < silent_at ? std::min(*heartbeat, silent_at) : heartbeat;
 }
 
--- a/src/cluster/proxy_server/coordinator_client.hpp
+++ b/src/cluster/proxy_server/coordinator_client.hpp
@@ -1,5 +1,5 @@
-// A proxy's session with the coordinator: connects, registers, follows redirects, keeps the session alive by
-// heartbeats and connects anew when it is lost.
+// A proxy's session with the coordinator. The client connects, registers, follows redirects, sends heartbeats
+// and reconnects after the session is lost.
 #pragma once
 
 #include <functional>
@@ -13,34 +13,35 @@
 
 namespace gannethold::cluster {
 
+/// Maintains at most one connection to a member of the core.
 class CoordinatorClient {
   public:
     struct Events {
-        /// What a new session begins with.
+        /// Returns the first message of a new session.
         std::function<RegisterRequest()> make_registration;
-        /// Every message but redirects. begins_session: the registration is accepted by it.
-        std::function<void(const Message&, bool begins_session)> message_received;
-        /// The connection is lost or closed, registered or not.
-        std::function<void()> disconnected;
-        /// This process stood still for so long that the coordinator may have given its slots to others.
-        /// disconnected follows, so that nothing is sent by old grants.
-        std::function<void()> stalled;
+        /// A message other than a redirect was received. begins_session: it accepts the registration.
+        std::function<void(const Message&, bool begins_session)> on_message;
+        /// The connection was lost or closed, whether registered or not.
+        std::function<void()> on_disconnected;
+        /// This process did not run for so long that the coordinator may have granted its slots to other
+        /// proxies. on_disconnected follows, so that no request is sent under an old grant.
+        std::function<void()> on_stalled;
     };
-    /// settings is kept by reference, for the members' addresses.
+    /// Keeps a reference to settings, which hold the addresses of the members.
     CoordinatorClient(net::Loop& loop, const Settings& settings, Events events);
 
-    /// Without effect while there is no connection.
+    /// No effect while there is no connection.
     void send(const Message& message);
     void set_seeds(std::vector<std::string> seeds) { addresses_.set_seeds(std::move(seeds)); }
 
-    /// Connects, sends a heartbeat or disconnects, as is due.
+    /// Connects, disconnects or sends a heartbeat, whichever is due.
     void tick(Micros now);
-    /// Whether the coordinator has not answered for so long that requests are better off without it. The
-    /// session goes on: it may only be slow.
+    /// Whether the coordinator has not answered for so long that requests should not wait for it. The session
+    /// stays open, because the coordinator may only be slow.
     bool is_silent(Micros now) const;
-    /// When tick() has something to do next; nothing: while a connection is being set up.
+    /// Returns when tick() is due next; nullopt while a connection is being established.
     std::optional<Micros> next_timer() const;
-    /// Frees closed connections. Not to be called from an event.
+    /// Frees closed connections. Must not be called from an event.
     void sweep() { closed_.clear(); }
 
   private:
@@ -57,13 +58,13 @@
     Events events_;
     CoordinatorAddresses addresses_;
     std::unique_ptr<MessageConnection> connection_;           // nullptr: none
-    std::vector<std::unique_ptr<MessageConnection>> closed_;  // until the next sweep
-    bool registered_ = false;                                 // by the coordinator at connection_
-    Micros connect_began_at_;
-    Micros sent_at_ = 0;
-    Micros unanswered_since_ = 0;  // the first message since the last answer that wants one; 0: none
-    bool probed_ = false;          // a heartbeat was sent to see whether the coordinator answers at all
-    Micros last_turn_at_;          // when this process was last seen to run
+    std::vector<std::unique_ptr<MessageConnection>> closed_;  // freed by sweep()
+    bool registered_ = false;                                 // on connection_
+    Micros connect_started_at_;
+    Micros last_sent_at_ = 0;
+    Micros unanswered_since_ = 0;        // when the oldest unanswered message was sent; 0: none
+    bool probe_heartbeat_sent_ = false;  // since unanswered_since_
+    Micros last_active_at_;              // when this process was last known to run
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/downstream_server.cpp
+++ b/src/cluster/proxy_server/downstream_server.cpp
@@ -5,7 +5,7 @@
 namespace gannethold::cluster {
 namespace {
 
-// A request bears its exchange's number through the whole proxy.
+// The proxy identifies a request by the number of its HTTP exchange.
 RequestId request_id(ExchangeId exchange) { return static_cast<RequestId>(exchange); }
 
 }  // namespace
@@ -21,8 +21,8 @@
                .on_client_disconnected =
                    [this](ExchangeId exchange) {
                        const RequestId id = request_id(exchange);
-                       requests_.erase(id);  // so it is not sent again
-                       events_.client_disconnected(id);
+                       requests_.erase(id);  // prevents further attempts
+                       events_.on_client_disconnected(id);
                    }},
               max_connections) {}
 
@@ -31,7 +31,7 @@
     const std::string host(message.field("Host"));
     const std::string target = message.target;
     requests_[id].message = std::move(message);
-    events_.request_received(id, host, target, deadline_ms);
+    events_.on_request(id, host, target, deadline_ms);
 }
 
 DownstreamRequest* DownstreamServer::find(RequestId id) {
--- a/src/cluster/proxy_server/forwarding.cpp
+++ b/src/cluster/proxy_server/forwarding.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t kDefaultDeadlineMs = 600'000;
 
-// These are stated anew for each attempt.
+// The proxy sets these fields for each attempt.
 bool is_set_by_proxy(std::string_view field) {
     return http::same_word(field, kDeadlineHeader) || http::same_word(field, kExpectedRunnerHeader);
 }
--- a/src/cluster/proxy_server/forwarding.hpp
+++ b/src/cluster/proxy_server/forwarding.hpp
@@ -1,4 +1,4 @@
-// How a request and its response are passed on between a client and a runner.
+// Conversion of requests and responses that the proxy forwards between clients and runners.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +9,23 @@
 
 namespace gannethold::cluster {
 
-/// Tells a client's request, and the response to it, from all others.
+/// Identifies a client's request and the response to it.
 inline constexpr char kAttemptIdHeader[] = "X-Attempt-Id";
-/// Milliseconds until the request's deadline; each hop states what is left.
+/// Milliseconds until the request's deadline. Each hop sets it to the remaining time.
 inline constexpr char kDeadlineHeader[] = "X-Deadline-Remaining";
-/// The runner that is meant: another one that has the address by now answers 421.
+/// The runner that the request is for. If the address now belongs to another runner, that runner answers 421.
 inline constexpr char kExpectedRunnerHeader[] = "X-Expected-Runner";
 /// In a response: the runner states that the request has not run.
 inline constexpr char kNotRunHeader[] = "X-Request-Not-Run";
 
-/// The deadline that a request states in milliseconds; ten minutes where it states none that can be read.
+/// Parses the value of kDeadlineHeader. Returns ten minutes if it is missing or invalid.
 std::uint32_t parse_deadline_ms(std::string_view header);
 
-/// The client's request as it goes to the runner: without the fields of the client's connection, with the
-/// runner's name and the time that is left.
+/// Returns the request to send to the runner: the client's request without hop-by-hop fields, and with the
+/// runner's name and the remaining time.
 HttpMessage make_upstream_request(const HttpMessage& downstream, const Actions::Forward& forward);
 
-/// The runner's response as it goes to the client: without the fields of the runner's connection.
+/// Returns the response to send to the client: the runner's response without hop-by-hop fields.
 HttpMessage make_downstream_response(HttpMessage&& upstream);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/probe_schedule.cpp
+++ b/src/cluster/proxy_server/probe_schedule.cpp
@@ -14,15 +14,15 @@
     const auto probe = probes_.find(address);
     if (probe == probes_.end()) return false;
     probe->second.in_flight = false;
-    probe->second.next = now + kInterval;
+    probe->second.next_at = now + kInterval;
     return true;
 }
 
 ProbeSchedule::Due ProbeSchedule::take_due(Micros now) {
     Due due;
     for (auto& [address, probe] : probes_) {
-        if (probe.in_flight || now < probe.next) continue;
-        if (now > probe.since + kMaxDuration) {
+        if (probe.in_flight || now < probe.next_at) continue;
+        if (now > probe.started_at + kMaxDuration) {
             due.expired.push_back(address);
             continue;
         }
@@ -36,7 +36,7 @@
 std::optional<Micros> ProbeSchedule::next() const {
     std::optional<Micros> next;
     for (const auto& [address, probe] : probes_)
-        if (!probe.in_flight) next = std::min(next.value_or(probe.next), probe.next);
+        if (!probe.in_flight) next = std::min(next.value_or(probe.next_at), probe.next_at);
     return next;
 }
 
--- a/src/cluster/proxy_server/probe_schedule.hpp
+++ b/src/cluster/proxy_server/probe_schedule.hpp
@@ -1,4 +1,4 @@
-// When to connect to the addresses of runners that are starting, so as to see when they take connections.
+// The schedule of probes, which detect when a starting runner accepts connections.
 #pragma once
 
 #include <map>
@@ -10,22 +10,23 @@
 
 namespace gannethold::cluster {
 
-/// No I/O and no clock. An address is probed again and again until it takes a connection or expires.
+/// Probes an address periodically until it accepts a connection or the probe expires. No I/O and no clock.
 class ProbeSchedule {
   public:
-    /// Without effect for an address that is being probed.
+    /// No effect if the address is being probed already.
     void add(Micros now, const std::string& address);
-    /// The address took a connection: it is not probed any more. False: it was not being probed.
+    /// Ends the probe of an address that accepted a connection. Returns false if it was not being probed.
     bool on_connected(const std::string& address);
-    /// Returns whether the address is to be probed again.
+    /// Schedules the next attempt. Returns false if the address is not being probed.
     bool on_connect_failed(Micros now, const std::string& address);
 
     struct Due {
-        std::vector<std::string> probed;  ///< a connection is to be opened to each; it is taken for under way
-        std::vector<std::string> expired;  ///< given up, and not probed any more
+        std::vector<std::string> probed;   ///< to connect to now; marked as in flight
+        std::vector<std::string> expired;  ///< no longer probed
     };
+    /// Returns the probes that are due or have expired.
     Due take_due(Micros now);
-    /// When take_due() has something next; nothing: nothing is scheduled.
+    /// Returns when the next probe is due; nullopt if none is scheduled.
     std::optional<Micros> next() const;
 
   private:
@@ -33,8 +34,8 @@
     static constexpr Micros kMaxDuration = 12'000'000;
 
     struct Probe {
-        Micros since = 0;
-        Micros next = 0;
+        Micros started_at = 0;
+        Micros next_at = 0;
         bool in_flight = false;
     };
     std::map<std::string, Probe> probes_;  // by address
--- a/src/cluster/proxy_server/proxy_server.cpp
+++ b/src/cluster/proxy_server/proxy_server.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Micros kSweepInterval = 500'000;
-constexpr Micros kMaxTimer = 200'000;         // between two ticks
-constexpr Micros kQueuedInterval = 30'000;    // while requests wait without a coordinator
-constexpr Micros kShutdownInterval = 50'000;  // what is written meanwhile is noticed so late
+constexpr Micros kMaxTickInterval = 200'000;
+constexpr Micros kQueuedTickInterval = 30'000;    // while requests are queued without a coordinator
+constexpr Micros kShutdownTickInterval = 50'000;  // the delay until completely written responses are noticed
 
-RequestHandler::Options handler_options(const Settings& settings) {
+RequestHandler::Options make_handler_options(const Settings& settings) {
     std::random_device random;
     RequestHandler::Options options;
     options.name = settings.node_name;
@@ -26,7 +26,7 @@
     return options;
 }
 
-// The rest is left for runners and the core.
+// Leaves the remaining file descriptors for connections to runners and to the core.
 std::size_t max_client_connections(const Settings& settings) {
     return static_cast<std::size_t>(std::max<std::int64_t>(64, settings.max_file_descriptors * 6 / 10));
 }
@@ -34,10 +34,10 @@
 }  // namespace
 
 ProxyServer::ProxyServer(net::Loop& loop, Settings settings, const Addresses& addresses,
-                         std::function<void()> stopped)
+                         std::function<void()> on_stopped)
     : settings_(std::move(settings)),
-      handler_(handler_options(settings_)),
-      stopped_(std::move(stopped)),
+      handler_(make_handler_options(settings_)),
+      on_stopped_(std::move(on_stopped)),
       upstream_(loop, upstream_events()),
       downstream_(loop, addresses.frontend, max_client_connections(settings_), downstream_events()),
       readiness_(loop, addresses.readiness, [this] { return readiness(); }),
@@ -48,32 +48,32 @@
 
 UpstreamRunners::Events ProxyServer::upstream_events() {
     UpstreamRunners::Events events;
-    events.attempt_completed = [this](RequestId id, AttemptResult result) {
+    events.on_attempt_completed = [this](RequestId id, AttemptResult result) {
         Actions actions;
         handler_.on_attempt_completed(net::Loop::now(), id, result, actions);
-        carry_out(actions);
+        execute(actions);
     };
-    events.probe_completed = [this](const std::string& address, bool reachable) {
+    events.on_probe_completed = [this](const std::string& address, bool reachable) {
         Actions actions;
         handler_.on_probe_completed(address, reachable, actions);
-        carry_out(actions);
+        execute(actions);
     };
-    events.probe_rescheduled = [this] { set_timer(); };
+    events.on_probe_rescheduled = [this] { set_timer(); };
     return events;
 }
 
 DownstreamServer::Events ProxyServer::downstream_events() {
     DownstreamServer::Events events;
-    events.request_received = [this](RequestId id, std::string_view host, std::string_view target,
-                                     std::uint32_t deadline_ms) {
+    events.on_request = [this](RequestId id, std::string_view host, std::string_view target,
+                               std::uint32_t deadline_ms) {
         Actions actions;
         handler_.on_request(net::Loop::now(), id, host, target, deadline_ms, actions);
-        carry_out(actions);
+        execute(actions);
     };
-    events.client_disconnected = [this](RequestId id) {
+    events.on_client_disconnected = [this](RequestId id) {
         Actions actions;
         handler_.on_client_disconnected(net::Loop::now(), id, actions);
-        carry_out(actions);
+        execute(actions);
     };
     return events;
 }
@@ -81,35 +81,35 @@
 CoordinatorClient::Events ProxyServer::coordinator_events() {
     CoordinatorClient::Events events;
     events.make_registration = [this] { return handler_.make_registration(); };
-    events.message_received = [this](const Message& message, bool begins_session) {
+    events.on_message = [this](const Message& message, bool begins_session) {
         on_coordinator_message(message, begins_session);
     };
-    events.disconnected = [this] {
+    events.on_disconnected = [this] {
         Actions actions;
         handler_.on_coordinator_disconnected(net::Loop::now(), actions);
-        carry_out(actions);
+        execute(actions);
     };
-    events.stalled = [this] {
+    events.on_stalled = [this] {
         Event("process_stalled", Level::warning).with("pending", handler_.pending_requests());
     };
     return events;
 }
 
 void ProxyServer::on_coordinator_message(const Message& message, bool begins_session) {
-    if (const auto* sent = std::get_if<ConfigurationUpdate>(&message)) return on_configuration(*sent);
+    if (const auto* update = std::get_if<ConfigurationUpdate>(&message)) return on_configuration(*update);
     const Micros now = net::Loop::now();
     Actions actions;
     handler_.set_coordinator_silent(now, false, actions);
     handler_.on_message(now, message, actions);
     if (begins_session) handler_.on_coordinator_registered(now, actions);
-    carry_out(actions);
+    execute(actions);
 }
 
-void ProxyServer::on_configuration(const ConfigurationUpdate& sent) {
-    if (sent.version <= handler_.version()) return;
+void ProxyServer::on_configuration(const ConfigurationUpdate& update) {
+    if (update.version <= handler_.version()) return;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(configuration, configurations_.receive(sent, handler_.version()));
+            BOOST_LEAF_AUTO(configuration, configurations_.receive(update, handler_.version()));
             downstream_.set_limits(configuration->limits());
             handler_.configure(std::move(configuration));
             Event("configuration_applied").with("version", handler_.version());
@@ -121,11 +121,12 @@
                 .with("detail", detail.text);
         },
         [] {});
-    // Also after an error: the coordinator sends the complete configuration to who lacks the version.
+    // Also sent after an error, with the old version: the coordinator sends an update to a proxy that lacks
+    // the newest version.
     coordinator_.send(ConfigurationAck{handler_.version()});
 }
 
-void ProxyServer::carry_out(const Actions& actions) {
+void ProxyServer::execute(const Actions& actions) {
     for (const Message& message : actions.messages) coordinator_.send(message);
     log_losses();
     for (const Actions::LocalReply& local_reply : actions.local_replies) downstream_.reply(local_reply);
@@ -161,7 +162,7 @@
     Actions actions;
     handler_.set_coordinator_silent(now, coordinator_.is_silent(now), actions);
     handler_.tick(now, actions);
-    carry_out(actions);
+    execute(actions);
     upstream_.tick(now);
     if (now >= next_sweep_) sweep(now);
     if (shutdown_.has_begun()) advance_shutdown(now);
@@ -184,12 +185,12 @@
     downstream_.begin_shutdown();
     Actions actions;
     handler_.begin_shutdown(now, shutdown_.response_deadline(), actions);
-    carry_out(actions);
+    execute(actions);
 }
 
 void ProxyServer::advance_shutdown(Micros now) {
     for (;;) {
-        switch (shutdown_.next_step(now, downstream_.unfinished())) {
+        switch (shutdown_.next_step(now, downstream_.busy_connections())) {
             case Shutdown::Step::none:
                 return;
             case Shutdown::Step::close_idle:
@@ -198,11 +199,11 @@
             case Shutdown::Step::answer_pending: {
                 Actions actions;
                 handler_.answer_all_pending(now, actions);
-                carry_out(actions);
+                execute(actions);
                 break;
             }
             case Shutdown::Step::stop:
-                stopped_();
+                on_stopped_();
                 return;
         }
     }
@@ -210,13 +211,13 @@
 
 void ProxyServer::set_timer() {
     const Micros now = net::Loop::now();
-    Micros next = std::min(next_sweep_, now + kMaxTimer);
+    Micros next = std::min(next_sweep_, now + kMaxTickInterval);
     for (const std::optional<Micros> at :
          {coordinator_.next_timer(), handler_.next_deadline(), upstream_.next_probe()})
         if (at) next = std::min(next, *at);
-    if (shutdown_.has_begun()) next = std::min(next, now + kShutdownInterval);
-    const bool is_queueing = !handler_.has_coordinator() && handler_.pending_requests() > 0;
-    if (is_queueing) next = std::min(next, now + kQueuedInterval);
+    if (shutdown_.has_begun()) next = std::min(next, now + kShutdownTickInterval);
+    const bool may_have_queued = !handler_.has_coordinator() && handler_.pending_requests() > 0;
+    if (may_have_queued) next = std::min(next, now + kQueuedTickInterval);
     timer_.set(next);
 }
 
--- a/src/cluster/proxy_server/proxy_server.hpp
+++ b/src/cluster/proxy_server/proxy_server.hpp
@@ -1,4 +1,4 @@
-// The proxy as a whole: carries out what its request handler decides, between clients, runners and the
+// The proxy: executes the actions of its request handler, and connects it with clients, runners and the
 // coordinator.
 #pragma once
 
@@ -17,20 +17,21 @@
 
 namespace gannethold::cluster {
 
-/// Runs on the loop's thread. What it needs of time it sets on a timer of its own.
+/// Runs on the thread of the event loop, and sets its own timer there.
 class ProxyServer {
   public:
     struct Addresses {
         net::Address frontend;   ///< for clients
-        net::Address readiness;  ///< for the platform's probes
+        net::Address readiness;  ///< for the platform's readiness probes
     };
-    /// Listens from here on. stopped: once after begin_shutdown(), when the loop may end.
+    /// Starts to listen. on_stopped: called after begin_shutdown() when the loop may stop.
     ProxyServer(net::Loop& loop, Settings settings, const Addresses& addresses,
-                std::function<void()> stopped);
+                std::function<void()> on_stopped);
 
-    /// Where to look for the coordinator from now on.
+    /// Replaces the addresses at which to look for the coordinator.
     void set_seeds(std::vector<std::string> seeds) { coordinator_.set_seeds(std::move(seeds)); }
-    /// Answers what is pending within the grace period and takes nothing new. Later calls change nothing.
+    /// Starts a graceful shutdown: answers the pending requests within the grace period. Later calls have no
+    /// effect.
     void begin_shutdown();
 
     const Settings& settings() const { return settings_; }
@@ -42,11 +43,11 @@
     CoordinatorClient::Events coordinator_events();
 
     void on_coordinator_message(const Message& message, bool begins_session);
-    void on_configuration(const ConfigurationUpdate& sent);
+    void on_configuration(const ConfigurationUpdate& update);
     void on_timer();
     void sweep(Micros now);
     void advance_shutdown(Micros now);
-    void carry_out(const Actions& actions);
+    void execute(const Actions& actions);
     void log_losses();
     void set_timer();
     Readiness readiness() const;
@@ -55,7 +56,7 @@
     RequestHandler handler_;
     ConfigurationReceiver configurations_;
     Shutdown shutdown_;
-    std::function<void()> stopped_;
+    std::function<void()> on_stopped_;
     UpstreamRunners upstream_;
     DownstreamServer downstream_;
     ReadinessServer readiness_;
--- a/src/cluster/proxy_server/readiness_server.hpp
+++ b/src/cluster/proxy_server/readiness_server.hpp
@@ -1,4 +1,4 @@
-// Answers the platform's probes of whether this process takes requests.
+// The endpoint for the platform's readiness probes.
 #pragma once
 
 #include <functional>
@@ -7,12 +7,14 @@
 
 namespace gannethold::cluster {
 
+/// Whether this process accepts requests, or the reason why it does not.
 enum class Readiness {
     ready,
-    no_configuration,  ///< none was received yet
+    no_configuration,  ///< no configuration has been received
     shutting_down,
 };
 
+/// Answers each request with status 200 if the process is ready, and with an error otherwise.
 class ReadinessServer {
   public:
     ReadinessServer(net::Loop& loop, const net::Address& address, std::function<Readiness()> readiness);
--- a/src/cluster/proxy_server/upstream_runners.cpp
+++ b/src/cluster/proxy_server/upstream_runners.cpp
@@ -27,29 +27,30 @@
               {.on_call_completed = [this](CompletedCall&& call) { on_call_completed(std::move(call)); },
                .on_preconnected =
                    [this](const std::string& address) {
-                       if (probes_.on_connected(address)) events_.probe_completed(address, true);
+                       if (probes_.on_connected(address)) events_.on_probe_completed(address, true);
                    },
                .on_preconnect_failed =
                    [this](const std::string& address) {
-                       if (probes_.on_connect_failed(net::Loop::now(), address)) events_.probe_rescheduled();
+                       if (probes_.on_connect_failed(net::Loop::now(), address))
+                           events_.on_probe_rescheduled();
                    }}) {}
 
-// A response to an earlier attempt at the same address would bear the same id: each attempt there has its own
-// connection.
+// All attempts of a request have the same id. A further attempt at the same address uses a new connection, so
+// that a response to the earlier attempt is not taken for its own.
 void UpstreamRunners::forward(const Actions::Forward& forward, DownstreamRequest& request) {
     std::vector<std::string>& addresses = request.attempted_addresses;
-    const bool is_attempted =
+    const bool is_already_attempted =
         std::find(addresses.begin(), addresses.end(), forward.address) != addresses.end();
-    if (!is_attempted) addresses.push_back(forward.address);
+    if (!is_already_attempted) addresses.push_back(forward.address);
     client_.call(CallId{forward.request}, forward.address, make_upstream_request(request.message, forward),
-                 is_attempted);
+                 is_already_attempted);
 }
 
 void UpstreamRunners::on_call_completed(CompletedCall&& call) {
     const auto id = static_cast<RequestId>(call.id);
     const AttemptResult result = classify_attempt(call.result, call.response, call.first_on_connection);
     completed_ = CompletedResponse{id, std::move(call.response)};
-    events_.attempt_completed(id, result);
+    events_.on_attempt_completed(id, result);
     completed_.reset();
 }
 
@@ -63,7 +64,7 @@
 void UpstreamRunners::tick(Micros now) {
     const ProbeSchedule::Due due = probes_.take_due(now);
     for (const std::string& address : due.probed) client_.preconnect(address);
-    for (const std::string& address : due.expired) events_.probe_completed(address, false);
+    for (const std::string& address : due.expired) events_.on_probe_completed(address, false);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/proxy_server/upstream_runners.hpp
+++ b/src/cluster/proxy_server/upstream_runners.hpp
@@ -1,4 +1,4 @@
-// The runners' side of a proxy: sends attempts and probes addresses.
+// The runner side of a proxy: sends attempts and probes addresses.
 #pragma once
 
 #include <functional>
@@ -13,32 +13,34 @@
 
 namespace gannethold::cluster {
 
+/// The connections to all runners.
 class UpstreamRunners {
   public:
-    /// Called from the loop, never within forward().
+    /// Called from the event loop, never from within forward().
     struct Events {
-        /// An attempt that was not cancelled has ended. take_response() has its response within this call.
-        std::function<void(RequestId, AttemptResult)> attempt_completed;
-        std::function<void(const std::string& address, bool reachable)> probe_completed;
-        /// next_probe() is earlier than it was.
-        std::function<void()> probe_rescheduled;
+        /// An attempt that was not cancelled has ended. take_response() returns its response during this
+        /// call.
+        std::function<void(RequestId, AttemptResult)> on_attempt_completed;
+        std::function<void(const std::string& address, bool reachable)> on_probe_completed;
+        /// The time returned by next_probe() has become earlier.
+        std::function<void()> on_probe_rescheduled;
     };
     UpstreamRunners(net::Loop& loop, Events events);
 
-    /// Begins an attempt of the request.
+    /// Starts an attempt of the request.
     void forward(const Actions::Forward& forward, DownstreamRequest& request);
-    /// The attempt under way for the request ends without an event.
+    /// Ends the request's current attempt without an event.
     void cancel(RequestId id) { client_.cancel(CallId{id}); }
-    /// The response to the attempt that has just completed; nothing: there is none for that request.
+    /// Returns the response to the attempt that has just completed; nullopt if the request has none.
     std::optional<HttpMessage> take_response(RequestId id);
 
-    /// Probes the address until it takes a connection, or for too long: then probe_completed.
+    /// Probes the address until it accepts a connection or the probe expires, then calls on_probe_completed.
     void probe(Micros now, const std::string& address) { probes_.add(now, address); }
     std::optional<Micros> next_probe() const { return probes_.next(); }
-    /// Closes the idle connections there.
+    /// Closes the idle connections to the address.
     void evict(const std::string& address) { client_.close_idle(address); }
 
-    /// Makes the probes that are due.
+    /// Performs the probes that are due.
     void tick(Micros now);
     void sweep(Micros now) { client_.close_expired(now); }
 
@@ -52,7 +54,7 @@
 
     Events events_;
     ProbeSchedule probes_;
-    std::optional<CompletedResponse> completed_;  // while attempt_completed runs
+    std::optional<CompletedResponse> completed_;  // set during on_attempt_completed only
     HttpClient client_;
 };
 
--- a/src/cluster/status/json_values.cpp
+++ b/src/cluster/status/json_values.cpp
@@ -17,6 +17,6 @@
 
 json::Value json_value(std::string text) { return json::Value(std::move(text)); }
 
-json::Value json_ms(Micros span) { return json_value(std::round(static_cast<double>(span) / 1e3)); }
+json::Value json_ms(Micros duration) { return json_value(std::round(static_cast<double>(duration) / 1e3)); }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/status/json_values.hpp
+++ b/src/cluster/status/json_values.hpp
@@ -1,4 +1,4 @@
-// JSON values of what a process tells about itself (gannethold-explain).
+// JSON values for the status that a process reports to gannethold-explain.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace gannethold::cluster {
 
-/// A whole number is written without a fraction, another with four significant digits.
+/// An integer has no fraction; other numbers have four significant digits.
 json::Value json_value(double number);
 json::Value json_value(std::string text);
-/// In whole milliseconds.
-json::Value json_ms(Micros span);
+/// Converts a duration to whole milliseconds.
+json::Value json_ms(Micros duration);
 
 }  // namespace gannethold::cluster
--- a/tests/system/proxy_server/coordinator_client_test.cpp
+++ b/tests/system/proxy_server/coordinator_client_test.cpp
@@ -62,12 +62,12 @@
     CoordinatorClient::Events events() {
         CoordinatorClient::Events events;
         events.make_registration = [] { return RegisterRequest{"proxy", "z0", 1, 0, {}, {}}; };
-        events.message_received = [this](const Message& message, bool begins_session) {
+        events.on_message = [this](const Message& message, bool begins_session) {
             received.push_back(message);
             if (begins_session) ++sessions;
         };
-        events.disconnected = [this] { ++disconnects; };
-        events.stalled = [this] { ++stalls; };
+        events.on_disconnected = [this] { ++disconnects; };
+        events.on_stalled = [this] { ++stalls; };
         return events;
     }
     bool until(const std::function<bool()>& condition) {
