--- a/src/cluster/coordinator/configuration_publisher.cpp
+++ b/src/cluster/coordinator/configuration_publisher.cpp
@@ -9,8 +9,9 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMaxBases =
-    8;  // versions that differences are made against; others get the newest one in full
+// The number of recent versions that differences can be based on. A proxy with an older version receives the
+// newest one in full.
+constexpr std::size_t kMaxBases = 8;
 
 }  // namespace
 
@@ -22,10 +23,10 @@
 }
 
 std::optional<ConfigurationUpdate> ConfigurationPublisher::next_update(ProxyConfiguration& proxy) {
-    if (newest_ == 0 || proxy.held >= newest_ || proxy.in_flight != 0) return std::nullopt;
-    const auto base = bodies_.find(proxy.held);
-    const bool in_full = base == bodies_.end() || is_off(Mechanism::configuration_delta);
-    const Number base_version = in_full ? 0 : proxy.held;
+    if (newest_ == 0 || proxy.acknowledged >= newest_ || proxy.in_flight != 0) return std::nullopt;
+    const auto base = bodies_.find(proxy.acknowledged);
+    const bool is_complete = base == bodies_.end() || is_off(Mechanism::configuration_delta);
+    const Number base_version = is_complete ? 0 : proxy.acknowledged;
     std::string& delta = deltas_[base_version];
     if (delta.empty())
         delta = make_delta(base_version > 0 ? std::string_view{base->second} : std::string_view{},
--- a/src/cluster/coordinator/configuration_publisher.hpp
+++ b/src/cluster/coordinator/configuration_publisher.hpp
@@ -1,5 +1,5 @@
-// The committed configurations as they travel to proxies: each proxy gets what it lacks as the difference to
-// the version that it holds, one version at a time.
+// The distribution of committed configurations to proxies. Each proxy receives the newest version as a
+// difference to the version that it has, one update at a time.
 #pragma once
 
 #include <map>
@@ -10,29 +10,30 @@
 
 namespace gannethold::cluster {
 
-/// What one proxy has of the configuration.
+/// The configuration versions of one proxy.
 struct ProxyConfiguration {
-    Number held = 0;       // the version that it confirmed last; 0: none
-    Number in_flight = 0;  // the version that was sent and not confirmed; 0: none
+    Number acknowledged = 0;  // the last version that the proxy acknowledged; 0: none
+    Number in_flight = 0;     // the version that was sent and not acknowledged yet; 0: none
 };
 
-/// No I/O and no clock.
+/// Makes the configuration updates for proxies. No I/O and no clock.
 class ConfigurationPublisher {
   public:
     /// REQUIRES: version > newest().
     void publish(Number version, std::string body);
-    /// 0: nothing was published yet.
+    /// Returns the newest version; 0 if none was published.
     Number newest() const { return newest_; }
 
-    /// The newest version as the difference to what the proxy holds, and marks it in flight; nullopt where
-    /// the proxy is up to date or a version is in flight already. The next one, which may skip some, follows
-    /// the proxy's confirmation, so that however slow its link is no more than one is queued there.
+    /// Returns the newest version as a difference to the proxy's version, and marks it as in flight. Returns
+    /// nullopt if the proxy is up to date, or if a version is in flight already. The next update, which may
+    /// skip versions, is sent after the proxy's acknowledgement, so that at most one update is queued on a
+    /// slow connection.
     std::optional<ConfigurationUpdate> next_update(ProxyConfiguration& proxy);
 
   private:
     Number newest_ = 0;
-    std::map<Number, std::string> bodies_;  // of the newest versions, as bases of differences
-    std::map<Number, std::string> deltas_;  // to the newest version, by base; made once for all proxies
+    std::map<Number, std::string> bodies_;  // the most recent versions, as bases of differences
+    std::map<Number, std::string> deltas_;  // cached differences to the newest version, by base
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/coordinator/coordinator.cpp
+++ b/src/cluster/coordinator/coordinator.cpp
@@ -11,21 +11,24 @@
 
 constexpr Micros kWorkerListInterval = 1'000'000;
 constexpr Micros kWorkerListRetryInterval = 300'000;
-// Several proxies register or go at about the same time: their new ranks are announced once.
+// Delays that combine the announcements for several proxies that register or disconnect at about the same
+// time.
 constexpr Micros kRanksDelayAfterRegistration = 300'000;
 constexpr Micros kRanksDelayAfterDisconnect = 2'000'000;
 constexpr std::size_t kMaxRecentActions = 512;
-constexpr std::size_t kNameInNonce = 24;  // bytes, so that a nonce stays under the platform's 64
+// Keeps nonces below the platform's limit of 64 bytes.
+constexpr std::size_t kMaxNodeNameInNonceBytes = 24;
 
-// Unique also where one process starts a coordinator twice in one term: the platform answers a nonce that it
-// has seen with the runner of then. A later process of this machine leads in later terms only.
-std::string nonce_prefix(const std::string& node_name, Number term) {
+// The prefix is unique even if one process starts two coordinators in one term, because the platform answers
+// a repeated nonce with the runner that it started for the first request. A later process on this machine
+// leads in later terms only.
+std::string make_nonce_prefix(const std::string& node_name, Number term) {
     static Number coordinators_started = 0;
-    return node_name.substr(0, kNameInNonce) + "-" + std::to_string(term) + "-" +
+    return node_name.substr(0, kMaxNodeNameInNonceBytes) + "-" + std::to_string(term) + "-" +
            std::to_string(++coordinators_started) + "-";
 }
 
-SlotTable::Options slot_table_options(const Settings& settings) {
+SlotTable::Options make_slot_table_options(const Settings& settings) {
     SlotTable::Options options;
     options.retry_budget = settings.retry_budget_slack;
     options.retry_budget_window = settings.retry_budget_window;
@@ -34,13 +37,14 @@
     return options;
 }
 
-Planner::Options planner_options(const Settings& settings, const ExchangeRates& rates, Number term) {
+Planner::Options make_planner_options(const Settings& settings, const ExchangeRates& rates, Number term) {
     Planner::Options options;
     options.rates = rates;
-    options.nonce_prefix = nonce_prefix(settings.node_name, term);
+    options.nonce_prefix = make_nonce_prefix(settings.node_name, term);
     options.requests_per_s = settings.platform_actions_per_s;
     options.region_of = settings.region_of_zone;
-    // Proxies register what they know to be starting; what nobody knows costs one start too many.
+    // Time for proxies to register the starting runners that they know. A starting runner that no proxy knows
+    // causes one superfluous start.
     options.takeover_delay = 300'000;
     return options;
 }
@@ -51,8 +55,8 @@
                          Send send)
     : term_(term),
       send_(std::move(send)),
-      slot_table_(slot_table_options(settings)),
-      planner_(planner_options(settings, rates, term), net::Loop::now()),
+      slot_table_(make_slot_table_options(settings)),
+      planner_(make_planner_options(settings, rates, term), net::Loop::now()),
       list_poller_({.max_pages_per_s = settings.platform_lists_per_s}, net::Loop::now()),
       platform_(loop, settings.platform_address, FencingToken{settings.node_name, term}, *this),
       recent_actions_(kMaxRecentActions) {
@@ -93,7 +97,7 @@
     if (announce_ranks_at_ == 0) announce_ranks_at_ = at;
 }
 
-// By name, so that proxies keep their ranks where the set of them stays the same.
+// Ranks follow the order of names, so that they do not change while the set of proxies is the same.
 void Coordinator::announce_ranks() {
     announce_ranks_at_ = 0;
     std::vector<std::pair<std::string, Session>> by_name;
@@ -107,7 +111,7 @@
 void Coordinator::on_registered(Session session, const RegisterRequest& registration) {
     RegisteredProxy& proxy = proxies_[session];
     proxy.name = registration.name;
-    proxy.configuration.held = registration.configuration_version;
+    proxy.configuration.acknowledged = registration.configuration_version;
     send_(session, RegisterResponse{term_, 0, static_cast<std::uint32_t>(proxies_.size()), members_});
     send_update(session, proxy);
     ProxyOutbox messages;
@@ -125,20 +129,20 @@
 }
 
 void Coordinator::send_all(ProxyOutbox& messages) {
-    for (const ProxyMessage& one : messages) send_(one.to, one.message);
+    for (const ProxyMessage& outgoing : messages) send_(outgoing.to, outgoing.message);
     messages.clear();
 }
 
 void Coordinator::on_message(Session session, const Message& message) {
-    const auto at = proxies_.find(session);
-    if (at == proxies_.end()) return;
+    const auto proxy = proxies_.find(session);
+    if (proxy == proxies_.end()) return;
     const Micros now = net::Loop::now();
     if (const auto* request = std::get_if<AcquireRequest>(&message))
         return on_acquire(now, session, *request);
     if (std::get_if<Heartbeat>(&message) != nullptr) return send_(session, Heartbeat{});
-    if (const auto* held = std::get_if<ConfigurationAck>(&message)) {
-        at->second.configuration = {held->version, 0};
-        return send_update(session, at->second);
+    if (const auto* acknowledgement = std::get_if<ConfigurationAck>(&message)) {
+        proxy->second.configuration = {acknowledgement->version, 0};
+        return send_update(session, proxy->second);
     }
     update_slots(now, session, message);
 }
@@ -213,7 +217,8 @@
                          reply.status, start.why});
     planner_.on_start_result(now, start.nonce, reply.result);
     send_all(messages);
-    // What the answer changed is planned with the next sample; what waits has been planned for.
+    // No planning here: the next tick plans for the changed state, and the waiting requests are planned for
+    // already.
 }
 
 void Coordinator::on_stop_completed(Micros now, const StopRunner& stop,
@@ -233,17 +238,17 @@
     ProxyOutbox messages;
     planner_.plan_for_waiting(now, slot_table_, function, messages);
     send_all(messages);
-    request_due(now);
+    send_due_requests(now);
 }
 
 void Coordinator::plan_all(Micros now) {
     ProxyOutbox messages;
     planner_.plan_all(now, slot_table_, messages);
     send_all(messages);
-    request_due(now);
+    send_due_requests(now);
 }
 
-void Coordinator::request_due(Micros now) {
+void Coordinator::send_due_requests(Micros now) {
     const PlatformRequests requests = planner_.take_due_requests(now);
     for (const StartRunner& start : requests.starts) platform_.start(start);
     for (const StopRunner& stop : requests.stops) platform_.stop(stop);
@@ -259,7 +264,7 @@
     }
 }
 
-// ---- time, log and operators ----
+// ---- ticks, log and status ----
 
 void Coordinator::tick(Micros now) {
     if (now < next_tick_) return;
@@ -273,12 +278,12 @@
     plan_all(now);
 }
 
-// Of those since the last call the ones that the table still remembers.
+// Logs the inversions since the last call that the table still has.
 void Coordinator::log_priority_inversions() {
     const auto& inversions = slot_table_.priority_inversions();
-    const std::size_t fresh =
+    const std::size_t new_entries =
         std::min(inversions.total_added() - inversions_logged_, inversions.entries().size());
-    for (std::size_t i = inversions.entries().size() - fresh; i < inversions.entries().size(); ++i)
+    for (std::size_t i = inversions.entries().size() - new_entries; i < inversions.entries().size(); ++i)
         log_priority_inversion(inversions.entries()[i]);
     inversions_logged_ = inversions.total_added();
 }
--- a/src/cluster/coordinator/coordinator.hpp
+++ b/src/cluster/coordinator/coordinator.hpp
@@ -1,7 +1,7 @@
-// The coordinator: what the core's leader does for all proxies in one term. It keeps the slots of all
-// runners, plans how many runners there are, has the platform start and stop them, and brings proxies the
-// committed configuration. It is created for each term and knows nothing of the one before but what
-// proxies register and the platform lists.
+// The coordinator, which the core's leader runs during one term. It grants the slots of all runners to
+// proxies, plans the number of runners, starts and stops them through the platform's API, and sends the
+// committed configuration to proxies. Each term has a new coordinator, which rebuilds its state from the
+// registrations of proxies and the platform's lists.
 #pragma once
 
 #include <functional>
@@ -21,50 +21,50 @@
 
 namespace gannethold::cluster {
 
-/// A start or a stop of a runner that the platform was asked for.
+/// A start or stop of a runner that was requested from the platform, with the result.
 struct PlatformAction {
     enum class Kind { start, stop };
     Micros at = 0;
     Kind kind = Kind::start;
-    std::string service;  // of a start
-    std::string worker;   // of a start
+    std::string service;  // of a start only
+    std::string worker;   // of a start only
     std::string runner;
-    std::string status;  // the platform's, of HTTP; "none" without an answer
+    std::string status;  // the HTTP status; "none" if there was no response
     const char* reason = "";
 };
 
-/// A proxy that has registered.
+/// A registered proxy.
 struct RegisteredProxy {
     std::string name;
     ProxyConfiguration configuration;
 };
 
-/// One thread: all calls come from the loop's. Times are those of net::Loop::now().
+/// Not thread-safe: all calls are made on the thread of the event loop. Times are those of net::Loop::now().
 class Coordinator final : private PlatformClient::Listener {
   public:
     using Send = std::function<void(Session, const Message&)>;
 
-    /// `term` is the fence of all that the platform is asked for. `loop` and `settings` must outlive this
-    /// object. `send` may be called within each member that is not const.
+    /// `term` is part of the fencing token of all requests to the platform. `loop` and `settings` must
+    /// outlive this object. Any member function that is not const may call `send`.
     Coordinator(net::Loop& loop, const Settings& settings, const ExchangeRates& rates, Number term,
                 Send send);
 
-    /// The newest committed entry, any number of times. `parsed`: its configuration where it has been read
-    /// already, else nullptr.
+    /// Handles the newest committed entry. Repeated calls with the same entry have no effect. `parsed`: the
+    /// configuration in the entry, or nullptr if it has not been parsed.
     void on_committed(const LogEntry& entry, std::shared_ptr<const Configuration> parsed);
 
-    // Of proxies' sessions. A session begins with its first registration and ends with on_disconnected().
+    // Sessions of proxies. A session starts with its first registration and ends with on_disconnected().
     void on_registered(Session session, const RegisterRequest& registration);
     void on_message(Session session, const Message& message);
     void on_disconnected(Session session);
 
-    /// Does what is due; nothing before next_tick().
+    /// Performs the work that is due. No effect before next_tick().
     void tick(Micros now);
     Micros next_tick() const { return next_tick_; }
     Number term() const { return term_; }
 
-    /// Adds to `status` what operators ask of the part: starts, functions, waiting, overtakings or fronts;
-    /// empty: all of them.
+    /// Adds a part of the coordinator's status to `status`: starts, functions, waiting, overtakings or
+    /// fronts; empty: all parts.
     void explain(Micros now, const std::string& part, json::Object& status) const;
 
   private:
@@ -86,7 +86,7 @@
     void poll_platform(Micros now);
     void plan_all(Micros now);
     void plan_waiting(Micros now, Function& function);
-    void request_due(Micros now);
+    void send_due_requests(Micros now);
     void log_priority_inversions();
     void log_priority_inversion(const PriorityInversion& inversion) const;
     std::string proxy_name(Session session) const;
@@ -101,7 +101,7 @@
     std::map<Session, RegisteredProxy> proxies_;
     std::vector<std::string> members_;  // of the core
     Micros next_tick_ = 0;
-    Micros announce_ranks_at_ = 0;  // 0: nothing to announce
+    Micros announce_ranks_at_ = 0;  // 0: no announcement is due
     Micros next_worker_list_ = 0;
     bool worker_list_pending_ = false;
     std::size_t inversions_logged_ = 0;
--- a/src/cluster/coordinator/coordinator_status.cpp
+++ b/src/cluster/coordinator/coordinator_status.cpp
@@ -51,7 +51,7 @@
 json::List waiting_rows(Micros now, const SlotTable& slot_table) {
     json::List rows;
     for (const auto& [name, function] : slot_table.functions())
-        for (const auto& [place, waiting] : function->waiting.all())
+        for (const auto& [position, waiting] : function->waiting.all())
             rows.emplace_back(json::Object{{"function", json_value(name)},
                                            {"front", json_proxy(slot_table, waiting.session)},
                                            {"priority", json_value(waiting.request.priority)},
@@ -80,7 +80,7 @@
     json::List rows;
     for (const auto& [session, proxy] : proxies)
         rows.emplace_back(json::Object{{"front", json_value(proxy.name)},
-                                       {"version_held", json_number(proxy.configuration.held)},
+                                       {"version_held", json_number(proxy.configuration.acknowledged)},
                                        {"version_sent", json_number(proxy.configuration.in_flight)}});
     return rows;
 }
--- a/src/cluster/coordinator/coordinator_status.hpp
+++ b/src/cluster/coordinator/coordinator_status.hpp
@@ -1,5 +1,5 @@
-// What a coordinator answers to gannethold-explain. The names of the JSON's members and parts are read by
-// operators' tools.
+// The status that a coordinator reports to gannethold-explain. Operators' tools read the names of the parts
+// and of the JSON members.
 #pragma once
 
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace gannethold::cluster {
 
-/// What the status is made of; refers, and is not kept.
+/// References to the reported state, for the duration of one call.
 struct CoordinatorView {
     const SlotTable& slot_table;
     const BoundedHistory<PlatformAction>& recent_actions;
     const std::map<Session, RegisteredProxy>& proxies;
 };
 
-/// Adds the part to `status`: starts, functions, waiting, overtakings or fronts; empty: all of them.
+/// Adds the part to `status`: starts, functions, waiting, overtakings or fronts; empty: all parts.
 void add_coordinator_status(Micros now, const std::string& part, const CoordinatorView& view,
                             json::Object& status);
 
--- a/src/cluster/coordinator/platform_client.cpp
+++ b/src/cluster/coordinator/platform_client.cpp
@@ -77,10 +77,10 @@
 }
 
 void PlatformClient::on_call_completed(CallId id, const HttpMessage* response) {
-    const auto at = pending_.find(id);
-    if (at == pending_.end()) return;
-    const PendingCall pending = std::move(at->second);
-    pending_.erase(at);
+    const auto found = pending_.find(id);
+    if (found == pending_.end()) return;
+    const PendingCall pending = std::move(found->second);
+    pending_.erase(found);
     const Micros now = net::Loop::now();
     switch (pending.kind) {
         case Kind::list_runners:
--- a/src/cluster/coordinator/platform_client.hpp
+++ b/src/cluster/coordinator/platform_client.hpp
@@ -1,5 +1,5 @@
-// The calls of a coordinator to the platform's API: lists of runners and workers, starts and stops of
-// runners. Each call ends with one call of the listener, also where the platform is silent.
+// The coordinator's client for the platform's API, which lists runners and workers, and starts and stops
+// runners.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,22 @@
 
 namespace gannethold::cluster {
 
+/// Each call ends with exactly one call of the listener, even if the platform does not answer.
 class PlatformClient {
   public:
     struct StartReply {
         StartResult result = StartResult::timed_out;
-        std::string runner_id;  // where one was started
-        std::string address;    // where one was started
-        std::string status;     // of HTTP; "none" without an answer
+        std::string runner_id;  // if a runner was started
+        std::string address;    // if a runner was started
+        std::string status;     // the HTTP status; "none" if there was no response
     };
     struct StopReply {
         bool done = false;
         std::string status;
     };
 
-    /// Called from the loop or from tick(), never within the call that began the request.
+    /// Receives the results. Called from the event loop or from tick(), never from within the call that
+    /// started the request.
     class Listener {
       public:
         Listener() = default;
@@ -42,17 +44,17 @@
         virtual void on_stop_completed(Micros now, const StopRunner& stop, const StopReply& reply) = 0;
     };
 
-    /// `address`: "ip:port". `token` goes with each start and stop. `loop` and `listener` must outlive this
-    /// object.
+    /// `address`: "ip:port". `token` is sent with each start and stop. `loop` and `listener` must outlive
+    /// this object.
     PlatformClient(net::Loop& loop, std::string address, FencingToken token, Listener& listener);
 
-    /// `page_token`: of the page; empty: the first.
+    /// `page_token` selects the page; empty: the first one.
     void list_runners(const std::string& page_token);
     void list_workers();
     void start(const StartRunner& start);
     void stop(const StopRunner& stop);
 
-    /// Ends the calls that were not answered in time, and closes idle connections. Call it about ten times a
+    /// Ends the calls that have timed out, and closes expired idle connections. Call it about ten times per
     /// second.
     void tick(Micros now);
 
@@ -60,13 +62,13 @@
     enum class Kind { list_runners, list_workers, start, stop };
     struct PendingCall {
         Kind kind = Kind::list_runners;
-        StartRunner start;  // of a start
-        StopRunner stop;    // of a stop
+        StartRunner start;  // of a start only
+        StopRunner stop;    // of a stop only
         Micros deadline = 0;
     };
 
     void call(PendingCall pending, const HttpMessage& request);
-    /// `response`: nullptr where there is none.
+    /// `response`: nullptr if there was none.
     void on_call_completed(CallId id, const HttpMessage* response);
     void on_runners(Micros now, const HttpMessage* response);
     void on_workers(Micros now, const HttpMessage* response);
