--- a/tests/system/proxy/request_handler_test.cpp
+++ b/tests/system/proxy/request_handler_test.cpp
@@ -390,7 +390,7 @@
     Actions begun;
     proxy.handler.begin_shutdown(WaitingProxy::kStart, WaitingProxy::kResponseDeadline, begun);
     BOOST_TEST(begun.local_replies.empty());
-    // The estimated work time is the latency target, 2 s: the request can complete if it is sent before 3.6 s.
+    // The estimated work time is the latency target, 2 s: the request can complete if sent before 3.6 s.
     BOOST_TEST(proxy.tick(WaitingProxy::kStart + 3'500'000).local_replies.empty());
     const Actions late = proxy.tick(WaitingProxy::kStart + 3'700'000);
     BOOST_REQUIRE(late.local_replies.size() == 1U);
