--- a/src/cluster/consensus/confirmed_versions.cpp
+++ b/src/cluster/consensus/confirmed_versions.cpp
@@ -24,7 +24,7 @@
     return later;
 }
 
-bool may_be_forgotten(const std::vector<ConfirmedVersion>& records) {
+bool may_have_dropped_records(const std::vector<ConfirmedVersion>& records) {
     return records.size() >= kMaxConfirmedVersions;
 }
 
--- a/src/cluster/consensus/confirmed_versions.hpp
+++ b/src/cluster/consensus/confirmed_versions.hpp
@@ -1,6 +1,7 @@
-// Which configuration was committed under which version. These records are part of the replicated state, so
-// that any later leader answers a repeated proposal as the earlier one did, and no two configurations are
-// ever committed under one version. Their number is bounded: those of the oldest log entries are dropped.
+// Records of which configuration was committed under which version. They are part of the replicated state, so
+// that a later leader answers a repeated proposal as the earlier leader did, and two configurations are never
+// committed under the same version. Their number is bounded: the records of the oldest log entries are
+// dropped first.
 #pragma once
 
 #include <vector>
@@ -9,20 +10,20 @@
 
 namespace gannethold::cluster {
 
-// About 100 KB of memory at 24 bytes a record.
+// About 100 KB of memory at 24 bytes per record.
 constexpr std::size_t kMaxConfirmedVersions = 4096;
 
-// The record of that version; nullptr: none is kept.
+// Returns the record of the version, or nullptr if there is none.
 const ConfirmedVersion* find_confirmed(const std::vector<ConfirmedVersion>& records,
                                        ConfigurationVersion version);
 
-// Appends a record, and drops the oldest one where there are too many.
+// Appends a record, and drops the oldest one if there are more than kMaxConfirmedVersions.
 void add_confirmed(std::vector<ConfirmedVersion>& records, const ConfirmedVersion& record);
 
-// The records of log entries after that index.
+// Returns the records of the log entries after the index.
 std::vector<ConfirmedVersion> confirmed_after(const std::vector<ConfirmedVersion>& records, LogIndex index);
 
-// Whether the record of a version that is not above the newest one may have been dropped.
-bool may_be_forgotten(const std::vector<ConfirmedVersion>& records);
+// Whether records may have been dropped, so that a version without a record may still have been committed.
+bool may_have_dropped_records(const std::vector<ConfirmedVersion>& records);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/consensus.cpp
+++ b/src/cluster/consensus/consensus.cpp
@@ -1,4 +1,4 @@
-// Calls from outside: time and messages.
+// The public interface of Consensus: timers and incoming messages.
 #include "cluster/consensus/consensus.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// Election timeouts without a leader after which a follower asks whether it was removed: the remaining
-// members do not answer its vote requests.
+// Election timeouts without a leader after which a follower asks the other members whether it was removed.
+// They do not answer the vote requests of a removed member, so it would not find out otherwise.
 constexpr int kTimeoutsUntilRecovery = 4;
 
 template <class... Handlers>
@@ -32,18 +32,19 @@
       recovery_(now) {}
 
 ConsensusOutput Consensus::start() {
-    if (!state_.voting_state.is_member && options_.first_start) found_core();
+    if (!state_.voting_state.is_member && options_.bootstrap) bootstrap_core();
     if (state_.voting_state.is_member) {
         role_ = Role::follower;
-        remember_head();
+        add_head_to_history();
     }
     restart_election_timer();
     run_due_work();
     return take_output();
 }
 
-// All founders have the same seeds, so all found the same core. Any other machine asks to join.
-void Consensus::found_core() {
+// Creates the initial membership from the seed addresses. All seed members have the same list, so they create
+// the same core. A machine that is not in the list asks to join.
+void Consensus::bootstrap_core() {
     if (!contains(options_.seeds, options_.self)) return;
     state_.voting_state.is_member = true;
     state_.entry.position = {0, 1};
@@ -62,18 +63,18 @@
 
 void Consensus::dispatch(const std::string& from, const Message& message) {
     std::visit(Overloaded{
-                   [&](const VoteRequest& request) { handle_request_vote(from, request); },
-                   [&](const VoteResponse& response) { handle_vote_response(from, response); },
-                   [&](const TimeoutNow& request) { handle_timeout_now(from, request); },
-                   [&](const AppendRequest& request) { handle_append_request(from, request); },
-                   [&](const EntryChunk& chunk) { handle_entry_chunk(from, chunk); },
-                   [&](const AppendResponse& response) { handle_append_response(from, response); },
-                   [&](const JoinRequest&) { handle_join_request(from); },
-                   [&](const LeaveRequest&) { handle_leave_request(from); },
-                   [&](const LeaveResponse& response) { handle_leave_response(response); },
-                   [&](const RecoveryRequest& request) { handle_recovery_request(from, request); },
-                   [&](const RecoveryResponse& response) { handle_recovery_response(from, response); },
-                   [](const auto&) {},  // between proxies and the coordinator
+                   [&](const VoteRequest& request) { on_vote_request(from, request); },
+                   [&](const VoteResponse& response) { on_vote_response(from, response); },
+                   [&](const TimeoutNow& request) { on_timeout_now(from, request); },
+                   [&](const AppendRequest& request) { on_append_request(from, request); },
+                   [&](const EntryChunk& chunk) { on_entry_chunk(from, chunk); },
+                   [&](const AppendResponse& response) { on_append_response(from, response); },
+                   [&](const JoinRequest&) { on_join_request(from); },
+                   [&](const LeaveRequest&) { on_leave_request(from); },
+                   [&](const LeaveResponse& response) { on_leave_response(response); },
+                   [&](const RecoveryRequest& request) { on_recovery_request(from, request); },
+                   [&](const RecoveryResponse& response) { on_recovery_response(from, response); },
+                   [](const auto&) {},  // messages between proxies and the coordinator
                },
                message);
 }
@@ -111,7 +112,7 @@
     if (role_ == Role::leader) next = next_heartbeat_;
     if (role_ == Role::non_member)
         next = std::max(recovery_.next_request_at(), now_ + options_.heartbeat_interval);
-    if (leave_.is_begun() && !leave_.may_stop()) next = std::min(next, leave_.next_request_at());
+    if (leave_.has_begun() && !leave_.can_stop()) next = std::min(next, leave_.next_request_at());
     return next;
 }
 
--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -1,18 +1,18 @@
-// Consensus of the core on one small register: the configuration in force, which versions were committed, and
-// who votes.
+// Raft consensus of the core on one small register: the configuration in force, the versions that have been
+// committed, and the voters.
 //
-// A leader is elected by a quorum for a term. Every change is a new LogEntry with the leader's term and the
-// next index, and is committed once a quorum has it on disk. These are Raft's rules with a log of which only
-// the last entry is kept: each entry holds the complete state, so earlier entries are never needed.
+// A quorum elects a leader for a term. Every change is a new LogEntry with the leader's term and the next
+// index, and is committed once a quorum has it on disk. Unlike in Raft, only the last log entry is kept: each
+// entry holds the complete state, so earlier entries are never needed.
 //
-// Sources. "Raft" in comments: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
-// (extended version). "Thesis": Ongaro, "Consensus: Bridging Theory and Practice", which adds pre-votes
-// (9.6), leadership transfer (3.10) and leases (6.4.1). Recovery of a member that lost its disk: Liskov and
-// Cowling, "Viewstamped Replication Revisited", section 4.3.
+// References: "Raft" in comments is Ongaro and Ousterhout, "In Search of an Understandable Consensus
+// Algorithm" (extended version). "Thesis" is Ongaro, "Consensus: Bridging Theory and Practice", which adds
+// pre-votes (9.6), leadership transfer (3.10) and leases (6.4.1). The recovery of a member that lost its disk
+// follows Liskov and Cowling, "Viewstamped Replication Revisited", section 4.3.
 //
-// Files: consensus.cpp (calls from outside), election.cpp, replication.cpp (the leader), follower.cpp,
-// proposals.cpp, membership.cpp, recovery.cpp. The parts have headers of their own. docs/control-plane.md
-// states the invariants and why they are kept.
+// The implementation is split into consensus.cpp (public interface), election.cpp, replication.cpp (leader),
+// follower.cpp, proposals.cpp, membership.cpp and recovery.cpp. docs/control-plane.md states the invariants
+// and why they hold.
 #pragma once
 
 #include <map>
@@ -39,98 +39,98 @@
 
 namespace gannethold::cluster {
 
-// What a call of Consensus asks of its caller, who does it in this order:
-//   1. If must_persist, write persistent_state() to disk and sync it. If that fails, discard the rest and the
-//      Consensus: the member is constructed again from what is on disk.
-//   2. Send the messages and pass on the results. Lost messages need no handling: they are sent again.
+// What the caller of a Consensus method has to do, in this order:
+//   1. If must_persist is set, write persistent_state() to disk and sync it. If that fails, discard the rest
+//      of the output and the Consensus object, and construct the member again from the state on disk.
+//   2. Send the messages and report the results. The caller need not handle lost messages: they are resent.
 struct ConsensusOutput {
-    struct Envelope {
-        std::string to;  // a core machine's control_plane address
+    struct OutboundMessage {
+        std::string to;  // control_plane address of a core machine
         Message message;
     };
     bool must_persist = false;
-    std::vector<Envelope> messages;
+    std::vector<OutboundMessage> messages;
     std::vector<ProposalResult> proposal_results;
 };
 
 // One member of the core, as a state machine without I/O.
 //
-// Thread safety: none; all calls come from one thread. Clock: `now` is any steady clock in microseconds, the
-// same one in all calls; it never steps back.
+// Not thread-safe: all calls must come from one thread. `now` is the time of a steady clock in microseconds;
+// all calls must use the same clock.
 class Consensus {
   public:
     struct Options {
-        std::string self;                // the own control_plane address, by which others know this member
-        std::vector<std::string> seeds;  // addresses to ask; at the first start: the founders
-        bool first_start = false;        // the core is founded with this start
+        std::string self;                // control_plane address of this member, which identifies it
+        std::vector<std::string> seeds;  // queried for recovery; at bootstrap, the initial members
+        bool bootstrap = false;          // creates the core from the seeds if the disk holds no member
         Micros heartbeat_interval = 90'000;
-        // Minimum silence of a leader before any member votes against it.
+        // A member does not vote for another candidate until the leader has been silent for this time.
         Micros election_timeout = 450'000;
-        // Shorter than the election timeout by more than the clocks may drift apart meanwhile.
+        // Shorter than the election timeout by more than the clock drift between members in that time.
         Micros lease_duration = 330'000;
-        Micros replace_after = 1'000'000;  // silence of a voter until a learner takes its place
-        Micros remove_after = 2'000'000;   // silence of voters until they are removed without successors
-        std::uint64_t random_seed = 1;     // another one on each member
-        const ConsensusRules* rules = &ConsensusRules::standard();  // not owned; outlives the member
+        Micros replace_after = 1'000'000;  // silence of a voter after which a learner replaces it
+        Micros remove_after = 2'000'000;  // silence of voters after which they are removed without successors
+        std::uint64_t random_seed = 1;    // must differ between members
+        const ConsensusRules* rules = &ConsensusRules::standard();  // not owned; must outlive the member
     };
 
-    // state: as the disk has it; default values if it has none.
+    // `state` is the state on disk, or default values if there is none.
     //
-    // A member that starts lets one election timeout pass before it votes against the leader whose heartbeat
-    // it answered last, since it doesn't know how long ago that was. It votes for that leader at once: a
-    // leader that asks for votes has restarted and has no lease.
+    // After a start, a member waits one election timeout before it votes for a candidate other than the
+    // leader whose heartbeat it answered last, since it does not know how long ago that was. It may vote for
+    // that leader at once: a leader that requests votes has restarted and holds no lease.
     Consensus(Options options, PersistentState state, Micros now);
 
-    // REQUIRES: called once, before all other calls below.
+    // REQUIRES: called once, before any other method below.
     [[nodiscard]] ConsensusOutput start();
-    // Messages that are not for the core are ignored.
+    // Ignores messages that are not part of the consensus protocol.
     [[nodiscard]] ConsensusOutput on_message(Micros now, const std::string& from, const Message& message);
-    // To be called at next_timer(); more often does no harm.
+    // Must be called at next_timer(); more frequent calls are allowed.
     [[nodiscard]] ConsensusOutput on_timer(Micros now);
     Micros next_timer() const { return next_timer_; }
 
-    // Proposes a configuration, at the leader. Its result comes with this output or a later one. Under one
-    // version one body is committed, ever; the same body proposed again is committed again. A version below
-    // the newest is recorded and changes nothing else.
+    // Proposes a configuration; only the leader accepts it. The result is part of this output or a later one.
+    // At most one body is ever committed under a version. A proposal that repeats a committed body succeeds
+    // again. A version below the newest one is recorded, but does not replace the configuration in force.
     [[nodiscard]] ConsensusOutput propose(Micros now, Proposal proposal);
 
-    // Before a planned stop: a leader transfers leadership, any other member asks the leader whether it may
-    // stop.
+    // Prepares a planned stop: a leader transfers leadership, any other member asks the leader for permission
+    // to stop.
     [[nodiscard]] ConsensusOutput begin_leaving(Micros now);
     // After begin_leaving(): whether a quorum without this member has stored all committed entries.
-    bool may_stop() const { return leave_.may_stop(); }
+    bool can_stop() const { return leave_.can_stop(); }
 
     void set_seeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
-    // Good until the next call that is not const.
+    // The reference is valid until the next non-const call.
     const PersistentState& persistent_state() const { return state_; }
-    // Whether it is the leader of its term, has committed an entry in it (Raft, section 8) and has not
-    // transferred leadership. It may act for the core only while it also has_lease().
+    // Whether this member is the leader of its term, has committed an entry in it (Raft, section 8) and has
+    // not transferred leadership. It may act on behalf of the core only while has_lease() is true as well.
     bool is_established_leader() const;
-    // Whether it is the established leader, and no other can have been elected. A lease that ran out and
-    // was regained in the same term was never another member's in between: a voter that has voted for another
-    // member no longer responds in this term.
+    // Whether this member is the established leader and no other member can have been elected. If a lease
+    // expires and is regained in the same term, no other member held one in between: a voter that has voted
+    // for another member no longer responds in this term.
     bool has_lease(Micros now) const;
-    // The newest entry known to be committed; nullptr: none yet. Good until the next call that is not const.
+    // The newest entry known to be committed, or nullptr. Valid until the next non-const call.
     const LogEntry* committed_entry() const;
-    // Of the current term, as far as known; else empty.
+    // The leader of the current term; empty if unknown.
     const std::string& leader() const { return leader_; }
     Term current_term() const { return state_.voting_state.term; }
-    // Of the newest entry, committed or not.
+    // The voters of the newest entry, which may not be committed yet.
     const std::vector<std::string>& voters() const { return state_.entry.members; }
-    // Known at the leader only.
+    // The learners; meaningful only while this member is the leader.
     const std::set<std::string>& learners() const { return learners_; }
-    // Whether it is no member: its disk was lost, or it was removed.
+    // Whether this machine is not a member: its disk was lost, it was removed, or it has not joined yet.
     bool is_recovering() const { return !state_.voting_state.is_member; }
-    // When the last message from that machine came; 0: never.
+    // When the last message from the machine arrived; 0: never.
     Micros last_contact(const std::string& member) const;
 
   private:
-    // non_member: promises nothing and answers no vote request. pre_candidate: thesis, section 9.6.
+    // non_member: grants no lease and answers no vote request. pre_candidate: thesis, section 9.6.
     enum class Role { non_member, follower, pre_candidate, candidate, leader };
 
     // ---- consensus.cpp ----
-    void found_core();
+    void bootstrap_core();
     void run_due_work();
     void campaign_if_due();
     Micros compute_next_timer() const;
@@ -152,17 +152,17 @@
     void step_down(Term term);
     void become_leader();
     bool has_leader_contact() const { return now_ < last_leader_contact_ + options_.election_timeout; }
-    bool may_owe_lease_to_other_than(const std::string& candidate) const;
+    bool is_bound_by_lease_against(const std::string& candidate) const;
     Term next_term() const;
-    void handle_request_vote(const std::string& from, const VoteRequest& request);
-    VoteResponse decide_pre_vote(const VoteRequest& request, bool owes_lease);
+    void on_vote_request(const std::string& from, const VoteRequest& request);
+    VoteResponse decide_pre_vote(const VoteRequest& request, bool is_bound_by_lease);
     VoteResponse decide_vote(const std::string& from, const VoteRequest& request);
-    void handle_vote_response(const std::string& from, const VoteResponse& response);
-    void handle_timeout_now(const std::string& from, const TimeoutNow& request);
+    void on_vote_response(const std::string& from, const VoteResponse& response);
+    void on_timeout_now(const std::string& from, const TimeoutNow& request);
 
     // ---- replication.cpp: the leader ----
     void append(LogEntry entry);
-    void remember_head();
+    void add_head_to_history();
     void send_heartbeats();
     void send_heartbeat(const std::string& to);
     void start_transfer(Peer& peer);
@@ -170,7 +170,7 @@
     void send_chunk(const std::string& to, Peer& peer);
     LogPosition transfer_base(const Peer& peer) const;
     std::size_t count_large_transfers() const;
-    void handle_append_response(const std::string& from, const AppendResponse& response);
+    void on_append_response(const std::string& from, const AppendResponse& response);
     void advance_commit();
     bool has_head(const std::string& voter) const;
     bool has_quorum_contact() const;
@@ -180,8 +180,8 @@
     // ---- follower.cpp ----
     bool accept_leader(const std::string& from, Term term);
     void respond_to_leader(const std::string& from, Round round);
-    void handle_append_request(const std::string& from, const AppendRequest& request);
-    void handle_entry_chunk(const std::string& from, const EntryChunk& chunk);
+    void on_append_request(const std::string& from, const AppendRequest& request);
+    void on_entry_chunk(const std::string& from, const EntryChunk& chunk);
     void install_payload(const EntryChunk& last_chunk, const std::string& bytes);
     void install(LogEntry entry);
 
@@ -199,56 +199,56 @@
     bool is_safe_without(const std::string& member) const;
     void continue_leaving();
     void transfer_leadership();
-    void handle_join_request(const std::string& from);
-    void handle_leave_request(const std::string& from);
-    void handle_leave_response(const LeaveResponse& response);
+    void on_join_request(const std::string& from);
+    void on_leave_request(const std::string& from);
+    void on_leave_response(const LeaveResponse& response);
 
     // ---- recovery.cpp ----
     void send_recovery_requests();
-    void handle_recovery_request(const std::string& from, const RecoveryRequest& request);
-    void handle_recovery_response(const std::string& from, const RecoveryResponse& response);
+    void on_recovery_request(const std::string& from, const RecoveryRequest& request);
+    void on_recovery_response(const std::string& from, const RecoveryResponse& response);
     void become_learner(const RecoveryResponse& newest);
     bool accepts_state() const;
     void become_member_if_voter();
 
     Options options_;
-    // Terms and the head's position never go back while promise.member. Changes are persisted before the
-    // messages of the same output are sent.
+    // The term and the head's position never decrease while voting_state.is_member is true. The caller
+    // persists changes before it sends the messages of the same output.
     PersistentState state_;
-    // The newest entry known to be committed (Raft's commitIndex); at most as new as state_.entry while this
-    // is a member. Not persisted: a member that starts learns it from its leader.
+    // The newest entry known to be committed (Raft's commitIndex); never newer than state_.entry while this
+    // is a member. Not persisted: after a start the member learns it from the leader.
     LogEntry committed_entry_;
-    Role role_ = Role::non_member;  // non_member exactly while !state_.promise.member
-    std::string leader_;            // of the current term; empty: not known
+    Role role_ = Role::non_member;  // non_member if and only if !state_.voting_state.is_member
+    std::string leader_;            // of the current term; empty: unknown
 
-    ConsensusOutput output_;  // of the call that is being carried out; empty between calls
-    Micros now_ = 0;          // the time of that call
+    ConsensusOutput output_;  // of the call in progress; empty between calls
+    Micros now_ = 0;          // the time of the call in progress
     Micros started_at_ = 0;
     Micros next_timer_ = 0;
 
     // ---- elections (Raft, section 5.2) ----
     ElectionTimer election_timer_;
-    Micros last_leader_contact_ = 0;  // when a leader's message was accepted last, or this member started
-    std::set<std::string> votes_;     // of this candidacy, the own one included
-    // The leader asked for this election (thesis, section 3.10): its lease does not prevent votes.
+    Micros last_leader_contact_ = 0;  // when a leader's message was last accepted; initially the start time
+    std::set<std::string> votes_;     // received in this candidacy, including this member's own
+    // The leader requested this election (thesis, section 3.10), so its lease does not prevent votes.
     bool is_leadership_transfer_ = false;
-    // The first term in which others may vote, as learned from their refusals.
+    // The first term in which the other members may vote, learned from their rejections.
     Term min_next_term_ = 0;
 
-    // ---- the leader's; meaningless in other roles ----
-    std::map<std::string, Peer>
-        peers_;  // by address: all that sent a message; last_contact is kept in all roles
+    // ---- leader state; meaningless in other roles ----
+    // By address, all machines that have sent a message. Peer::last_contact is maintained in all roles.
+    std::map<std::string, Peer> peers_;
     LeaderLease lease_;
     Micros next_heartbeat_ = 0;
-    EntryHistory history_;  // a follower's, too: it may lead next
+    EntryHistory history_;  // also maintained by followers, which may become leader
     ProposalQueue proposals_;
-    std::set<std::string> learners_;  // never voters of the newest entry
-    // Members whose last response announced that they leave.
+    std::set<std::string> learners_;  // disjoint from the voters of the newest entry
+    // Members whose last response announced that they are leaving.
     std::set<std::string> leaving_members_;
-    // It transferred leadership: it starts nothing more in this term.
+    // Leadership was transferred; no further change begins in this term.
     bool leadership_transferred_ = false;
 
-    // ---- a follower's ----
+    // ---- follower state ----
     EntryReceiver receiver_;
 
     RecoveryState recovery_;
--- a/src/cluster/consensus/entry_history.cpp
+++ b/src/cluster/consensus/entry_history.cpp
@@ -30,8 +30,8 @@
 std::shared_ptr<const std::string> EntryHistory::payload(const LogEntry& head, const LogPosition& base) {
     std::shared_ptr<const std::string>& payload = payloads_[base];
     if (payload) return payload;
-    const auto held = bodies_.find(base);
-    const std::string_view base_body = held == bodies_.end() ? std::string_view() : held->second;
+    const auto found = bodies_.find(base);
+    const std::string_view base_body = found == bodies_.end() ? std::string_view() : found->second;
     EntryPayload content;
     content.version = head.version;
     content.members = head.members;
--- a/src/cluster/consensus/entry_transfer.hpp
+++ b/src/cluster/consensus/entry_transfer.hpp
@@ -1,6 +1,6 @@
-// The transfer of a log entry to one member: an encoded payload, cut into chunks. One chunk is under way at a
-// time, and the next follows its confirmation. So at most one chunk is queued to a member, however slow its
-// link is, and heartbeats are not held up behind it.
+// Transfers an encoded log entry to one member in chunks. The next chunk is sent when the previous one has
+// been acknowledged, so at most one chunk is queued to a member however slow its link is, and heartbeats are
+// not delayed by more than one chunk.
 //
 // No I/O and no clock: the caller passes the time of its steady clock.
 #pragma once
@@ -14,46 +14,46 @@
 
 namespace gannethold::cluster {
 
-// The size of chunks adapts to the link: it doubles when a chunk is confirmed within kFastConfirmation and
-// halves when that takes longer than kSlowConfirmation, since heartbeats behind it would come late.
+// The chunk size adapts to the link: it doubles when a chunk is acknowledged within kFastConfirmation, and
+// halves when that takes longer than kSlowConfirmation, since the heartbeats queued behind it would be late.
 constexpr std::size_t kInitialChunkBytes = std::size_t{4} * 1024;
 constexpr std::size_t kMinChunkBytes = 1024;
 constexpr std::size_t kMaxChunkBytes = std::size_t{32} * 1024;
 constexpr Micros kFastConfirmation = 45'000;
 constexpr Micros kSlowConfirmation = 90'000;
-// A payload announced as larger than this is not received.
+// Chunks of a payload that is announced as larger than this are ignored.
 constexpr std::size_t kMaxPayloadBytes = 64U << 20;
 
-// The leader's side, for one member.
+// The sending side at the leader, for one member.
 class EntrySender {
   public:
-    // Starts at the payload's first byte; a transfer under way is dropped. base: the entry to which the
-    // payload is a difference; {}: none.
+    // Starts a transfer and cancels the one in progress, if any. `base` is the entry to which the payload is
+    // a delta; {}: none.
     void start(LogPosition position, LogPosition base, std::shared_ptr<const std::string> payload,
                Micros now);
     void stop();
 
-    bool active() const { return payload_ != nullptr; }
+    bool is_active() const { return payload_ != nullptr; }
     // Whether the payload needs more than one chunk.
-    bool large() const { return payload_ != nullptr && payload_->size() > chunk_bytes_; }
-    // The entry under way; a newer one follows once the member has stored this one. {}: none.
+    bool is_large() const { return payload_ != nullptr && payload_->size() > chunk_bytes_; }
+    // The entry in transfer; {}: none. A newer entry is sent once the member has stored this one.
     const LogPosition& position() const { return position_; }
     const LogPosition& base() const { return base_; }
-    // REQUIRES: active().
+    // REQUIRES: is_active().
     const std::string& payload() const { return *payload_; }
     Micros started_at() const { return started_at_; }
     std::size_t chunk_bytes() const { return chunk_bytes_; }
-    // Where the next chunk begins.
+    // The offset of the next chunk.
     ByteCount offset() const { return offset_; }
-    // The heartbeat round in which the last chunk was sent. A response to a later round that shows no
-    // progress says that the chunk was lost with its connection.
+    // The heartbeat round in which the last chunk was sent. If a response to a later round shows no progress,
+    // the chunk was lost with its connection.
     Round sent_in_round() const { return sent_in_round_; }
 
-    // The member has received that much of the payload.
+    // Called when the member has acknowledged the first `received` bytes of the payload.
     void on_confirmed(ByteCount received, Micros now);
-    // A chunk was lost: the next one begins there.
+    // Continues at the offset after the loss of a chunk.
     void restart_at(ByteCount offset) { offset_ = offset; }
-    // The chunk at the offset, which counts as sent in that round. REQUIRES: active().
+    // Returns the chunk at offset() and records it as sent in the round. REQUIRES: is_active().
     EntryChunk chunk(Term term, Round round, Micros now);
 
   private:
@@ -63,18 +63,19 @@
     Micros started_at_ = 0;
     ByteCount offset_ = 0;
     Round sent_in_round_ = 0;
-    std::size_t chunk_bytes_ = kInitialChunkBytes;  // kept from one transfer to the next
+    std::size_t chunk_bytes_ = kInitialChunkBytes;  // carried over to the next transfer
     Micros sent_at_ = 0;                            // of the last chunk
 };
 
-// The member's side.
+// The receiving side at a member.
 class EntryReceiver {
   public:
-    // The complete payload once its last chunk has come. A chunk of another entry, base or size drops what
-    // was received so far; one that doesn't continue it (sent twice, or its predecessor was lost) is ignored.
+    // Returns the complete payload when its last chunk is added. A chunk of a different entry, base or total
+    // size discards the bytes received so far. A chunk that does not continue them, because it is a duplicate
+    // or its predecessor was lost, is ignored.
     std::optional<std::string> add(const EntryChunk& chunk);
     void reset();
-    // The entry that is being received; {}: none.
+    // The entry being received; {}: none.
     const LogPosition& position() const { return position_; }
     ByteCount received() const { return payload_.size(); }
 
--- a/src/cluster/consensus/follower.cpp
+++ b/src/cluster/consensus/follower.cpp
@@ -1,5 +1,4 @@
-// What a follower, or a member that recovers, does with its leader's heartbeats and entries (Raft, section
-// 5.3).
+// Handling of the leader's heartbeats and entries by a follower or a recovering member (Raft, section 5.3).
 #include <algorithm>
 #include <utility>
 
@@ -10,13 +9,13 @@
 
 namespace gannethold::cluster {
 
-// Whether the sender is followed as the leader of that term. A sender of an older term gets the newer one as
-// its answer.
+// Follows the sender as the leader of the term. Returns false if it cannot; a sender with an older term is
+// sent the current term.
 bool Consensus::accept_leader(const std::string& from, Term term) {
     const bool is_member = role_ != Role::non_member;
     if (!is_member && !accepts_state()) return false;
     if (term < current_term()) {
-        respond_to_leader(from, 0);  // names no round: nothing is granted in that term
+        respond_to_leader(from, 0);  // round 0: grants no lease
         return false;
     }
     if (is_member && (term > current_term() || role_ != Role::follower)) step_down(term);
@@ -24,7 +23,7 @@
     leader_ = from;
     last_leader_contact_ = now_;
     if (state_.voting_state.last_leader != from) {
-        // Persisted before the response that grants the lease: it is owed after a restart, too.
+        // Persisted before the response that grants the lease, which remains binding after a restart.
         state_.voting_state.last_leader = from;
         output_.must_persist = true;
     }
@@ -34,17 +33,17 @@
 
 void Consensus::respond_to_leader(const std::string& from, Round round) {
     send(from, AppendResponse{current_term(), round, state_.entry.position, receiver_.position(),
-                              receiver_.received(), leave_.is_begun()});
+                              receiver_.received(), leave_.has_begun()});
 }
 
-void Consensus::handle_append_request(const std::string& from, const AppendRequest& request) {
+void Consensus::on_append_request(const std::string& from, const AppendRequest& request) {
     if (!accept_leader(from, request.term)) return;
     const bool is_head_committed = request.committed == state_.entry.position;
     if (is_head_committed && committed_entry_.position != request.committed) committed_entry_ = state_.entry;
     respond_to_leader(from, request.round);
 }
 
-void Consensus::handle_entry_chunk(const std::string& from, const EntryChunk& chunk) {
+void Consensus::on_entry_chunk(const std::string& from, const EntryChunk& chunk) {
     if (!accept_leader(from, chunk.term)) return;
     const bool is_newer = chunk.position > state_.entry.position;
     const bool has_base = chunk.base == LogPosition{} || chunk.base == state_.entry.position;
@@ -53,8 +52,8 @@
     respond_to_leader(from, chunk.round);
 }
 
-// A payload that can't be read is dropped: the response shows that the entry is missing, so that it is sent
-// again.
+// Drops a payload that cannot be decoded. The response then shows that the entry is missing, and the leader
+// sends it again.
 void Consensus::install_payload(const EntryChunk& last_chunk, const std::string& bytes) {
     const bool is_complete = last_chunk.base == LogPosition{};
     leaf::try_handle_all(
@@ -69,7 +68,7 @@
             entry.outgoing_members = std::move(payload.outgoing_members);
             if (!is_complete) entry.confirmed = state_.entry.confirmed;
             for (const ConfirmedVersion& record : payload.confirmed) add_confirmed(entry.confirmed, record);
-            if (is_complete) history_.clear();  // what was held before need not be an ancestor
+            if (is_complete) history_.clear();  // earlier entries may not be ancestors of this one
             install(std::move(entry));
             return {};
         },
@@ -79,7 +78,7 @@
 void Consensus::install(LogEntry entry) {
     state_.entry = std::move(entry);
     output_.must_persist = true;
-    remember_head();
+    add_head_to_history();
     if (role_ == Role::non_member) become_member_if_voter();
 }
 
--- a/src/cluster/consensus/leader_lease.cpp
+++ b/src/cluster/consensus/leader_lease.cpp
@@ -6,7 +6,7 @@
 namespace gannethold::cluster {
 namespace {
 
-// Rounds whose responses still count: by far more than are sent within a lease.
+// Rounds whose responses still count; far more than are sent within a lease.
 constexpr std::size_t kMaxRounds = 64;
 
 }  // namespace
--- a/src/cluster/consensus/membership.cpp
+++ b/src/cluster/consensus/membership.cpp
@@ -1,4 +1,4 @@
-// Changes of who votes, always by joint consensus (Raft, section 6), and the planned end of a member.
+// Membership changes, always by joint consensus (Raft, section 6), and planned leaves of members.
 #include <algorithm>
 #include <iterator>
 #include <limits>
@@ -9,13 +9,13 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kLearnerTimeout = 2'000'000;  // silence after which a learner is forgotten
+constexpr Micros kLearnerTimeout = 2'000'000;  // silence after which a learner is dropped
 
 }  // namespace
 
 // ---- the leader ----
 
-// Whether it has answered no heartbeat for that time.
+// Whether the voter has not answered a heartbeat for the time span.
 bool Consensus::is_silent(const std::string& voter, Micros span) const {
     if (is_self(voter)) return false;
     const Peer* const peer = find_peer(voter);
@@ -50,7 +50,7 @@
                   [&](const std::string& learner) { return now_ > last_contact(learner) + kLearnerTimeout; });
 }
 
-// Ends a joint change if one is under way, else begins one where other members should vote.
+// Completes the joint change in progress, or begins one if the set of voters should change.
 void Consensus::append_membership_change() {
     if (!state_.entry.outgoing_members.empty()) {
         LogEntry next = state_.entry;
@@ -66,7 +66,7 @@
     append(options_.rules->begin_membership_change(state_.entry, std::move(members)));
 }
 
-void Consensus::handle_join_request(const std::string& from) {
+void Consensus::on_join_request(const std::string& from) {
     if (role_ != Role::leader || is_voter(state_.entry, from) || learners_.contains(from)) return;
     learners_.insert(from);
     Peer& peer = peers_[from];
@@ -74,7 +74,7 @@
     peer.last_response = 0;
 }
 
-// Whether a quorum without that member, and without others that leave, has stored all committed entries.
+// Whether a quorum has stored all committed entries without the member and the other leaving members.
 bool Consensus::is_safe_without(const std::string& member) const {
     if (committed_entry_.position != state_.entry.position) return false;
     return quorum_agrees([&](const std::string& voter) {
@@ -82,9 +82,9 @@
     });
 }
 
-// A voter gets a response once it is no longer needed. If a learner can replace it, it is replaced first, and
-// gets the response to a later request.
-void Consensus::handle_leave_request(const std::string& from) {
+// A leaving voter gets a response once it is no longer needed. If a learner can replace it, that is done
+// first, and a later request is answered.
+void Consensus::on_leave_request(const std::string& from) {
     if (!is_established_leader()) return;
     if (is_voter(state_.entry, from)) {
         leaving_members_.insert(from);
@@ -95,7 +95,7 @@
     send(from, LeaveResponse{current_term()});
 }
 
-// ---- a member that leaves ----
+// ---- the leaving member ----
 
 ConsensusOutput Consensus::begin_leaving(Micros now) {
     now_ = now;
@@ -117,23 +117,23 @@
         send(leader_, LeaveRequest{});
 }
 
-// Leadership transfer (thesis, section 3.10): of the voters that have stored the head, the one that
-// answered last is asked to start an election.
+// Leadership transfer (thesis, section 3.10): asks the voter that responded most recently, of those that have
+// stored the head, to start an election.
 void Consensus::transfer_leadership() {
     std::string successor;
     for (const std::string& voter : state_.entry.members) {
         if (is_self(voter) || leaving_members_.contains(voter) || !has_head(voter)) continue;
-        const bool is_fresher =
+        const bool responded_later =
             successor.empty() || peers_[voter].last_response > peers_[successor].last_response;
-        if (is_fresher) successor = voter;
+        if (responded_later) successor = voter;
     }
     if (successor.empty()) return;
     leadership_transferred_ = true;
     send(successor, TimeoutNow{current_term()});
 }
 
-void Consensus::handle_leave_response(const LeaveResponse& response) {
-    if (leave_.is_begun() && response.term == current_term()) leave_.allow_stop();
+void Consensus::on_leave_response(const LeaveResponse& response) {
+    if (leave_.has_begun() && response.term == current_term()) leave_.allow_stop();
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/persistent_state.hpp
+++ b/src/cluster/consensus/persistent_state.hpp
@@ -1,15 +1,14 @@
-// What a member of the core keeps on disk (Raft, figure 2: persistent state).
+// The state that a core member keeps on disk (Raft, figure 2: persistent state).
 #pragma once
 
 #include "cluster/wire/messages.hpp"
 
 namespace gannethold::cluster {
 
-// On disk before any message that follows from it is sent.
+// Must be on disk before any message that depends on it is sent.
 struct PersistentState {
     VotingState voting_state;
-    // The newest entry of the log. Each entry holds the complete replicated state, so earlier ones are not
-    // kept.
+    // The newest log entry. Each entry holds the complete replicated state, so earlier entries are not kept.
     LogEntry entry;
 };
 
--- a/src/cluster/consensus/proposal_queue.cpp
+++ b/src/cluster/consensus/proposal_queue.cpp
@@ -10,7 +10,7 @@
                                                Digest digest) {
     if (const ConfirmedVersion* const record = find_confirmed(committed.confirmed, version))
         return record->digest == digest ? ProposalOutcome::committed : ProposalOutcome::conflict;
-    if (version <= committed.version && may_be_forgotten(committed.confirmed))
+    if (version <= committed.version && may_have_dropped_records(committed.confirmed))
         return ProposalOutcome::unknown;
     return std::nullopt;
 }
@@ -52,7 +52,7 @@
         if (record)
             outcome =
                 record->digest == pending.digest ? ProposalOutcome::committed : ProposalOutcome::conflict;
-        results.push_back({proposal.ticket, outcome});
+        results.push_back({proposal.id, outcome});
     }
     pending_ = std::move(undecided);
     return results;
@@ -61,7 +61,7 @@
 std::vector<ProposalResult> ProposalQueue::abandon() {
     std::vector<ProposalResult> results;
     for (const Pending& pending : std::exchange(pending_, {}))
-        results.push_back({pending.proposal.ticket, ProposalOutcome::unknown});
+        results.push_back({pending.proposal.id, ProposalOutcome::unknown});
     return results;
 }
 
--- a/src/cluster/consensus/proposals.cpp
+++ b/src/cluster/consensus/proposals.cpp
@@ -1,4 +1,4 @@
-// Configurations that operators propose, at the leader.
+// Handling of proposed configurations by the leader.
 #include <optional>
 #include <utility>
 
@@ -9,13 +9,13 @@
 
 ConsensusOutput Consensus::propose(Micros now, Proposal proposal) {
     now_ = now;
-    if (!has_lease(now) || leave_.is_begun()) {
-        report({{proposal.ticket, ProposalOutcome::unknown}});
+    if (!has_lease(now) || leave_.has_begun()) {
+        report({{proposal.id, ProposalOutcome::unknown}});
         return take_output();
     }
     const Digest digest = configuration_digest(proposal.body);
     if (const auto outcome = decided_outcome(committed_entry_, proposal.version, digest)) {
-        report({{proposal.ticket, *outcome}});
+        report({{proposal.id, *outcome}});
         return take_output();
     }
     proposals_.add(std::move(proposal), digest);
@@ -23,7 +23,7 @@
     return take_output();
 }
 
-// One change at a time: the next begins once the one before is committed.
+// Begins the next change, unless the previous one is not committed yet: only one change is in progress.
 void Consensus::append_next_change() {
     const LogPosition& committed = committed_entry_.position;
     const bool is_idle = committed == state_.entry.position && committed.term == current_term();
@@ -31,7 +31,7 @@
     if (!append_proposals()) append_membership_change();
 }
 
-// Whether an entry was appended.
+// Returns whether an entry was appended.
 bool Consensus::append_proposals() {
     if (proposals_.empty()) return false;
     if (std::optional<LogEntry> next = proposals_.next_entry(state_.entry)) {
--- a/src/cluster/consensus/quorum.hpp
+++ b/src/cluster/consensus/quorum.hpp
@@ -1,5 +1,5 @@
-// Quorums under joint consensus: while membership changes, a decision needs a majority of the voters before
-// the change and a majority of those after it (Raft, section 6).
+// Quorums under joint consensus: during a membership change, a decision needs a majority of the outgoing
+// voters and a majority of the incoming ones (Raft, section 6).
 #pragma once
 
 #include <algorithm>
@@ -16,26 +16,27 @@
     return std::find(group.begin(), group.end(), member) != group.end();
 }
 
-// Whether those of the group for which agrees(member) is true are a majority of it.
+// Whether agrees(member) is true for a majority of the group.
 template <class Agrees>
 bool has_majority(const std::vector<std::string>& group, const Agrees& agrees) {
     const auto count = static_cast<std::size_t>(std::count_if(group.begin(), group.end(), agrees));
     return count >= majority_of(group);
 }
 
-// Whether they are a quorum of the voters. outgoing: the voters before a change under way; else empty.
+// Whether agrees(member) is true for a quorum. `outgoing` has the voters before the change in progress; it is
+// empty if there is none.
 template <class Agrees>
 bool has_quorum(const std::vector<std::string>& members, const std::vector<std::string>& outgoing,
                 const Agrees& agrees) {
     return has_majority(members, agrees) && (outgoing.empty() || has_majority(outgoing, agrees));
 }
 
-// Whether it is a voter of that entry, before or after the change.
+// Whether the member is a voter of the entry, before or after the membership change.
 inline bool is_voter(const LogEntry& entry, const std::string& member) {
     return contains(entry.members, member) || contains(entry.outgoing_members, member);
 }
 
-// All voters of that entry, each once.
+// All voters of the entry, before and after the membership change, without duplicates.
 std::vector<std::string> all_voters(const LogEntry& entry);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/consensus/recovery.cpp
+++ b/src/cluster/consensus/recovery.cpp
@@ -1,4 +1,4 @@
-// Recovery of a member that lost its disk or was removed, and of machines that join (recovery_state.hpp).
+// Recovery of a member that lost its disk or was removed, and joining of new machines (recovery_state.hpp).
 #include <algorithm>
 
 #include "cluster/consensus/consensus.hpp"
@@ -16,7 +16,7 @@
     for (const std::string& recipient : recipients) send(recipient, request);
 }
 
-void Consensus::handle_recovery_request(const std::string& from, const RecoveryRequest& request) {
+void Consensus::on_recovery_request(const std::string& from, const RecoveryRequest& request) {
     if (role_ == Role::non_member) return;
     const bool is_leader_known = role_ == Role::leader || has_leader_contact();
     const LogEntry& head = state_.entry;
@@ -25,42 +25,44 @@
                                 head.outgoing_members});
 }
 
-void Consensus::handle_recovery_response(const std::string& from, const RecoveryResponse& response) {
+void Consensus::on_recovery_response(const std::string& from, const RecoveryResponse& response) {
     if (!recovery_.add_response(from, response) || !recovery_.has_quorum_without(options_.self)) return;
     const RecoveryResponse& newest = recovery_.newest_response();
-    const bool belongs =
+    const bool is_listed_voter =
         contains(newest.members, options_.self) || contains(newest.outgoing_members, options_.self);
-    if (!belongs) {
+    if (!is_listed_voter) {
         become_learner(newest);
         if (role_ == Role::non_member && !response.leader.empty()) send(response.leader, JoinRequest{});
     } else if (role_ == Role::non_member) {
-        // No heartbeat of an earlier leader is answered: before its disk was lost, this member may have voted
-        // for a later one.
+        // Does not follow leaders of earlier terms: before its disk was lost, this member may have voted for
+        // a later leader.
         adopt_term(recovery_.newest_term());
         recovery_.await_state(current_term());
     } else {
-        recovery_.forget_responses();
+        recovery_.clear_responses();
     }
 }
 
-// It was removed, or was never a member: it promises nothing until it is a member again.
+// Called when this machine was removed or has never been a member. It does not vote or grant leases until it
+// is a member again.
 void Consensus::become_learner(const RecoveryResponse& newest) {
     if (role_ != Role::non_member) {
         const bool is_newer = newest.last_entry > state_.entry.position;
-        const bool is_left_out = is_newer || !is_voter(state_.entry, options_.self);
-        if (!is_left_out || role_ == Role::leader) return;
+        const bool was_removed = is_newer || !is_voter(state_.entry, options_.self);
+        if (!was_removed || role_ == Role::leader) return;
         role_ = Role::non_member;
         state_.voting_state.is_member = false;
         output_.must_persist = true;
     }
-    recovery_.await_invitation();
+    recovery_.accept_any_state();
 }
 
 bool Consensus::accepts_state() const {
-    return recovery_.accepts_state(now_ >= started_at_ + election_timer_.max_candidacy());
+    return recovery_.accepts_state(now_ >= started_at_ + election_timer_.max_candidacy_duration());
 }
 
-// A non-member has installed an entry: if that names it as a voter, it is a member from now on.
+// Called when a non-member has installed an entry. It becomes a member if the entry lists it as a voter and
+// is recent enough.
 void Consensus::become_member_if_voter() {
     if (!is_voter(state_.entry, options_.self)) return;
     if (!recovery_.is_satisfied_by(state_.entry.position)) return;
--- a/src/cluster/consensus/recovery_state.cpp
+++ b/src/cluster/consensus/recovery_state.cpp
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-RecoveryRequest RecoveryState::make_request(Micros now, Nonce fresh) {
+RecoveryRequest RecoveryState::make_request(Micros now, Nonce new_nonce) {
     next_request_at_ = now + kRequestInterval;
     if (nonce_ == 0) {
-        nonce_ = fresh;
+        nonce_ = new_nonce;
         responses_.clear();
     }
     return {nonce_};
@@ -48,13 +48,13 @@
            });
 }
 
-void RecoveryState::await_invitation() {
-    awaits_invitation_ = true;
+void RecoveryState::accept_any_state() {
+    accepts_any_state_ = true;
     awaited_state_.reset();
 }
 
 void RecoveryState::await_state(Term current_term) {
-    awaits_invitation_ = false;
+    accepts_any_state_ = false;
     no_vote_through_ = std::max(no_vote_through_, current_term);
     for (const auto& [from, response] : responses_)
         no_vote_through_ = std::max(no_vote_through_, response.pre_voted_through);
@@ -68,7 +68,7 @@
 }
 
 void RecoveryState::finish() {
-    awaits_invitation_ = false;
+    accepts_any_state_ = false;
     awaited_state_.reset();
     no_vote_through_ = 0;
     responses_.clear();
--- a/src/cluster/consensus/replication.cpp
+++ b/src/cluster/consensus/replication.cpp
@@ -1,5 +1,5 @@
-// The leader: its heartbeats, its entries on their way to the other members, and its lease (Raft, sections
-// 5.3, 5.4 and 8).
+// Log replication by the leader: heartbeats, transfers of entries to the other members, commits and the lease
+// (Raft, sections 5.3, 5.4 and 8).
 #include <algorithm>
 #include <utility>
 
@@ -8,11 +8,12 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMaxLargeTransfers = 3;  // at once: they share the leader's uplink
-// Election timeouts without responses of a quorum after which a leader steps down, so that clients look for
-// another one (thesis, section 6.2).
+constexpr std::size_t kMaxLargeTransfers = 3;  // concurrent, since they share the leader's uplink
+// Election timeouts without responses from a quorum after which a leader steps down, so that clients try
+// another member (thesis, section 6.2).
 constexpr int kTimeoutsUntilStepDown = 2;
-// Followers learn of a commit by the next heartbeat, which is therefore sent after this part of the interval.
+// After a commit the heartbeat interval is divided by this, since followers learn of the commit by the next
+// heartbeat.
 constexpr int kHeartbeatSpeedUp = 4;
 
 }  // namespace
@@ -50,21 +51,21 @@
 
 // ---- entries and heartbeats ----
 
-// Makes the content the newest entry, of this term. REQUIRES: this is the leader.
+// Makes the entry the head, at the next index of the current term. REQUIRES: this is the leader.
 void Consensus::append(LogEntry entry) {
     entry.position = {current_term(), state_.entry.position.index + 1};
     state_.entry = std::move(entry);
-    remember_head();
+    add_head_to_history();
     output_.must_persist = true;
     send_heartbeats();
-    advance_commit();  // a leader without other voters is a quorum
+    advance_commit();  // the leader alone is a quorum if there are no other voters
 }
 
-// Bodies under transfer are kept, too: the next transfer to that member is a difference to them.
-void Consensus::remember_head() {
+// Bodies in transfer are kept as well, since the next transfer to the same member is a delta to them.
+void Consensus::add_head_to_history() {
     history_.add(state_.entry, [&](const LogPosition& position) {
         return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-            return peer.second.sender.active() && peer.second.sender.position() == position;
+            return peer.second.sender.is_active() && peer.second.sender.position() == position;
         });
     });
 }
@@ -77,7 +78,7 @@
     for (const std::string& learner : learners_) send_heartbeat(learner);
 }
 
-// A heartbeat, and the start of a transfer where one is due.
+// Sends a heartbeat, and starts a transfer if one is due.
 void Consensus::send_heartbeat(const std::string& to) {
     Peer& peer = peers_[to];
     const LogPosition& head = state_.entry.position;
@@ -85,7 +86,7 @@
     send(to, AppendRequest{current_term(), round, head, committed_entry_.position});
     if (peer.match_position == head || !options_.rules->is_transfer_due(peer.sender, now_)) return;
     start_transfer(peer);
-    if (!peer.sender.active()) return;
+    if (!peer.sender.is_active()) return;
     for (EntryChunk& chunk : options_.rules->first_chunks(peer.sender, current_term(), round, now_))
         send(to, std::move(chunk));
 }
@@ -94,11 +95,11 @@
     const Micros since = now_ - options_.election_timeout;
     return static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const Peer& peer = entry.second;
-        return peer.last_response >= since && peer.sender.large();
+        return peer.last_response >= since && peer.sender.is_large();
     }));
 }
 
-// Starts the transfer of the head, unless it is large and too many large ones are under way: then the next
+// Starts the transfer of the head. If it is large and too many large transfers are in progress, the next
 // heartbeat tries again.
 void Consensus::start_transfer(Peer& peer) {
     const LogPosition base = options_.rules->transfer_base(transfer_base(peer));
@@ -109,7 +110,8 @@
 }
 
 LogPosition Consensus::transfer_base(const Peer& peer) const {
-    // A peer that has not answered in this term most likely has the entry before the head.
+    // The position of a peer that has not answered in this term is unknown; most likely it has the entry
+    // before the head.
     if (peer.answered_round == 0)
         if (const std::optional<LogPosition> previous = history_.previous()) return *previous;
     return history_.contains(peer.match_position) ? peer.match_position : LogPosition{};
@@ -119,7 +121,7 @@
     send(to, peer.sender.chunk(current_term(), lease_.newest_round(), now_));
 }
 
-void Consensus::handle_append_response(const std::string& from, const AppendResponse& response) {
+void Consensus::on_append_response(const std::string& from, const AppendResponse& response) {
     if (response.term > current_term()) {
         step_down(response.term);
         return;
@@ -130,22 +132,22 @@
     if (response.leaving)
         leaving_members_.insert(from);
     else
-        leaving_members_.erase(from);  // it has restarted
-    // A round that was not sent yet grants nothing: a member that was frozen may answer heartbeats of an
-    // earlier incarnation of this leader.
+        leaving_members_.erase(from);  // the member has restarted
+    // A round that has not been sent yet grants no lease: a member that was suspended may answer heartbeats
+    // of an earlier incarnation of this leader.
     if (response.round <= lease_.newest_round())
         peer.answered_round = std::max(peer.answered_round, response.round);
     peer.match_position = response.last_entry;
     if (peer.match_position == state_.entry.position) {
         peer.sender.stop();
         advance_commit();
-    } else if (peer.sender.active()) {
+    } else if (peer.sender.is_active()) {
         continue_transfer(from, peer, response);
     }
 }
 
-// A transfer is completed even if its entry is no longer the head, so that a member makes progress however
-// often the configuration changes.
+// A transfer is completed even if its entry is no longer the head, so that the member makes progress while
+// the configuration changes frequently.
 void Consensus::continue_transfer(const std::string& to, Peer& peer, const AppendResponse& response) {
     EntrySender& sender = peer.sender;
     const bool is_complete = peer.match_position == sender.position();
@@ -155,7 +157,7 @@
     if (is_complete || has_other_base) {
         sender.stop();
         start_transfer(peer);
-        if (sender.active()) send_chunk(to, peer);
+        if (sender.is_active()) send_chunk(to, peer);
     } else if (is_receiving && response.received_bytes > sender.offset()) {
         sender.on_confirmed(response.received_bytes, now_);
         send_chunk(to, peer);
@@ -170,7 +172,8 @@
     return is_self(voter) || (peer && peer->match_position == state_.entry.position);
 }
 
-// Raft, section 5.4.2: the head is always of the leader's own term, so counting its replicas is enough.
+// The head always belongs to the leader's current term, so it is committed once a quorum has stored it (Raft,
+// section 5.4.2).
 void Consensus::advance_commit() {
     if (role_ != Role::leader || committed_entry_.position == state_.entry.position) return;
     if (!quorum_agrees([&](const std::string& voter) { return has_head(voter); })) return;
--- a/src/cluster/consensus/rules.cpp
+++ b/src/cluster/consensus/rules.cpp
@@ -5,8 +5,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// Entries that a learner may still lack when it becomes a voter: while the configuration changes often, it
-// would otherwise never have the head.
+// Entries that a learner may lack when it becomes a voter. With 0, it might never be promoted while the
+// configuration changes frequently.
 constexpr LogIndex kMaxLearnerLag = 2;
 
 }  // namespace
@@ -32,7 +32,7 @@
     return learner.responds && match.term == head.term && match.index + kMaxLearnerLag >= head.index;
 }
 
-bool ConsensusRules::is_transfer_due(const EntrySender& sender, Micros) const { return !sender.active(); }
+bool ConsensusRules::is_transfer_due(const EntrySender& sender, Micros) const { return !sender.is_active(); }
 
 LogPosition ConsensusRules::transfer_base(const LogPosition& known) const { return known; }
 
--- a/src/cluster/controller/durable_consensus.cpp
+++ b/src/cluster/controller/durable_consensus.cpp
@@ -41,7 +41,7 @@
             std::filesystem::create_directories(settings_.data_directory, ignored);
             BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
             Consensus::Options options = consensus_options(settings_);
-            options.first_start = settings_.is_initial_start && !state.voting_state.is_member;
+            options.bootstrap = settings_.is_initial_start && !state.voting_state.is_member;
             Event("storage_opened")
                 .with("member", state.voting_state.is_member)
                 .with("term", state.voting_state.term)
@@ -82,8 +82,8 @@
         callbacks_.on_storage_failed();
         return;
     }
-    for (const ConsensusOutput::Envelope& envelope : output.messages)
-        callbacks_.send(envelope.to, envelope.message);
+    for (const ConsensusOutput::OutboundMessage& outbound : output.messages)
+        callbacks_.send(outbound.to, outbound.message);
     for (const ProposalResult& result : output.proposal_results) callbacks_.on_proposal_resolved(result);
     callbacks_.on_step_completed();
 }
--- a/src/cluster/controller/operator_api.cpp
+++ b/src/cluster/controller/operator_api.cpp
@@ -88,7 +88,7 @@
 
 void OperatorApi::on_proposal_resolved(const ProposalResult& result) {
     const auto at = std::find_if(pending_.begin(), pending_.end(),
-                                 [&](const auto& pending) { return pending.second == result.ticket; });
+                                 [&](const auto& pending) { return pending.second == result.id; });
     if (at == pending_.end()) return;
     const ExchangeId exchange = at->first;
     pending_.erase(at);
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -137,7 +137,7 @@
     consensus_.on_timer(now);
     role_.tick(now);
     if (now >= next_sweep_) sweep(now);
-    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->may_stop())) loop_.stop();
+    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->can_stop())) loop_.stop();
     set_timer();
 }
 
--- a/tests/system/consensus/consensus_test.cpp
+++ b/tests/system/consensus/consensus_test.cpp
@@ -1,5 +1,4 @@
-// A leader and its quorum: leases, commits, proposals (consensus/consensus.hpp, replication.cpp,
-// proposals.cpp).
+// Leases, commits and proposals of a leader (consensus/consensus.hpp, replication.cpp, proposals.cpp).
 #define BOOST_TEST_MODULE consensus
 #include <boost/test/unit_test.hpp>
 
@@ -9,12 +8,12 @@
 namespace gannethold::cluster::tests {
 namespace {
 
-// A member that was frozen may answer, in the current term, heartbeats of an earlier incarnation of the
-// leader: their rounds were never sent in this one, and grant nothing.
-BOOST_AUTO_TEST_CASE(a_response_to_a_round_that_was_not_sent_grants_no_lease) {
+// Guards against a lease that no quorum has granted. A member that was suspended may answer heartbeats of an
+// earlier incarnation of the leader; their rounds have not been sent by the current incarnation.
+BOOST_AUTO_TEST_CASE(a_response_to_an_unsent_round_grants_no_lease) {
     constexpr Micros kNow = 3'000'000;
     Consensus::Options options = member_options("a");
-    options.first_start = true;
+    options.bootstrap = true;
     Consensus consensus(options, {}, 1'000'000);
     ignore(consensus.start());
     ignore(consensus.on_timer(kNow));
@@ -28,7 +27,7 @@
     BOOST_TEST(consensus.has_lease(kNow));
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_ends_without_further_responses) {
+BOOST_AUTO_TEST_CASE(a_lease_expires_without_further_responses) {
     EstablishedLeader leader;
     BOOST_TEST(leader.member.has_lease(EstablishedLeader::kNow));
     BOOST_TEST(leader.member.has_lease(EstablishedLeader::kNow + 329'999));
@@ -36,7 +35,7 @@
     BOOST_TEST(leader.member.is_established_leader());
 }
 
-BOOST_AUTO_TEST_CASE(a_proposal_is_committed_once_a_quorum_has_it) {
+BOOST_AUTO_TEST_CASE(a_proposal_is_committed_once_a_quorum_has_stored_it) {
     EstablishedLeader leader;
     const ConsensusOutput proposed = leader.member.propose(EstablishedLeader::kNow, {71, 2, "two"});
     BOOST_TEST(proposed.must_persist);
@@ -44,7 +43,7 @@
     BOOST_TEST(leader.member.committed_entry()->version == 1U);
     const ConsensusOutput confirmed = leader.confirm("c", 2);
     BOOST_REQUIRE(confirmed.proposal_results.size() == 1U);
-    BOOST_TEST(confirmed.proposal_results.front().ticket == 71U);
+    BOOST_TEST(confirmed.proposal_results.front().id == 71U);
     BOOST_TEST((confirmed.proposal_results.front().outcome == ProposalOutcome::committed));
     BOOST_TEST(leader.member.committed_entry()->version == 2U);
     BOOST_TEST(leader.member.committed_entry()->body == "two");
@@ -63,18 +62,18 @@
     BOOST_TEST(!other.must_persist);
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_without_responses_of_a_quorum_steps_down_and_its_proposals_are_unknown) {
+BOOST_AUTO_TEST_CASE(a_leader_without_responses_from_a_quorum_steps_down_with_unknown_outcomes) {
     EstablishedLeader leader;
     ignore(leader.member.propose(EstablishedLeader::kNow, {71, 2, "two"}));
-    const ConsensusOutput late = leader.member.on_timer(EstablishedLeader::kNow + 900'000);
-    BOOST_TEST(late.proposal_results.empty());
-    const ConsensusOutput too_late = leader.member.on_timer(EstablishedLeader::kNow + 900'001);
-    BOOST_REQUIRE(too_late.proposal_results.size() == 1U);
-    BOOST_TEST((too_late.proposal_results.front().outcome == ProposalOutcome::unknown));
+    const ConsensusOutput before_timeout = leader.member.on_timer(EstablishedLeader::kNow + 900'000);
+    BOOST_TEST(before_timeout.proposal_results.empty());
+    const ConsensusOutput after_timeout = leader.member.on_timer(EstablishedLeader::kNow + 900'001);
+    BOOST_REQUIRE(after_timeout.proposal_results.size() == 1U);
+    BOOST_TEST((after_timeout.proposal_results.front().outcome == ProposalOutcome::unknown));
     BOOST_TEST(!leader.member.is_established_leader());
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_does_not_lead_takes_no_proposal) {
+BOOST_AUTO_TEST_CASE(a_follower_accepts_no_proposal) {
     Consensus follower(member_options("a"), member_state(), kStart);
     ignore(follower.start());
     const ConsensusOutput output = follower.propose(kStart, {71, 2, "two"});
--- a/tests/system/consensus/election_test.cpp
+++ b/tests/system/consensus/election_test.cpp
@@ -1,4 +1,4 @@
-// Who asks for votes, and who gets them (consensus/election.cpp).
+// Vote requests and votes (consensus/election.cpp).
 #include <boost/test/unit_test.hpp>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     }));
 }
 
-// In terms 4 and 5 its lost disk may have voted.
+// A member that may have voted in terms 4 and 5 before it lost its disk.
 struct MemberWithLostDisk {
     MemberWithLostDisk() {
         state.voting_state.voted_for = "a";
@@ -27,13 +27,13 @@
     PersistentState state = member_state();
 };
 
-BOOST_AUTO_TEST_CASE(a_member_that_lost_its_disk_does_not_stand_in_terms_in_which_it_may_have_voted) {
+BOOST_AUTO_TEST_CASE(after_a_disk_loss_a_member_is_no_candidate_in_terms_in_which_it_may_have_voted) {
     const MemberWithLostDisk member;
     Consensus consensus(member.options, member.state, kStart);
     ConsensusOutput output = consensus.start();
     BOOST_TEST(output.messages.empty());
     output = consensus.on_timer(12'000'000);
-    // Not even by a pre-vote.
+    // It does not request pre-votes for these terms either.
     BOOST_TEST(count_vote_requests(output, 4, true) == 0U);
     BOOST_TEST(count_vote_requests(output, 5, true) == 0U);
     BOOST_TEST(count_vote_requests(output, 6, true) == 2U);
@@ -44,7 +44,7 @@
     BOOST_TEST(count_vote_requests(output, 6, false) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_lost_its_disk_votes_in_no_term_in_which_it_may_have_voted) {
+BOOST_AUTO_TEST_CASE(after_a_disk_loss_a_member_does_not_vote_in_terms_in_which_it_may_have_voted) {
     MemberWithLostDisk member;
     member.state.voting_state.term = 4;
     member.state.voting_state.voted_for.clear();
@@ -56,9 +56,9 @@
                             [](const VoteResponse& response) { return response.granted; }));
 }
 
-// A candidate whose term is behind learns the voter's from the refusal, and asks for one in which it may get
-// the vote.
-BOOST_AUTO_TEST_CASE(a_refused_pre_vote_names_the_term_to_ask_for) {
+// A candidate with an older term learns the voter's term from the rejection, and requests a pre-vote for a
+// later term.
+BOOST_AUTO_TEST_CASE(a_rejected_pre_vote_is_requested_again_for_a_term_after_the_voter_s) {
     PersistentState state = member_state();
     state.entry.position = {kTerm, 9};
     Consensus candidate(member_options("a"), state, kStart);
@@ -81,7 +81,7 @@
 class StartedVoter {
   public:
     StartedVoter() : member(member_options("b"), member_state(), kStart) { ignore(member.start()); }
-    // Whether it answers, and grants its vote.
+    // Whether the voter responds and grants its vote.
     bool grants(const std::string& candidate, const VoteRequest& request, Micros now = kElectionDue) {
         const auto responses = messages_of<VoteResponse>(member.on_message(now, candidate, request));
         return !responses.empty() && responses.front().granted;
@@ -89,7 +89,7 @@
     Consensus member;
 };
 
-BOOST_AUTO_TEST_CASE(a_member_votes_once_a_term) {
+BOOST_AUTO_TEST_CASE(a_member_votes_once_per_term) {
     StartedVoter voter;
     const VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
     BOOST_TEST(voter.member.on_message(kElectionDue, "a", request).must_persist);
@@ -106,7 +106,7 @@
     BOOST_TEST(voter.grants("a", vote_request(kTerm + 3, {kTerm, 9})));
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_s_lease_keeps_votes_from_others_unless_it_transfers_leadership) {
+BOOST_AUTO_TEST_CASE(a_lease_prevents_votes_for_others_unless_the_leader_transfers_leadership) {
     StartedVoter voter;
     ignore(voter.member.on_message(kElectionDue, "c", heartbeat(kTerm, 5)));
     VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
@@ -116,13 +116,13 @@
     BOOST_TEST(voter.grants("a", request, kElectionDue + 449'999));
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_that_restarts_gets_votes_at_once) {
+BOOST_AUTO_TEST_CASE(a_restarted_leader_gets_votes_at_once) {
     StartedVoter voter;
     ignore(voter.member.on_message(kElectionDue, "c", heartbeat(kTerm, 5)));
     BOOST_TEST(voter.grants("c", vote_request(kTerm + 1, {kTerm, 8}), kElectionDue));
 }
 
-BOOST_AUTO_TEST_CASE(a_pre_vote_raises_no_term_and_is_persisted) {
+BOOST_AUTO_TEST_CASE(a_pre_vote_does_not_change_the_term_and_is_persisted) {
     StartedVoter voter;
     VoteRequest request = vote_request(kTerm + 1, {kTerm, 8});
     request.pre_vote = true;
--- a/tests/system/consensus/entry_transfer_test.cpp
+++ b/tests/system/consensus/entry_transfer_test.cpp
@@ -1,4 +1,4 @@
-// An entry in chunks (consensus/entry_transfer.hpp), and as a difference (consensus/entry_history.hpp).
+// Transfer of entries in chunks (consensus/entry_transfer.hpp) and as deltas (consensus/entry_history.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <random>
@@ -20,19 +20,19 @@
     return std::make_shared<const std::string>(payload);
 }
 
-BOOST_AUTO_TEST_CASE(a_payload_comes_complete_out_of_its_chunks) {
+BOOST_AUTO_TEST_CASE(a_payload_is_reassembled_from_its_chunks) {
     const auto payload = random_payload(100'000);
     EntrySender sender;
     EntryReceiver receiver;
     sender.start(kHead, {}, payload, 0);
-    BOOST_TEST(sender.large());
+    BOOST_TEST(sender.is_large());
     std::optional<std::string> received;
     int chunks = 0;
     for (; !received; ++chunks) {
         const EntryChunk chunk = sender.chunk(2, 1, 0);
         BOOST_REQUIRE(chunk.bytes.size() <= kMaxChunkBytes);
         received = receiver.add(chunk);
-        BOOST_TEST(!receiver.add(chunk).has_value());  // sent twice
+        BOOST_TEST(!receiver.add(chunk).has_value());  // duplicate
         if (!received) sender.on_confirmed(receiver.received(), 0);
     }
     BOOST_TEST((*received == *payload));
@@ -53,7 +53,7 @@
     BOOST_TEST(sender.chunk_bytes() == kInitialChunkBytes);
 }
 
-BOOST_AUTO_TEST_CASE(a_chunk_whose_predecessor_was_lost_and_one_too_large_are_not_taken) {
+BOOST_AUTO_TEST_CASE(a_chunk_after_a_lost_one_and_a_payload_that_is_too_large_are_ignored) {
     EntrySender sender;
     EntryReceiver receiver;
     sender.start(kHead, {}, random_payload(100'000), 0);
@@ -81,22 +81,22 @@
     return entry;
 }
 
-bool nothing_needed(const LogPosition&) { return false; }
+bool none_is_needed(const LogPosition&) { return false; }
 
-BOOST_AUTO_TEST_CASE(a_head_is_sent_as_the_difference_to_an_entry_that_is_held) {
+BOOST_AUTO_TEST_CASE(a_head_is_encoded_as_a_delta_to_an_earlier_entry) {
     EntryHistory history;
-    history.add(entry_at(7), nothing_needed);
+    history.add(entry_at(7), none_is_needed);
     BOOST_TEST(!history.previous().has_value());
     const LogEntry head = entry_at(8);
-    history.add(head, nothing_needed);
+    history.add(head, none_is_needed);
     BOOST_TEST((history.previous() == LogPosition{2, 7}));
     const auto payload = history.payload(head, {2, 7});
     BOOST_TEST(payload->size() < 400U);
-    BOOST_TEST((history.payload(head, {2, 7}) == payload));  // encoded once
+    BOOST_TEST((history.payload(head, {2, 7}) == payload));  // cached
     const std::string body = leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
             BOOST_LEAF_AUTO(content, decode_payload(*payload));
-            BOOST_TEST(content.confirmed.size() == 1U);  // the base holds the other one
+            BOOST_TEST(content.confirmed.size() == 1U);  // the base has the other one
             return apply_delta(entry_at(7).body, content.body_delta);
         },
         [] { return std::string("unreadable"); });
--- a/tests/system/consensus/faulty_rules.hpp
+++ b/tests/system/consensus/faulty_rules.hpp
@@ -1,4 +1,4 @@
-// Rules of consensus with one fault each, to show that the checks of the simulated system find it.
+// Consensus rules with one fault each, to show that the checks of the simulated system detect it.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace gannethold::cluster::tests {
 
-// While membership changes, the voters before the change have no say.
+// During a membership change, no majority of the outgoing voters is required.
 class IncomingMajorityOnly final : public ConsensusRules {
   public:
     bool needs_outgoing_majority(const LogEntry&) const override { return false; }
 };
 
-// A learner becomes a voter before it holds the state.
+// A learner becomes a voter before it has the state.
 class LearnersVoteAtOnce final : public ConsensusRules {
   public:
     bool has_caught_up(const LearnerProgress&, const LogPosition&) const override { return true; }
 };
 
-// Voters are exchanged in one step.
+// The voters are replaced in one step.
 class NoJointConsensus final : public ConsensusRules {
   public:
     LogEntry begin_membership_change(const LogEntry& head, std::vector<std::string> members) const override {
@@ -32,11 +32,11 @@
     }
 };
 
-// The complete entry is sent at once, and again on a timer, whatever was confirmed.
+// Sends all chunks of the complete entry at once, and again on a timer, regardless of acknowledgements.
 class ResendsCompleteEntry final : public ConsensusRules {
   public:
     bool is_transfer_due(const EntrySender& sender, Micros now) const override {
-        return !sender.active() || now >= sender.started_at() + kResendInterval;
+        return !sender.is_active() || now >= sender.started_at() + kResendInterval;
     }
     LogPosition transfer_base(const LogPosition&) const override { return {}; }
     std::vector<EntryChunk> first_chunks(EntrySender& sender, Term term, Round round,
--- a/tests/system/consensus/follower_test.cpp
+++ b/tests/system/consensus/follower_test.cpp
@@ -1,4 +1,4 @@
-// What a follower does with heartbeats and entries (consensus/follower.cpp).
+// Handling of heartbeats and entries by a follower (consensus/follower.cpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/consensus.hpp"
@@ -25,7 +25,7 @@
     return entry;
 }
 
-// The one chunk in which the entry travels as the difference to that base; {}: complete.
+// The single chunk of the entry's payload, which is a delta to the base; {}: the payload is complete.
 EntryChunk chunk_of(const LogEntry& entry, const LogPosition& base) {
     EntryHistory history;
     if (base != LogPosition{}) history.add(member_state().entry, [](const LogPosition&) { return false; });
@@ -34,7 +34,7 @@
     return sender.chunk(kTerm, 1, kNow);
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_is_answered_after_its_leader_is_persisted) {
+BOOST_AUTO_TEST_CASE(a_heartbeat_is_answered_after_the_leader_is_persisted) {
     Consensus follower = started_follower();
     const ConsensusOutput first = follower.on_message(kNow, "a", heartbeat(kTerm, 5));
     BOOST_TEST(first.must_persist);
@@ -47,7 +47,7 @@
     BOOST_TEST(!follower.on_message(kNow, "a", heartbeat(kTerm, 6)).must_persist);
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_of_an_older_term_learns_the_newer_one_and_gets_no_round) {
+BOOST_AUTO_TEST_CASE(a_leader_of_an_older_term_is_sent_the_current_term_and_no_round) {
     Consensus follower = started_follower();
     const auto responses =
         messages_of<AppendResponse>(follower.on_message(kNow, "a", heartbeat(kTerm - 1, 5)));
@@ -57,7 +57,7 @@
     BOOST_TEST(follower.leader().empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_is_installed_complete_or_as_a_difference) {
+BOOST_AUTO_TEST_CASE(an_entry_is_installed_from_a_complete_payload_or_a_delta) {
     const LogEntry entry = next_entry();
     for (const LogPosition& base : {LogPosition{}, member_state().entry.position}) {
         Consensus follower = started_follower();
@@ -74,7 +74,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_difference_to_another_base_and_an_older_entry_are_ignored) {
+BOOST_AUTO_TEST_CASE(a_delta_to_another_base_and_an_older_entry_are_ignored) {
     Consensus follower = started_follower();
     EntryChunk chunk = chunk_of(next_entry(), member_state().entry.position);
     chunk.base = {kTerm, 7};
@@ -86,7 +86,7 @@
     BOOST_TEST((follower.persistent_state().entry.position == member_state().entry.position));
 }
 
-BOOST_AUTO_TEST_CASE(a_payload_that_can_not_be_read_is_dropped) {
+BOOST_AUTO_TEST_CASE(a_payload_that_cannot_be_decoded_is_dropped) {
     Consensus follower = started_follower();
     EntryChunk chunk = chunk_of(next_entry(), {});
     chunk.bytes = std::string(chunk.bytes.size(), '\xff');
@@ -95,7 +95,7 @@
     BOOST_TEST((responses.front().last_entry == member_state().entry.position));
 }
 
-BOOST_AUTO_TEST_CASE(the_head_counts_as_committed_once_a_heartbeat_names_it) {
+BOOST_AUTO_TEST_CASE(the_head_is_committed_once_a_heartbeat_reports_it_as_committed) {
     Consensus follower = started_follower();
     BOOST_TEST((follower.committed_entry() == nullptr));
     AppendRequest request = heartbeat(kTerm, 5);
--- a/tests/system/consensus/leader_lease_test.cpp
+++ b/tests/system/consensus/leader_lease_test.cpp
@@ -1,4 +1,4 @@
-// When a lease begins and ends (consensus/leader_lease.hpp).
+// Start and expiry of a lease (consensus/leader_lease.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/leader_lease.hpp"
@@ -8,27 +8,27 @@
 
 constexpr Micros kDuration = 330'000;
 
-BOOST_AUTO_TEST_CASE(a_lease_counts_from_when_the_round_of_a_majority_was_sent) {
+BOOST_AUTO_TEST_CASE(a_lease_starts_when_the_newest_round_that_a_majority_answered_was_sent) {
     LeaderLease lease(kDuration);
     const Round first = lease.begin_round(1'000'000);
     const Round second = lease.begin_round(1'090'000);
-    // Of three the leader itself and one other make a majority.
+    // Of three voters, the leader and one other are a majority.
     BOOST_TEST(lease.granted_at({second, first, 0}) == 1'000'000);
     BOOST_TEST(lease.granted_at({second, 0, second}) == 1'090'000);
     BOOST_TEST(lease.granted_at({second, 0, 0}) == 0);
-    // Of four three do.
+    // Of four voters, three are a majority.
     BOOST_TEST(lease.granted_at({second, second, first, 0}) == 1'000'000);
     BOOST_TEST(lease.granted_at({}) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_ends_after_its_duration) {
+BOOST_AUTO_TEST_CASE(a_lease_expires_after_its_duration) {
     const LeaderLease lease(kDuration);
     BOOST_TEST(lease.is_valid(1'000'000, 1'000'000 + kDuration - 1));
     BOOST_TEST(!lease.is_valid(1'000'000, 1'000'000 + kDuration));
     BOOST_TEST(!lease.is_valid(0, 1));  // never granted
 }
 
-BOOST_AUTO_TEST_CASE(no_round_of_an_earlier_term_grants_a_lease) {
+BOOST_AUTO_TEST_CASE(a_round_of_an_earlier_term_grants_no_lease) {
     LeaderLease lease(kDuration);
     const Round before = lease.begin_round(1'000'000);
     lease.reset();
@@ -36,11 +36,11 @@
     BOOST_TEST(lease.begin_round(2'000'000) > before);
 }
 
-BOOST_AUTO_TEST_CASE(rounds_of_long_ago_are_forgotten) {
+BOOST_AUTO_TEST_CASE(old_rounds_are_dropped) {
     LeaderLease lease(kDuration);
     const Round first = lease.begin_round(1'000'000);
     Micros now = 1'000'000;
-    for (int n = 0; n < 64; ++n) {
+    for (int round = 0; round < 64; ++round) {
         now += 90'000;
         lease.begin_round(now);
     }
--- a/tests/system/consensus/member_fixture.hpp
+++ b/tests/system/consensus/member_fixture.hpp
@@ -1,4 +1,4 @@
-// Members of a core of a, b and c, for tests of single calls.
+// Members of a core with the voters a, b and c, for tests of single calls.
 #pragma once
 
 #include <string>
@@ -10,9 +10,10 @@
 namespace gannethold::cluster::tests {
 
 constexpr Micros kStart = 10'000'000;
-// Later than the longest candidacy after a start: no lease is owed any more, and an election is due.
+// Later than the maximum duration of a candidacy after the start: all leases have expired, and an election is
+// due.
 constexpr Micros kElectionDue = kStart + 800'000;
-constexpr Term kTerm = 3;  // of the state below
+constexpr Term kTerm = 3;  // the term of member_state()
 
 inline Consensus::Options member_options(const std::string& self) {
     Consensus::Options options;
@@ -34,16 +35,17 @@
     return state;
 }
 
-// The messages of that type in an output.
-template <class Wanted>
-std::vector<Wanted> messages_of(const ConsensusOutput& output) {
-    std::vector<Wanted> found;
-    for (const ConsensusOutput::Envelope& envelope : output.messages)
-        if (const auto* const message = std::get_if<Wanted>(&envelope.message)) found.push_back(*message);
+// The messages of the type in an output.
+template <class MessageType>
+std::vector<MessageType> messages_of(const ConsensusOutput& output) {
+    std::vector<MessageType> found;
+    for (const ConsensusOutput::OutboundMessage& outbound : output.messages)
+        if (const auto* const message = std::get_if<MessageType>(&outbound.message))
+            found.push_back(*message);
     return found;
 }
 
-// For calls whose output the test does not look at.
+// For calls whose output the test does not check.
 inline void ignore(const ConsensusOutput&) {}
 
 inline VoteResponse vote(Term term, bool pre_vote) {
@@ -54,19 +56,19 @@
     return response;
 }
 
-inline VoteRequest vote_request(Term term, LogPosition held) {
+inline VoteRequest vote_request(Term term, LogPosition last_entry) {
     VoteRequest request;
     request.term = term;
-    request.last_entry = held;
+    request.last_entry = last_entry;
     return request;
 }
 
-// Says that the member has that entry on disk.
-inline AppendResponse append_response(Term term, Round round, LogPosition held) {
+// A response stating that the member has the entry on disk.
+inline AppendResponse append_response(Term term, Round round, LogPosition last_entry) {
     AppendResponse response;
     response.term = term;
     response.round = round;
-    response.last_entry = held;
+    response.last_entry = last_entry;
     return response;
 }
 
@@ -77,8 +79,8 @@
     return request;
 }
 
-// Member a as the established leader of the term after kTerm, at kElectionDue; b has voted for it and has its
-// first entry.
+// Member a as the established leader of the term after kTerm, at the time kElectionDue. Member b has voted
+// for it and has stored its first entry.
 class EstablishedLeader {
   public:
     static constexpr Term kLeaderTerm = kTerm + 1;
@@ -93,7 +95,7 @@
     }
 
     LogPosition head() const { return member.persistent_state().entry.position; }
-    // That member answers the heartbeat round and has the head on disk.
+    // Delivers a response of the member to the heartbeat round, which states that it has the head on disk.
     ConsensusOutput confirm(const std::string& from, Round round, Micros now = kNow) {
         return member.on_message(now, from, append_response(kLeaderTerm, round, head()));
     }
--- a/tests/system/consensus/membership_plan_test.cpp
+++ b/tests/system/consensus/membership_plan_test.cpp
@@ -1,4 +1,4 @@
-// Who should vote (consensus/membership_plan.hpp).
+// Planned sets of voters (consensus/membership_plan.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/membership_plan.hpp"
@@ -20,7 +20,7 @@
     BOOST_TEST((plan_voters(responding({"a", "b", "c"}), {}, kTimes) == Voters{"a", "b", "c"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_learner_takes_the_place_of_a_silent_or_leaving_voter) {
+BOOST_AUTO_TEST_CASE(a_learner_replaces_a_silent_or_leaving_voter) {
     auto voters = responding({"a", "b", "c"});
     voters[1].silent_for = kTimes.replace_after;
     BOOST_TEST((plan_voters(voters, {"d"}, kTimes) == Voters{"a", "d", "c"}));
@@ -28,20 +28,20 @@
     BOOST_TEST((plan_voters(voters, {"d"}, kTimes) == Voters{"a", "d", "c"}));
 }
 
-BOOST_AUTO_TEST_CASE(learners_come_in_so_that_the_number_of_voters_is_odd) {
+BOOST_AUTO_TEST_CASE(learners_are_promoted_so_that_the_number_of_voters_is_odd) {
     BOOST_TEST((plan_voters(responding({"a", "b", "c"}), {"d"}, kTimes) == Voters{"a", "b", "c"}));
     BOOST_TEST(
         (plan_voters(responding({"a", "b", "c"}), {"d", "e"}, kTimes) == Voters{"a", "b", "c", "d", "e"}));
     BOOST_TEST((plan_voters(responding({"a", "b"}), {"d"}, kTimes) == Voters{"a", "b", "d"}));
 }
 
-BOOST_AUTO_TEST_CASE(learners_are_kept_as_successors_while_a_voter_does_not_respond) {
+BOOST_AUTO_TEST_CASE(learners_are_reserved_as_successors_while_a_voter_does_not_respond) {
     auto voters = responding({"a", "b", "c"});
     voters[2].silent_for = kTimes.unresponsive_after;
     BOOST_TEST((plan_voters(voters, {"d", "e"}, kTimes) == Voters{"a", "b", "c"}));
 }
 
-BOOST_AUTO_TEST_CASE(two_that_are_gone_for_long_go_without_successors_but_never_below_three) {
+BOOST_AUTO_TEST_CASE(two_failed_or_leaving_voters_are_removed_without_successors_down_to_three) {
     auto voters = responding({"a", "b", "c", "d", "e"});
     voters[1].silent_for = kTimes.remove_after;
     BOOST_TEST((plan_voters(voters, {}, kTimes) == Voters{"a", "b", "c", "d", "e"}));
--- a/tests/system/consensus/membership_test.cpp
+++ b/tests/system/consensus/membership_test.cpp
@@ -1,4 +1,4 @@
-// Learners, and planned ends of members (consensus/membership.cpp).
+// Learners, and planned leaves of members (consensus/membership.cpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/consensus.hpp"
@@ -9,7 +9,7 @@
 
 constexpr Micros kNow = EstablishedLeader::kNow;
 
-BOOST_AUTO_TEST_CASE(a_machine_that_joins_is_a_learner_until_it_falls_silent) {
+BOOST_AUTO_TEST_CASE(a_joining_machine_is_a_learner_until_it_is_silent) {
     EstablishedLeader leader;
     ignore(leader.member.on_message(kNow, "d", JoinRequest{}));
     BOOST_TEST(leader.member.learners().contains("d"));
@@ -22,7 +22,7 @@
     BOOST_TEST(!leader.member.learners().contains("d"));
 }
 
-BOOST_AUTO_TEST_CASE(a_learner_that_has_caught_up_takes_the_place_of_a_voter_that_leaves) {
+BOOST_AUTO_TEST_CASE(a_learner_that_has_caught_up_replaces_a_leaving_voter) {
     EstablishedLeader leader;
     ignore(leader.confirm("c", 1));
     ignore(leader.member.on_message(kNow, "d", JoinRequest{}));
@@ -31,13 +31,13 @@
     BOOST_TEST((leader.member.voters() == std::vector<std::string>{"a", "b", "d"}));
     BOOST_TEST(
         (leader.member.persistent_state().entry.outgoing_members == std::vector<std::string>{"a", "b", "c"}));
-    // The joint entry needs a majority of both; the next entry ends the change.
+    // The joint entry needs a majority of both groups; the next entry completes the change.
     ignore(leader.confirm("b", 2));
     BOOST_TEST(leader.member.persistent_state().entry.outgoing_members.empty());
     BOOST_TEST((leader.member.voters() == std::vector<std::string>{"a", "b", "d"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_voter_may_leave_once_a_quorum_of_the_others_has_the_head) {
+BOOST_AUTO_TEST_CASE(a_voter_may_leave_once_a_quorum_of_the_others_has_stored_the_head) {
     EstablishedLeader leader;
     ignore(leader.member.propose(kNow, {71, 2, "two"}));
     ignore(leader.confirm("c", 2));
@@ -48,33 +48,33 @@
     BOOST_TEST(responses.front().term == EstablishedLeader::kLeaderTerm);
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_that_leaves_asks_a_voter_that_has_the_head_to_stand) {
+BOOST_AUTO_TEST_CASE(a_leaving_leader_transfers_leadership_to_a_voter_that_has_stored_the_head) {
     EstablishedLeader leader;
     const ConsensusOutput output = leader.member.begin_leaving(kNow);
     BOOST_REQUIRE(messages_of<TimeoutNow>(output).size() == 1U);
     BOOST_TEST(output.messages.back().to == "b");
     BOOST_TEST(!leader.member.is_established_leader());
-    BOOST_TEST(!leader.member.may_stop());
+    BOOST_TEST(!leader.member.can_stop());
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_that_leaves_may_stop_after_the_response_of_its_leader) {
+BOOST_AUTO_TEST_CASE(a_leaving_follower_may_stop_after_the_leader_s_response) {
     Consensus follower(member_options("b"), member_state(), kStart);
     ignore(follower.start());
     ignore(follower.on_message(kStart, "a", heartbeat(kTerm, 5)));
     BOOST_TEST(messages_of<LeaveRequest>(follower.begin_leaving(kStart)).size() == 1U);
     ignore(follower.on_message(kStart, "a", LeaveResponse{kTerm - 1}));
-    BOOST_TEST(!follower.may_stop());
+    BOOST_TEST(!follower.can_stop());
     ignore(follower.on_message(kStart, "a", LeaveResponse{kTerm}));
-    BOOST_TEST(follower.may_stop());
+    BOOST_TEST(follower.can_stop());
 }
 
-BOOST_AUTO_TEST_CASE(the_only_member_may_stop_at_once) {
+BOOST_AUTO_TEST_CASE(a_single_member_may_stop_at_once) {
     PersistentState state = member_state();
     state.entry.members = {"a"};
-    Consensus alone(member_options("a"), state, kStart);
-    ignore(alone.start());
-    ignore(alone.begin_leaving(kStart));
-    BOOST_TEST(alone.may_stop());
+    Consensus member(member_options("a"), state, kStart);
+    ignore(member.start());
+    ignore(member.begin_leaving(kStart));
+    BOOST_TEST(member.can_stop());
 }
 
 }  // namespace
--- a/tests/system/consensus/proposal_queue_test.cpp
+++ b/tests/system/consensus/proposal_queue_test.cpp
@@ -1,4 +1,4 @@
-// One body a version (consensus/proposal_queue.hpp).
+// At most one committed body per version (consensus/proposal_queue.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/confirmed_versions.hpp"
@@ -7,7 +7,7 @@
 namespace gannethold::cluster {
 namespace {
 
-// Version 5 is in force; 3 and 5 were committed.
+// Version 5 is in force; versions 3 and 5 have been committed.
 LogEntry committed_entry() {
     LogEntry entry;
     entry.position = {2, 9};
@@ -17,7 +17,7 @@
     return entry;
 }
 
-BOOST_AUTO_TEST_CASE(what_is_committed_decides_a_repeat_at_once) {
+BOOST_AUTO_TEST_CASE(a_repeated_proposal_of_a_committed_version_is_decided_at_once) {
     const LogEntry committed = committed_entry();
     BOOST_TEST((decided_outcome(committed, 5, 50) == ProposalOutcome::committed));
     BOOST_TEST((decided_outcome(committed, 5, 51) == ProposalOutcome::conflict));
@@ -26,17 +26,17 @@
     BOOST_TEST(!decided_outcome(committed, 6, 60).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_version_whose_record_may_be_dropped_is_neither_committed_nor_refused) {
+BOOST_AUTO_TEST_CASE(a_version_whose_record_may_have_been_dropped_has_an_unknown_outcome) {
     LogEntry committed = committed_entry();
     committed.version = kMaxConfirmedVersions + 10;
     committed.confirmed.clear();
-    for (std::size_t n = 0; n < kMaxConfirmedVersions; ++n)
-        add_confirmed(committed.confirmed, {n + 11, 1, n});
+    for (std::size_t index = 0; index < kMaxConfirmedVersions; ++index)
+        add_confirmed(committed.confirmed, {index + 11, 1, index});
     BOOST_TEST((decided_outcome(committed, 4, 40) == ProposalOutcome::unknown));
     BOOST_TEST(!decided_outcome(committed, committed.version + 1, 40).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(what_is_pending_goes_into_one_entry_and_the_highest_version_is_in_force) {
+BOOST_AUTO_TEST_CASE(pending_proposals_share_one_entry_with_the_highest_version_in_force) {
     ProposalQueue queue;
     queue.add({1, 7, "seven"}, 70);
     queue.add({2, 8, "eight"}, 80);
@@ -55,11 +55,11 @@
     BOOST_TEST((results[1].outcome == ProposalOutcome::committed));
     BOOST_TEST((results[2].outcome == ProposalOutcome::conflict));
     BOOST_TEST((results[3].outcome == ProposalOutcome::committed));
-    BOOST_TEST(results[2].ticket == 3U);
+    BOOST_TEST(results[2].id == 3U);
     BOOST_TEST(queue.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_repeat_of_a_recorded_version_needs_no_entry) {
+BOOST_AUTO_TEST_CASE(a_repeated_proposal_of_a_recorded_version_needs_no_entry) {
     ProposalQueue queue;
     queue.add({1, 5, "five"}, 50);
     BOOST_TEST(!queue.next_entry(committed_entry()).has_value());
--- a/tests/system/consensus/quorum_test.cpp
+++ b/tests/system/consensus/quorum_test.cpp
@@ -1,4 +1,4 @@
-// Majorities under joint consensus, and the rules that tests replace (consensus/quorum.hpp, rules.hpp).
+// Majorities under joint consensus, and the standard rules (consensus/quorum.hpp, rules.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <set>
@@ -15,7 +15,7 @@
                       [&](const std::string& member) { return agreeing.contains(member); });
 }
 
-BOOST_AUTO_TEST_CASE(a_joint_change_needs_both_majorities) {
+BOOST_AUTO_TEST_CASE(a_membership_change_needs_both_majorities) {
     BOOST_TEST(is_quorum({"a", "b", "c"}, {}, {"a", "b"}));
     BOOST_TEST(!is_quorum({"a", "b", "c"}, {}, {"a"}));
     BOOST_TEST(!is_quorum({"a", "b", "c", "d"}, {}, {"a", "b"}));
@@ -24,7 +24,7 @@
     BOOST_TEST(is_quorum({"a", "d", "e"}, {"a", "b", "c"}, {"a", "b", "d"}));
 }
 
-BOOST_AUTO_TEST_CASE(a_change_of_members_begins_with_a_joint_entry) {
+BOOST_AUTO_TEST_CASE(a_membership_change_begins_with_a_joint_entry) {
     LogEntry head;
     head.members = {"a", "b", "c"};
     const ConsensusRules& rules = ConsensusRules::standard();
--- a/tests/system/consensus/recovery_test.cpp
+++ b/tests/system/consensus/recovery_test.cpp
@@ -1,4 +1,4 @@
-// A member that lost its disk or was removed, and a machine that joins (consensus/recovery.cpp).
+// Recovery of a member that lost its disk or was removed, and joining of a machine (consensus/recovery.cpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/consensus/consensus.hpp"
@@ -16,7 +16,8 @@
     return requests.front().nonce;
 }
 
-// Says that b leads those members, and that the sender may have voted through kTerm + 2.
+// A response stating that b is the leader of the entry's members, and that the recipient may have voted in
+// terms up to kTerm + 2.
 RecoveryResponse recovery_response(Nonce nonce, const LogEntry& entry) {
     RecoveryResponse response;
     response.nonce = nonce;
@@ -28,7 +29,7 @@
     return response;
 }
 
-// The entry of all members' state, complete in one chunk.
+// The entry of member_state() as a complete payload in one chunk.
 EntryChunk complete_entry() {
     const LogEntry entry = member_state().entry;
     EntryHistory history;
@@ -37,7 +38,7 @@
     return sender.chunk(kTerm, 1, kStart);
 }
 
-BOOST_AUTO_TEST_CASE(a_machine_without_state_asks_the_seeds_and_promises_nothing) {
+BOOST_AUTO_TEST_CASE(a_machine_without_state_queries_the_seeds_and_does_not_vote) {
     Consensus machine(member_options("a"), {}, kStart);
     const ConsensusOutput output = machine.start();
     BOOST_TEST(machine.is_recovering());
@@ -49,13 +50,13 @@
     BOOST_TEST(messages_of<VoteResponse>(machine.on_message(kElectionDue, "b", request)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_voter_that_lost_its_disk_is_a_member_again_with_the_newest_state) {
+BOOST_AUTO_TEST_CASE(a_voter_that_lost_its_disk_becomes_a_member_again_with_the_newest_state) {
     Consensus member(member_options("a"), {}, kStart);
     const Nonce nonce = nonce_of(member.start());
     const RecoveryResponse response = recovery_response(nonce, member_state().entry);
     ignore(member.on_message(kStart, "b", response));
     ignore(member.on_message(kStart, "c", response));
-    // A candidate may still count a vote of before.
+    // A candidate may still count a vote from before the disk loss.
     BOOST_TEST(
         messages_of<AppendResponse>(member.on_message(kCandidaciesOver - 1, "b", complete_entry())).empty());
     BOOST_TEST(member.is_recovering());
@@ -66,7 +67,7 @@
     BOOST_TEST(member.persistent_state().voting_state.no_vote_through == kTerm + 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_machine_that_is_no_voter_asks_the_leader_to_join) {
+BOOST_AUTO_TEST_CASE(a_machine_that_is_not_a_voter_sends_a_join_request_to_the_leader) {
     Consensus machine(member_options("d"), {}, kStart);
     const Nonce nonce = nonce_of(machine.start());
     const RecoveryResponse response = recovery_response(nonce, member_state().entry);
@@ -74,13 +75,13 @@
     const ConsensusOutput output = machine.on_message(kStart, "c", response);
     BOOST_REQUIRE(messages_of<JoinRequest>(output).size() == 1U);
     BOOST_TEST(output.messages.front().to == "b");
-    // It takes the state at once, and is still no member.
+    // It accepts the state at once, but is not a member yet.
     ignore(machine.on_message(kStart, "b", complete_entry()));
     BOOST_TEST((machine.persistent_state().entry.position == member_state().entry.position));
     BOOST_TEST(machine.is_recovering());
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_was_removed_promises_nothing_more) {
+BOOST_AUTO_TEST_CASE(a_removed_member_becomes_a_non_member_once_a_quorum_confirms_the_removal) {
     Consensus member(member_options("a"), member_state(), kStart);
     ignore(member.start());
     const Nonce nonce = nonce_of(member.on_timer(kStart + 1'800'001));
@@ -95,7 +96,7 @@
     BOOST_TEST(member.is_recovering());
 }
 
-BOOST_AUTO_TEST_CASE(a_member_answers_what_it_knows) {
+BOOST_AUTO_TEST_CASE(a_member_answers_a_recovery_request_with_its_state) {
     Consensus member(member_options("b"), member_state(), kStart);
     ignore(member.start());
     ignore(member.on_message(kStart, "a", heartbeat(kTerm, 5)));
--- a/tests/system/controller/durable_consensus_test.cpp
+++ b/tests/system/controller/durable_consensus_test.cpp
@@ -81,7 +81,7 @@
     BOOST_REQUIRE(member.lead());
     member.consensus->propose(member.now, {kTicket, kVersion, kBody});
     BOOST_REQUIRE(member.results.size() == 1U);
-    BOOST_TEST(member.results[0].ticket == kTicket);
+    BOOST_TEST(member.results[0].id == kTicket);
     BOOST_TEST((member.results[0].outcome == ProposalOutcome::committed));
     member.start();
     BOOST_REQUIRE(member.lead());
--- a/tests/system/simulation/core_machines.cpp
+++ b/tests/system/simulation/core_machines.cpp
@@ -87,7 +87,7 @@
     Consensus::Options options;
     options.self = opening.address;
     options.seeds = seeds_;
-    options.first_start = opening.first_start && !opening.disk.voting_state.is_member;
+    options.bootstrap = opening.first_start && !opening.disk.voting_state.is_member;
     options.random_seed = environment_.random.next();
     if (environment_.has_fault(PlantedFault::lease_without_drift))
         options.lease_duration = 3 * options.election_timeout;
@@ -130,7 +130,7 @@
 
 void CoreMachines::end_if_allowed(std::size_t core) {
     CoreMachine& ending = machine(core);
-    const bool may_end = ending.consensus && ending.consensus->may_stop();
+    const bool may_end = ending.consensus && ending.consensus->can_stop();
     if (!may_end && environment_.now() < ending.shutdown_deadline) return;
     if (!may_end) ++overdue_shutdowns_;
     ending.shutdown_deadline = 0;
@@ -217,11 +217,11 @@
 }
 
 void CoreMachines::send(std::size_t core, const ConsensusOutput& out) {
-    for (const ConsensusOutput::Envelope& envelope : out.messages)
+    for (const ConsensusOutput::OutboundMessage& outbound : out.messages)
         for (std::size_t to = 0; to < size(); ++to) {
-            if (at(to).address != envelope.to) continue;
-            network_.send(core, to, envelope.message,
-                          [this, core, to, message = envelope.message, incarnation = at(to).incarnation] {
+            if (at(to).address != outbound.to) continue;
+            network_.send(core, to, outbound.message,
+                          [this, core, to, message = outbound.message, incarnation = at(to).incarnation] {
                               receive(core, to, message, incarnation);
                           });
         }
--- a/tests/system/simulation/operators.cpp
+++ b/tests/system/simulation/operators.cpp
@@ -32,7 +32,7 @@
 }
 
 void Operators::on_proposal_result(std::size_t core, const ProposalResult& result) {
-    const auto ticket = pending_.find(result.ticket);
+    const auto ticket = pending_.find(result.id);
     if (ticket == pending_.end()) return;
     Proposal proposal = ticket->second;
     proposal.core = core;
--- a/tests/system/simulation/output_recorder.cpp
+++ b/tests/system/simulation/output_recorder.cpp
@@ -13,12 +13,12 @@
                                           const ConsensusOutput& out) {
     if (!enabled_) return;
     if (out.must_persist) add(core, encode_voting_state(state.voting_state), encode_entry(state.entry));
-    for (const ConsensusOutput::Envelope& envelope : out.messages) {
-        add(envelope.to);
-        add_message(core, 0, envelope.message);
+    for (const ConsensusOutput::OutboundMessage& outbound : out.messages) {
+        add(outbound.to);
+        add_message(core, 0, outbound.message);
     }
     for (const ProposalResult& result : out.proposal_results)
-        add(core, result.ticket, static_cast<std::uint64_t>(result.outcome));
+        add(core, result.id, static_cast<std::uint64_t>(result.outcome));
 }
 
 void OutputRecorder::add_actions(std::uint64_t proxy, const Actions& actions) {
