--- a/src/cluster/consensus/consensus.hpp
+++ b/src/cluster/consensus/consensus.hpp
@@ -138,9 +138,9 @@
     void dispatch(const std::string& from, const Message& message);
     void send(const std::string& to, Message message);
     bool is_self(const std::string& member) const { return member == options_.self; }
-    // The peer if anything came from it or was sent to it; else nullptr.
+    // The state of the peer, or nullptr if no message has been exchanged with it.
     const Peer* find_peer(const std::string& member) const;
-    // Whether a quorum of the newest entry's voters agrees.
+    // Whether agrees(voter) is true for a quorum of the newest entry's voters.
     template <class Agrees>
     bool quorum_agrees(const Agrees& agrees) const;
 
