--- a/src/cluster/configuration/configuration.cpp
+++ b/src/cluster/configuration/configuration.cpp
@@ -3,7 +3,8 @@
 namespace gannethold::cluster {
 namespace {
 
-// In lower case and without a port; an IPv6 address keeps its opening bracket only.
+// Returns the host in lower case and without port. An IPv6 address keeps its opening bracket, but not the
+// closing one.
 std::string normalized_host(std::string_view text) {
     std::string host(text.substr(0, text.starts_with('[') ? text.find(']') : text.find(':')));
     for (char& character : host)
@@ -29,7 +30,7 @@
     path = path.substr(0, path.find('?'));
     std::string key = route_key(host, path);
     const std::size_t path_begin = key.find('\n') + 1;
-    // Every prefix ends with a slash: the path is shortened from slash to slash.
+    // Prefixes end with a slash, so the path is shortened to its previous slash until a prefix matches.
     for (;;) {
         const auto slash = key.rfind('/');
         if (slash == std::string::npos || slash < path_begin) return nullptr;
--- a/src/cluster/configuration/configuration.hpp
+++ b/src/cluster/configuration/configuration.hpp
@@ -1,4 +1,4 @@
-// The operator's configuration: which services there are, and which requests go to which of them.
+// The operators' configuration: the services, and the routes that assign requests to them.
 #pragma once
 
 #include <cstddef>
@@ -17,14 +17,14 @@
 // A function that runners execute.
 struct Service {
     std::string name;
-    std::int64_t memory_mb = 128;           // of one runner
-    Micros boot_duration = 1'000'000;       // mean, of a runner's start
-    std::uint32_t max_concurrency = 1;      // requests that one runner serves at once
-    std::uint32_t connection_limit = 1024;  // of one runner, for all its clients together
-    Micros min_latency_target = 0;          // of the routes that lead to it; 0: no route does
+    std::int64_t memory_mb = 128;           // per runner
+    Micros boot_duration = 1'000'000;       // mean time to start a runner
+    std::uint32_t max_concurrency = 1;      // concurrent requests per runner
+    std::uint32_t connection_limit = 1024;  // per runner, in total over all clients
+    Micros min_latency_target = 0;          // lowest target of the routes to this service; 0: no route
 };
 
-// A service with its part of a route's requests.
+// A service and the weight of its share of a route's requests.
 struct WeightedService {
     std::string service;
     double weight = 1;
@@ -34,19 +34,19 @@
     std::string name;
     std::string host;
     std::string path_prefix;     // begins and ends with a slash
-    bool is_idempotent = false;  // its requests may run more than once
+    bool is_idempotent = false;  // a request may be executed more than once
     Micros timeout = 0;
     Micros latency_target = 0;
     std::uint8_t priority = 0;  // 0 is the highest
     std::uint32_t max_attempts = 1;
-    std::vector<WeightedService> services;  // at least one; the sum of the weights is over 0
-    // Requests of one class are expected to take alike long: their routes agree in latency target, time-out,
-    // idempotence and priority, and their services in memory and concurrency. From 1; the same number may
-    // stand for another class in another configuration.
+    std::vector<WeightedService> services;  // at least one; the weights sum to more than 0
+    // Requests of the same class are expected to have similar durations: their routes have the same latency
+    // target, timeout, idempotence and priority, and their services the same memory and concurrency. Classes
+    // are numbered from 1; a number may denote a different class in another configuration.
     std::uint16_t request_class = 0;
 };
 
-// What a proxy accepts from its clients.
+// Limits that a proxy applies to its clients.
 struct Limits {
     std::size_t max_header_bytes = 16384;
     std::size_t max_body_bytes = 262144;
@@ -54,14 +54,14 @@
     Micros idle_timeout = 15'000'000;
 };
 
-// One version of the configuration. Immutable once parsed, and therefore safe to read from any thread.
+// One version of the configuration. Immutable after parsing, so any thread may read it.
 class Configuration {
   public:
-    // Errors: configuration_malformed (cut short, or no JSON object), configuration_invalid (the detail says
-    // what breaks a rule, and where).
+    // Errors: configuration_malformed (truncated, or not a JSON object); configuration_invalid (the error
+    // detail names the violated rule and the place in the configuration).
     static leaf::result<std::shared_ptr<const Configuration>> parse(std::string_view json);
 
-    // Only the version; no other field is looked at. Errors as of parse.
+    // Parses the version and ignores all other fields. Same errors as parse().
     static leaf::result<std::uint64_t> parse_version(std::string_view json);
 
     std::uint64_t version() const { return version_; }
@@ -69,26 +69,26 @@
     const std::vector<Route>& routes() const { return routes_; }
     const Limits& limits() const { return limits_; }
 
-    // nullptr: there is none of that name. Valid as long as the configuration.
+    // Returns the service with the name, or nullptr. Valid as long as the configuration.
     const Service* find_service(std::string_view name) const;
 
-    // Of the routes of the host, the one with the longest prefix of the path; nullptr: none. The host is
-    // given as the client wrote it (case and port are ignored), the path with or without a query. Valid as
-    // long as the configuration.
+    // Returns the host's route with the longest matching path prefix, or nullptr. Ignores the case and the
+    // port of `host`, and the query of `path`. Valid as long as the configuration.
     const Route* find_route(std::string_view host, std::string_view path) const;
 
   private:
     friend class ConfigurationParser;
 
-    // The key of a route: the host in lower case and without port, a line feed, the prefix.
+    // The key of a route in route_by_key_: the host in lower case and without port, a line feed, the path
+    // prefix.
     static std::string route_key(std::string_view host, std::string_view prefix);
 
     std::uint64_t version_ = 0;
     std::vector<Service> services_;
     std::vector<Route> routes_;
     Limits limits_;
-    std::unordered_map<std::string, std::size_t> service_by_name_;  // places in services_
-    std::unordered_map<std::string, std::size_t> route_by_key_;     // places in routes_
+    std::unordered_map<std::string, std::size_t> service_by_name_;  // indexes into services_
+    std::unordered_map<std::string, std::size_t> route_by_key_;     // indexes into routes_
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/configuration/configuration_parser.cpp
+++ b/src/cluster/configuration/configuration_parser.cpp
@@ -40,13 +40,14 @@
     return service;
 }
 
-// [{"service": NAME, "weight": NUMBER}, ...], also with "name" for "service".
+// Parses [{"service": NAME, "weight": NUMBER}, ...]; "name" is accepted instead of "service".
 leaf::result<std::vector<WeightedService>> parse_weighted_list(const array& list, const char* field,
                                                                const std::string& where) {
     std::vector<WeightedService> services;
     for (const element entry : list) {
         object from;
-        if (entry.get(from)) return invalid(where, std::string(field) + " holds what is no object");
+        if (entry.get(from))
+            return invalid(where, std::string(field) + " has an entry that is not an object");
         WeightedService service;
         const char* const name_field = from["service"].error() ? "name" : "service";
         BOOST_LEAF_ASSIGN(service.service, required_text(from, name_field, where));
@@ -56,13 +57,13 @@
     return services;
 }
 
-// {NAME: NUMBER, ...}
+// Parses {NAME: NUMBER, ...}.
 leaf::result<std::vector<WeightedService>> parse_weight_table(const object& table, const std::string& where) {
     std::vector<WeightedService> services;
     for (const auto& [name, element] : table) {
         double weight = 0;
         const bool is_number = !element.get(weight);
-        if (!is_number || !(weight >= 0)) return invalid(where, "a weight is no number from 0 on");
+        if (!is_number || !(weight >= 0)) return invalid(where, "a weight is not a number of at least 0");
         services.push_back({std::string(name), weight});
     }
     return services;
@@ -75,7 +76,7 @@
     return std::vector<WeightedService>();
 }
 
-// A route names one service, or several with weights in the fields named here.
+// Parses a route's services: a single one, or several with weights in one of the fields listed here.
 leaf::result<std::vector<WeightedService>> parse_services(const object& route, const std::string& where) {
     std::vector<WeightedService> services;
     for (const char* const field : {"services", "weights", "split"}) {
@@ -85,17 +86,17 @@
         services.insert(services.end(), weighted.begin(), weighted.end());
     }
     if (services.empty()) {
-        WeightedService only;
-        BOOST_LEAF_ASSIGN(only.service, required_text(route, "service", where));
-        services.push_back(std::move(only));
+        WeightedService single_service;
+        BOOST_LEAF_ASSIGN(single_service.service, required_text(route, "service", where));
+        services.push_back(std::move(single_service));
     }
     double sum = 0;
     for (const WeightedService& service : services) sum += service.weight;
-    if (!(sum > 0)) return invalid(where, "its weights add up to 0");
+    if (!(sum > 0)) return invalid(where, "the sum of the weights is 0");
     return services;
 }
 
-// Which requests the route takes, and whether they may be repeated.
+// Parses which requests match the route, and whether they are idempotent.
 leaf::result<void> parse_match(const object& from, const std::string& where, Route& route) {
     BOOST_LEAF_ASSIGN(route.host, required_text(from, "host", where));
     BOOST_LEAF_ASSIGN(route.path_prefix, required_text(from, "path_prefix", where));
@@ -103,7 +104,7 @@
         return invalid(where, "path_prefix does not begin and end with a slash");
     BOOST_LEAF_AUTO(kind, required_text(from, "route_kind", where));
     if (kind != "idempotent" && kind != "non_idempotent")
-        return invalid(where, "route_kind is not known: " + kind);
+        return invalid(where, "unknown route_kind: " + kind);
     route.is_idempotent = kind == "idempotent";
     return {};
 }
@@ -139,7 +140,7 @@
                   from_ms(header_ms), from_ms(idle_ms)};
 }
 
-// Numbers the classes of requests in the order in which routes need them (Route::request_class).
+// Assigns request class numbers in the order of first use (Route::request_class).
 class RequestClasses {
   public:
     std::uint16_t number_of(const Route& route, const Service& service) {
@@ -157,7 +158,7 @@
         std::int64_t memory_mb = 0;
         std::uint32_t max_concurrency = 0;
         std::uint8_t priority = 0;
-        // clang-tidy 14 takes the defaulted comparison for a null pointer.
+        // clang-tidy 14 mistakes the defaulted comparison for a null pointer.
         friend auto operator<=>(const Traits&, const Traits&) = default;  // NOLINT(modernize-use-nullptr)
     };
     std::map<Traits, std::uint16_t> numbers_;
@@ -166,22 +167,22 @@
 leaf::result<object> parse_object(simdjson::dom::parser& parser, std::string_view json) {
     object top;
     if (parser.parse(json.data(), json.size()).get(top))
-        return make_error(ErrorCode::configuration_malformed, "not whole, or no JSON object");
+        return make_error(ErrorCode::configuration_malformed, "truncated, or not a JSON object");
     return top;
 }
 
 }  // namespace
 
-// Fills a configuration part by part, in the order of the calls of parse; the first error ends it.
+// Builds a configuration from its JSON object and stops at the first error.
 class ConfigurationParser {
   public:
     leaf::result<std::shared_ptr<const Configuration>> parse(const object& top) {
         if (top["version"].get(configuration_->version_) || configuration_->version_ == 0)
-            return invalid("configuration", "version is no whole number from 1 on");
+            return invalid("configuration", "version is not an integer of at least 1");
         array services;
         array routes;
-        if (top["services"].get(services)) return invalid("configuration", "services is no list");
-        if (top["routes"].get(routes)) return invalid("configuration", "routes is no list");
+        if (top["services"].get(services)) return invalid("configuration", "services is not a list");
+        if (top["routes"].get(routes)) return invalid("configuration", "routes is not a list");
         BOOST_LEAF_CHECK(add_services(services));
         BOOST_LEAF_CHECK(add_routes(routes));
         if (object limits; !top["limits"].get(limits)) {
@@ -195,10 +196,10 @@
         auto& services = configuration_->services_;
         for (const element entry : list) {
             object from;
-            if (entry.get(from)) return invalid("services", "an entry is no object");
+            if (entry.get(from)) return invalid("services", "an entry is not an object");
             BOOST_LEAF_AUTO(service, parse_service(from));
             if (!configuration_->service_by_name_.emplace(service.name, services.size()).second)
-                return invalid("service " + service.name, "it stands there twice");
+                return invalid("service " + service.name, "its name is used twice");
             services.push_back(std::move(service));
         }
         return {};
@@ -207,7 +208,7 @@
     leaf::result<void> add_routes(const array& list) {
         for (const element entry : list) {
             object from;
-            if (entry.get(from)) return invalid("routes", "an entry is no object");
+            if (entry.get(from)) return invalid("routes", "an entry is not an object");
             BOOST_LEAF_AUTO(route, parse_route(from));
             BOOST_LEAF_CHECK(add_route(std::move(route)));
         }
@@ -216,24 +217,22 @@
 
     leaf::result<void> add_route(Route route) {
         auto& routes = configuration_->routes_;
-        BOOST_LEAF_CHECK(connect_to_services(route));
+        BOOST_LEAF_CHECK(resolve_services(route));
         route.request_class = request_classes_.number_of(route, *find(route.services.front().service));
         const std::string key = Configuration::route_key(route.host, route.path_prefix);
         const auto [other, is_new] = configuration_->route_by_key_.emplace(key, routes.size());
         if (!is_new)
             return invalid("route " + route.name,
-                           "it has the host and prefix of route " + routes[other->second].name);
+                           "same host and path_prefix as route " + routes[other->second].name);
         routes.push_back(std::move(route));
         return {};
     }
 
-    // Checks that the services exist, and lowers their latency targets to the route's.
-    leaf::result<void> connect_to_services(const Route& route) {
+    // Checks that the services exist, and updates their min_latency_target.
+    leaf::result<void> resolve_services(const Route& route) {
         for (const WeightedService& weighted : route.services) {
             Service* const service = find(weighted.service);
-            if (!service)
-                return invalid("route " + route.name,
-                               "it names a service that is not there: " + weighted.service);
+            if (!service) return invalid("route " + route.name, "unknown service: " + weighted.service);
             const bool is_lower =
                 service->min_latency_target == 0 || route.latency_target < service->min_latency_target;
             if (weighted.weight > 0 && is_lower) service->min_latency_target = route.latency_target;
@@ -255,7 +254,7 @@
     simdjson::dom::parser parser;
     BOOST_LEAF_AUTO(top, parse_object(parser, json));
     std::uint64_t version = 0;
-    if (top["version"].get(version)) return invalid("configuration", "version is no whole number from 0 on");
+    if (top["version"].get(version)) return invalid("configuration", "version is not a non-negative integer");
     return version;
 }
 
--- a/src/cluster/configuration/delta.cpp
+++ b/src/cluster/configuration/delta.cpp
@@ -9,26 +9,27 @@
 namespace gannethold::cluster {
 namespace {
 
-// Of a text and of decompressed steps, so that a length from outside does not decide how much is allocated.
+// Maximum size of a text and of decompressed steps. Bounds the allocation for lengths in received data.
 constexpr std::size_t kMaxBytes = 64U << 20;
 constexpr int kCompressionLevel = 6;
 constexpr int kVarintBits = 7;
-constexpr std::uint64_t kVarintMore = 0x80;  // set on all bytes but the last
+constexpr std::uint64_t kVarintContinuation = 0x80;  // set on all bytes but the last
 constexpr int kMaxVarintShift = 63;
 
 void append_varint(std::string& to, std::uint64_t number) {
-    for (; number >= kVarintMore; number >>= kVarintBits) to += static_cast<char>(number | kVarintMore);
+    for (; number >= kVarintContinuation; number >>= kVarintBits)
+        to += static_cast<char>(number | kVarintContinuation);
     to += static_cast<char>(number);
 }
 
-// Removes a varint from the front; nullopt: there is none.
+// Removes a varint from the front and returns it; nullopt if it is malformed.
 std::optional<std::uint64_t> take_varint(std::string_view& from) {
     std::uint64_t number = 0;
     for (int shift = 0; shift < kMaxVarintShift && !from.empty(); shift += kVarintBits) {
         const auto byte = static_cast<unsigned char>(from.front());
         from.remove_prefix(1);
-        number |= static_cast<std::uint64_t>(byte & (kVarintMore - 1)) << shift;
-        if (byte < kVarintMore) return number;
+        number |= static_cast<std::uint64_t>(byte & (kVarintContinuation - 1)) << shift;
+        if (byte < kVarintContinuation) return number;
     }
     return std::nullopt;
 }
@@ -38,8 +39,8 @@
         crc32(0, reinterpret_cast<const Bytef*>(text.data()), static_cast<uInt>(text.size())));
 }
 
-// The piece of a text that begins at an offset. A piece ends behind a closing brace, and so each route and
-// each service is a piece.
+// The piece of the text that begins at the offset. A piece ends after a closing brace, so each route and each
+// service is one piece.
 std::string_view piece_at(std::string_view text, std::size_t offset) {
     const auto brace = text.find('}', offset);
     return text.substr(offset, brace == std::string_view::npos ? brace : brace + 1 - offset);
@@ -56,12 +57,12 @@
     return offsets;
 }
 
-// Collects literals and copies into as few steps as possible.
+// Writes steps; merges consecutive literals, and copies that are adjacent in the base.
 class StepWriter {
   public:
     explicit StepWriter(std::string_view base) : base_(base) {}
 
-    // Whether the piece could be appended to the copy that is being collected.
+    // Extends the current copy by the piece if that follows it in the base. Returns whether it did.
     bool extend_copy(std::string_view piece) {
         if (copy_length_ == 0 || base_.substr(copy_offset_ + copy_length_, piece.size()) != piece)
             return false;
@@ -119,13 +120,13 @@
 
 leaf::result<std::string> decompressed(std::string_view bytes) {
     const auto length = take_varint(bytes);
-    if (!length || *length > kMaxBytes) return malformed("a delta without its length");
+    if (!length || *length > kMaxBytes) return malformed("delta has no valid length");
     std::string plain(*length, '\0');
     uLongf written = static_cast<uLongf>(plain.size());
     const int status =
         uncompress(reinterpret_cast<Bytef*>(plain.data()), &written,
                    reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uLong>(bytes.size()));
-    if (status != Z_OK || written != plain.size()) return malformed("a delta that can not be decompressed");
+    if (status != Z_OK || written != plain.size()) return malformed("delta cannot be decompressed");
     return plain;
 }
 
@@ -135,14 +136,14 @@
     text.reserve(text_length);
     while (!steps.empty()) {
         const auto literal_length = take_varint(steps);
-        if (!literal_length || *literal_length > steps.size()) return malformed("a delta that is cut short");
+        if (!literal_length || *literal_length > steps.size()) return malformed("delta is truncated");
         text.append(steps.substr(0, *literal_length));
         steps.remove_prefix(*literal_length);
         const auto copy_offset = take_varint(steps);
         const auto copy_length = take_varint(steps);
         if (!copy_offset || !copy_length || *copy_offset > base.size() ||
             *copy_length > base.size() - *copy_offset || text.size() + *copy_length > text_length)
-            return malformed("a delta that copies from outside its base");
+            return malformed("delta copies data outside of its base or beyond its text");
         text.append(base.substr(*copy_offset, *copy_length));
     }
     return text;
@@ -177,11 +178,11 @@
     const auto base_checksum = take_varint(steps);
     const auto text_checksum = take_varint(steps);
     if (!text_length || !base_checksum || !text_checksum || *text_length > kMaxBytes)
-        return malformed("a delta without its header");
-    if (*base_checksum != checksum(base)) return malformed("a delta to another text");
+        return malformed("delta has no valid header");
+    if (*base_checksum != checksum(base)) return malformed("delta was made from another base");
     BOOST_LEAF_AUTO(text, apply_steps(base, steps, *text_length));
     if (text.size() != *text_length || checksum(text) != *text_checksum)
-        return malformed("a delta that gives another text");
+        return malformed("delta yields a text with a wrong length or checksum");
     return text;
 }
 
--- a/src/cluster/configuration/delta.hpp
+++ b/src/cluster/configuration/delta.hpp
@@ -1,12 +1,12 @@
-// The text of a configuration as the difference to an older version's text. Versions differ little and links
-// may be slow. Works on the bytes as the operator sent them: what is applied is what was sent, byte for byte.
+// Delta encoding of configuration texts against an older version, since consecutive versions differ little
+// and links may be slow. Works on bytes, so the decoded text is byte for byte what the operator sent.
 //
-// A delta is a varint (seven bits a byte, the lowest first, the eighth bit set on all but the last) with the
-// length of what follows once it is decompressed, then, compressed by zlib:
+// A varint has seven bits per byte, lowest bits first; the eighth bit is set on all bytes but the last. A
+// delta is a varint with the decompressed length of the rest, followed by the rest, compressed with zlib:
 //   varint  length of the text
 //   varint  CRC-32 of the base
 //   varint  CRC-32 of the text
-//   until the end, steps that make the text from its beginning:
+//   steps that build the text from its beginning, until the end of the data:
 //     varint  length of a literal, and its bytes
 //     varint  offset of a copy in the base
 //     varint  length of the copy
@@ -19,11 +19,10 @@
 
 namespace gannethold::cluster {
 
-// The delta from base to text. An empty base is allowed: the delta then carries the complete text,
-// compressed.
+// Returns the delta from base to text. With an empty base, the delta holds the complete text, compressed.
 std::string make_delta(std::string_view base, std::string_view text);
 
-// The text. Error: bytes_malformed, also where base is not the one that the delta was made from.
+// Returns the text. Error: bytes_malformed if the delta is corrupt or was not made from this base.
 leaf::result<std::string> apply_delta(std::string_view base, std::string_view delta);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/configuration/json_fields.cpp
+++ b/src/cluster/configuration/json_fields.cpp
@@ -5,7 +5,7 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr double kMaxNumber = 1e15;  // below it, a double counts whole microseconds
+constexpr double kMaxNumber = 1e15;  // a double counts whole microseconds up to here
 
 }  // namespace
 
@@ -16,7 +16,8 @@
 leaf::result<std::string> required_text(const simdjson::dom::object& object, const char* field,
                                         const std::string& where) {
     std::string_view text;
-    if (object[field].get(text) || text.empty()) return invalid(where, std::string(field) + " is no text");
+    if (object[field].get(text) || text.empty())
+        return invalid(where, std::string(field) + " is not a non-empty string");
     return std::string(text);
 }
 
@@ -28,8 +29,8 @@
     const bool is_number = !element.get(value);
     const bool in_range = value >= min && value <= kMaxNumber;  // false for NaN
     if (!is_number || !in_range)
-        return invalid(where, std::string(field) + " is no number from " +
-                                  std::to_string(static_cast<long>(min)) + " on");
+        return invalid(where, std::string(field) + " is not a number of at least " +
+                                  std::to_string(static_cast<long>(min)));
     return value;
 }
 
--- a/src/cluster/configuration/json_fields.hpp
+++ b/src/cluster/configuration/json_fields.hpp
@@ -1,5 +1,5 @@
-// Typed access to the fields of a JSON object, with errors for the operator who wrote it.
-// Only for the sources of this folder: it includes simdjson.
+// Typed access to the fields of a JSON object, with error messages for operators. Internal to this folder,
+// since it includes simdjson.
 #pragma once
 
 #include <simdjson.h>
@@ -10,15 +10,15 @@
 
 namespace gannethold::cluster {
 
-// A configuration_invalid error; where says in which part of the configuration.
+// Returns a configuration_invalid error; `where` names the part of the configuration.
 leaf::error_id invalid(const std::string& where, const std::string& what);
 
-// Error: configuration_invalid, where the field is missing, empty or no text.
+// Returns the string value of a field. Error: configuration_invalid if it is missing, empty or not a string.
 leaf::result<std::string> required_text(const simdjson::dom::object& object, const char* field,
                                         const std::string& where);
 
-// The fallback where the field is missing or null. Error: configuration_invalid, where it is no number, below
-// min or over 1e15.
+// Returns the value of a numeric field, or `fallback` if it is missing or null. Error: configuration_invalid
+// if it is not a number, below `min` or above 1e15.
 leaf::result<double> number_or(double fallback, const simdjson::dom::object& object, const char* field,
                                const std::string& where, double min);
 
--- a/src/cluster/store/confirmed_record.cpp
+++ b/src/cluster/store/confirmed_record.cpp
@@ -18,7 +18,7 @@
     return std::string(digits - length, '0').append(text, length);
 }
 
-// nullopt: not a number of exactly that many digits.
+// Returns nullopt if the text is not a number with exactly that many digits.
 std::optional<std::uint64_t> parse(std::string_view text, std::size_t digits, int base) {
     std::uint64_t number = 0;
     const std::from_chars_result read = std::from_chars(text.data(), text.data() + text.size(), number, base);
@@ -44,12 +44,12 @@
 leaf::result<ConfirmedVersion> decode_confirmed(std::string_view key, std::string_view value) {
     const std::size_t separator = kConfirmedPrefix.size() + kDecimalDigits;
     if (!key.starts_with(kConfirmedPrefix) || key.size() <= separator || key[separator] != '/')
-        return make_error(ErrorCode::bytes_malformed, "the key of a confirmed version");
+        return make_error(ErrorCode::bytes_malformed, "malformed key of a confirmed version");
     const auto index = parse(key.substr(kConfirmedPrefix.size(), kDecimalDigits), kDecimalDigits, kDecimal);
     const auto version = parse(key.substr(separator + 1), kDecimalDigits, kDecimal);
     const auto digest = parse(value, kHexDigits, kHexadecimal);
     if (!index || !version || !digest)
-        return make_error(ErrorCode::bytes_malformed, "the record of a confirmed version");
+        return make_error(ErrorCode::bytes_malformed, "malformed record of a confirmed version");
     return ConfirmedVersion{*version, *digest, *index};
 }
 
--- a/src/cluster/store/confirmed_record.hpp
+++ b/src/cluster/store/confirmed_record.hpp
@@ -1,9 +1,9 @@
-// Keys and values under which the store keeps the records of committed configuration versions:
+// Keys and values of the store's records of committed configuration versions:
 //
 //   confirmed/<index>/<version> = <digest>
 //
-// index and version with 20 decimal digits, so that keys sort as the numbers do; digest with 16 hexadecimal
-// ones. Written once, this format stays.
+// The index and the version have 20 decimal digits, so that keys sort in numerical order; the digest has 16
+// hexadecimal digits. The format must not change, since existing databases use it.
 #pragma once
 
 #include <string>
--- a/src/cluster/store/store.cpp
+++ b/src/cluster/store/store.cpp
@@ -16,8 +16,8 @@
 constexpr char kDatabaseName[] = "/state";
 constexpr char kVotingStateKey[] = "promise";
 constexpr char kEntryKey[] = "entry";
-// LevelDB's buffer and table size. Small, so that what was overwritten is soon dropped: the files stay under
-// a few bodies of a configuration.
+// LevelDB's write buffer and table size. Small, so that overwritten data is compacted soon and the files stay
+// smaller than a few configuration bodies.
 constexpr std::size_t kBufferBytes = 1U << 20;
 
 leveldb::Slice slice(std::string_view text) { return {text.data(), text.size()}; }
@@ -64,14 +64,14 @@
 Store::Store() = default;
 Store::~Store() = default;
 
-leaf::result<PersistentState> Store::open(const std::string& folder) {
+leaf::result<PersistentState> Store::open(const std::string& directory) {
     database_.reset();
     persisted_position_.reset();
     persisted_confirmed_.clear();
-    const std::string path = folder + kDatabaseName;
+    const std::string path = directory + kDatabaseName;
     OpenResult opened = open_database(path);
     if (opened.status.IsCorruption() || opened.status.IsInvalidArgument()) {
-        // A lost disk: the member recovers its state from the others.
+        // Treated as a lost disk: the member recovers its state from the others.
         leveldb::DestroyDB(path, database_options());
         opened = open_database(path);
     }
@@ -90,23 +90,23 @@
     BOOST_LEAF_ASSIGN(state.voting_state, decode_voting_state(voting_state));
     BOOST_LEAF_ASSIGN(state.entry, decode_entry(entry));
     BOOST_LEAF_ASSIGN(state.entry.confirmed, read_confirmed());
-    remember_persisted(state.entry);
+    record_persisted(state.entry);
     return state;
 }
 
 leaf::result<std::vector<ConfirmedVersion>> Store::read_confirmed() {
     std::vector<ConfirmedVersion> records;
     const leveldb::Slice prefix = slice(kConfirmedPrefix);
-    const std::unique_ptr<leveldb::Iterator> pair(database_->NewIterator(read_options()));
-    for (pair->Seek(prefix); pair->Valid() && pair->key().starts_with(prefix); pair->Next()) {
-        BOOST_LEAF_AUTO(record, decode_confirmed(pair->key().ToString(), pair->value().ToString()));
+    const std::unique_ptr<leveldb::Iterator> iterator(database_->NewIterator(read_options()));
+    for (iterator->Seek(prefix); iterator->Valid() && iterator->key().starts_with(prefix); iterator->Next()) {
+        BOOST_LEAF_AUTO(record, decode_confirmed(iterator->key().ToString(), iterator->value().ToString()));
         records.push_back(record);
     }
-    if (!pair->status().ok()) return make_error(ErrorCode::disk_failed, pair->status().ToString());
+    if (!iterator->status().ok()) return make_error(ErrorCode::disk_failed, iterator->status().ToString());
     return records;
 }
 
-// Of the confirmed versions only what changed is written: most entries add one record to thousands.
+// Writes only the changed records of confirmed versions: most entries add one record to thousands.
 void Store::put_entry(leveldb::WriteBatch& batch, const LogEntry& entry) const {
     LogEntry without_records = entry;
     without_records.confirmed.clear();
@@ -124,7 +124,7 @@
 }
 
 leaf::result<void> Store::write(const PersistentState& state) {
-    if (!database_) return make_error(ErrorCode::disk_failed, "not open");
+    if (!database_) return make_error(ErrorCode::disk_failed, "the store is not open");
     leveldb::WriteBatch batch;
     batch.Put(kVotingStateKey, encode_voting_state(state.voting_state));
     const bool has_new_entry = persisted_position_ != state.entry.position;
@@ -136,11 +136,11 @@
         database_.reset();
         return make_error(ErrorCode::disk_failed, status.ToString());
     }
-    if (has_new_entry) remember_persisted(state.entry);
+    if (has_new_entry) record_persisted(state.entry);
     return {};
 }
 
-void Store::remember_persisted(const LogEntry& entry) {
+void Store::record_persisted(const LogEntry& entry) {
     persisted_position_ = entry.position;
     persisted_confirmed_ = entry.confirmed;
 }
--- a/src/cluster/store/store.hpp
+++ b/src/cluster/store/store.hpp
@@ -1,10 +1,10 @@
-// A core member's persistent state in LevelDB: its promises, the newest log entry, and one small record for
-// each committed configuration version.
+// A core member's persistent state in LevelDB: its voting state, the newest log entry, and one small record
+// for each committed configuration version.
 //
-// Options of LevelDB, and why. sync on every write: messages that follow from it are sent next.
-// paranoid_checks off while opening: a loss of power may tear what was never synced, and the log is then cut
-// where its checksums end. env: synced_renames.hpp. verify_checksums on every read: what was synced must be
-// intact.
+// LevelDB options: sync is on for every write, since messages that depend on the write are sent next.
+// paranoid_checks is off when opening: a power loss may tear unsynced data, and the log is then truncated at
+// the first bad checksum. env is SyncedRenames (synced_renames.hpp). verify_checksums is on for every read,
+// since synced data must be intact.
 #pragma once
 
 #include <memory>
@@ -22,8 +22,8 @@
 
 namespace gannethold::cluster {
 
-// Thread safety: none; all calls come from one thread. Between a successful open() and the destructor, the
-// next open() or a failed write() the database is locked against other processes.
+// Not thread-safe: all calls must come from one thread. The database is locked against other processes from a
+// successful open() until the destructor, the next open() or a failed write().
 class Store {
   public:
     Store();
@@ -31,33 +31,33 @@
     Store(const Store&) = delete;
     Store& operator=(const Store&) = delete;
 
-    // Opens the database in that folder, or creates it, and returns what is durable: the state of the last
-    // write() that succeeded, or of one after it that was not finished. Default values if there is none.
+    // Opens or creates the database in the directory and returns the durable state: that of the last
+    // successful write(), or of a later write() that was interrupted. Default values if there is none.
     //
-    // A database that can't be read counts as a lost disk: it is never guessed at. The state is then that of
-    // no member, whose owner must not vote as if it had never voted.
+    // An unreadable database is treated as a lost disk and replaced by an empty one. The returned state then
+    // has is_member == false, and the caller must not assume that this machine has never voted.
     //
-    // Error: disk_failed if there is no database after the call; then every write() fails. Any number of
-    // calls: each closes the database that was open.
-    // REQUIRES: the folder exists, and no other process has its database open.
-    leaf::result<PersistentState> open(const std::string& folder);
+    // Error: disk_failed if the database cannot be opened; every write() then fails. May be called
+    // repeatedly; each call closes the database that was open.
+    // REQUIRES: the directory exists, and no other process has its database open.
+    leaf::result<PersistentState> open(const std::string& directory);
 
-    // Makes the state durable: when it returns without an error, all of it is synced to disk. It is written
-    // as one batch, so that after a crash all of it is there or none. The entry is not written again while
-    // its position is the same.
+    // Writes the state as one atomic batch and syncs it to disk before it returns. Does not write the entry
+    // again if its position is unchanged.
     //
-    // Error: disk_failed. The state may be durable or not, and the store is closed: call open() for what is.
-    // REQUIRES: after an open() without an error.
+    // Error: disk_failed. The state may or may not be durable, and the store is closed; call open() to read
+    // the durable state.
+    // REQUIRES: open() has succeeded.
     leaf::result<void> write(const PersistentState& state);
 
   private:
     leaf::result<PersistentState> read();
     leaf::result<std::vector<ConfirmedVersion>> read_confirmed();
     void put_entry(leveldb::WriteBatch& batch, const LogEntry& entry) const;
-    void remember_persisted(const LogEntry& entry);
+    void record_persisted(const LogEntry& entry);
 
     std::unique_ptr<leveldb::DB> database_;  // nullptr: not open
-    // Of the entry on disk; nullopt: none, or not known.
+    // Position of the entry on disk; nullopt if there is none or it is unknown.
     std::optional<LogPosition> persisted_position_;
     std::vector<ConfirmedVersion> persisted_confirmed_;
 };
--- a/src/cluster/store/synced_renames.cpp
+++ b/src/cluster/store/synced_renames.cpp
@@ -14,10 +14,10 @@
     return leveldb::Status::IOError(path, std::generic_category().message(errno));
 }
 
-leveldb::Status sync_folder(const std::string& folder) {
-    const int descriptor = ::open(folder.c_str(), O_RDONLY | O_CLOEXEC | O_DIRECTORY);
-    if (descriptor < 0) return last_error(folder);
-    leveldb::Status status = ::fsync(descriptor) == 0 ? leveldb::Status::OK() : last_error(folder);
+leveldb::Status sync_directory(const std::string& directory) {
+    const int descriptor = ::open(directory.c_str(), O_RDONLY | O_CLOEXEC | O_DIRECTORY);
+    if (descriptor < 0) return last_error(directory);
+    leveldb::Status status = ::fsync(descriptor) == 0 ? leveldb::Status::OK() : last_error(directory);
     ::close(descriptor);
     return status;
 }
@@ -29,7 +29,7 @@
 leveldb::Status SyncedRenames::RenameFile(const std::string& from, const std::string& to) {
     leveldb::Status status = target()->RenameFile(from, to);
     if (!status.ok()) return status;
-    return sync_folder(std::filesystem::path(to).parent_path().string());
+    return sync_directory(std::filesystem::path(to).parent_path().string());
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/store/synced_renames.hpp
+++ b/src/cluster/store/synced_renames.hpp
@@ -1,8 +1,8 @@
-// LevelDB's environment, with renames that survive a loss of power.
+// A LevelDB environment whose renames survive a power loss.
 //
-// LevelDB names its newest manifest by a rename and then removes the one before, but syncs the folder only
-// when a manifest is synced next. A loss of power in between may undo the rename and keep the removal: the
-// database then names a manifest that is not there.
+// LevelDB installs a new manifest with a rename and then removes the previous manifest, but does not sync the
+// directory until the next manifest is synced. A power loss in between may undo the rename and keep the
+// removal; the database then refers to a manifest that does not exist.
 #pragma once
 
 #include <leveldb/env.h>
@@ -11,12 +11,12 @@
 
 namespace gannethold::cluster {
 
-/// Thread safety: as leveldb::Env, any thread may call.
+/// Thread-safe, as leveldb::Env requires.
 class SyncedRenames : public leveldb::EnvWrapper {
   public:
     SyncedRenames();
 
-    /// Returns once the rename is durable. IOError: it is not, and may be done or not.
+    /// Renames the file and syncs the directory of `to`. After an IOError the rename may or may not be done.
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 };
 
--- a/tests/system/configuration/configuration_test.cpp
+++ b/tests/system/configuration/configuration_test.cpp
@@ -1,5 +1,5 @@
-// Every field of a configuration, with a value other than its default: it arrives in its place, and nothing
-// else changes. Fields that are not read change nothing.
+// Parsing of configurations. Sets every field to a value other than its default and checks that exactly that
+// field changes; unknown fields must not change anything.
 #include "cluster/configuration/configuration.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
     Limits limits;
 };
 
-// The shortest valid configuration, with room for further fields (each behind a comma).
+// A minimal valid configuration. Additional fields are set with a leading comma.
 struct ConfigurationText {
     std::string version = "7";
     std::string service;
@@ -89,13 +89,13 @@
 
 std::string field(const std::string& name, const std::string& value) { return '"' + name + "\":" + value; }
 
-// Parses one text for each case; put(text, field) adds the field to it.
-template <class Put>
-void check_configuration(const ConfigurationCases& cases, const Put& put) {
+// Parses one text per case; add(text, field) adds the field to the text.
+template <class Add>
+void check_configuration(const ConfigurationCases& cases, const Add& add) {
     const ParsedConfiguration plain = configuration_of(ConfigurationText{});
     for (const auto& field_case : cases) {
         ConfigurationText text;
-        put(text, field(field_case.name, field_case.value));
+        add(text, field(field_case.name, field_case.value));
         ParsedConfiguration expected = plain;
         field_case.set(expected);
         BOOST_TEST(!same(expected, plain), field_case.name << " has its default value");
@@ -105,33 +105,33 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(each_field_of_the_configuration_arrives_and_changes_nothing_else) {
-    check_configuration(service_fields(), [](auto& text, const auto& put) { text.service = ',' + put; });
-    check_configuration(route_fields(), [](auto& text, const auto& put) { text.route = ',' + put; });
-    check_configuration(limit_fields(), [](auto& text, const auto& put) { text.limits = put; });
+BOOST_AUTO_TEST_CASE(each_field_of_a_configuration_is_parsed_and_changes_nothing_else) {
+    check_configuration(service_fields(), [](auto& text, const auto& field) { text.service = ',' + field; });
+    check_configuration(route_fields(), [](auto& text, const auto& field) { text.route = ',' + field; });
+    check_configuration(limit_fields(), [](auto& text, const auto& field) { text.limits = field; });
     check_configuration(
         {{"route_kind", "\"idempotent\"", [](auto& parsed) { first_route(parsed).is_idempotent = true; }}},
-        [](auto& text, const auto& put) { text.kind = put; });
+        [](auto& text, const auto& field) { text.kind = field; });
     ConfigurationText later;
     later.version = "9";
     BOOST_TEST(configuration_of(later).version == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(names_hosts_and_prefixes_of_the_configuration_arrive) {
-    const ParsedConfiguration read = configuration_of(ConfigurationText{});
-    BOOST_TEST(read.version == 7U);
-    BOOST_REQUIRE(read.services.size() == 2U);
-    BOOST_TEST(read.services[0].name == "render");
-    BOOST_TEST(read.services[1].name == "resize");
-    BOOST_REQUIRE(read.routes.size() == 1U);
-    BOOST_TEST(read.routes[0].name == "r-1");
-    BOOST_TEST(read.routes[0].host == "one.example");
-    BOOST_TEST(read.routes[0].path_prefix == "/one/");
-    BOOST_REQUIRE(read.routes[0].services.size() == 1U);
-    BOOST_TEST(read.routes[0].services[0].service == "render");
+BOOST_AUTO_TEST_CASE(names_hosts_and_prefixes_of_a_configuration_are_parsed) {
+    const ParsedConfiguration parsed = configuration_of(ConfigurationText{});
+    BOOST_TEST(parsed.version == 7U);
+    BOOST_REQUIRE(parsed.services.size() == 2U);
+    BOOST_TEST(parsed.services[0].name == "render");
+    BOOST_TEST(parsed.services[1].name == "resize");
+    BOOST_REQUIRE(parsed.routes.size() == 1U);
+    BOOST_TEST(parsed.routes[0].name == "r-1");
+    BOOST_TEST(parsed.routes[0].host == "one.example");
+    BOOST_TEST(parsed.routes[0].path_prefix == "/one/");
+    BOOST_REQUIRE(parsed.routes[0].services.size() == 1U);
+    BOOST_TEST(parsed.routes[0].services[0].service == "render");
 }
 
-BOOST_AUTO_TEST_CASE(a_route_is_split_in_each_way_that_is_read) {
+BOOST_AUTO_TEST_CASE(all_forms_of_weighted_services_are_parsed) {
     for (const std::string list : {"services", "weights", "split"})
         for (const std::string& parts :
              {std::string(R"([{"service":"render","weight":3},{"service":"resize","weight":2.5}])"),
@@ -144,7 +144,7 @@
         }
 }
 
-BOOST_AUTO_TEST_CASE(fields_of_the_configuration_that_are_not_read_change_nothing) {
+BOOST_AUTO_TEST_CASE(unknown_fields_of_a_configuration_are_ignored) {
     const ParsedConfiguration plain = configuration_of(ConfigurationText{});
     ConfigurationText text;
     text.service =
@@ -176,7 +176,7 @@
     BOOST_TEST(configuration->find_service("b") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(routes_that_agree_have_one_request_class) {
+BOOST_AUTO_TEST_CASE(equivalent_routes_have_the_same_request_class) {
     const auto configuration = required<std::shared_ptr<const Configuration>>([] {
         return Configuration::parse(
             R"({"version":1,"services":[{"name":"a"},{"name":"b"},{"name":"large","memory_mb":512}],"routes":[)"
--- a/tests/system/configuration/delta_test.cpp
+++ b/tests/system/configuration/delta_test.cpp
@@ -1,4 +1,4 @@
-// Deltas between two texts of a configuration.
+// Deltas between two configuration texts (configuration/delta.hpp).
 #include "cluster/configuration/delta.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 
 namespace gannethold::cluster::tests {
 
-BOOST_AUTO_TEST_CASE(a_delta_gives_the_text_back_and_rejects_another_base) {
+BOOST_AUTO_TEST_CASE(a_delta_restores_the_text_and_rejects_another_base) {
     std::string old_text = "{\"routes\":[";
     std::string new_text = old_text;
     for (int i = 0; i < 900; ++i) {
@@ -17,18 +17,18 @@
     }
     const std::string delta = make_delta(old_text, new_text);
     BOOST_TEST(delta.size() < 150U);
-    const auto got = [](std::string_view base, std::string_view bytes) {
+    const auto applied = [](std::string_view base, std::string_view bytes) {
         return leaf::try_handle_all([&] { return apply_delta(base, bytes); },
                                     [] { return std::string("rejected"); });
     };
-    BOOST_TEST(got(old_text, delta) == new_text);
-    BOOST_TEST(got(new_text, delta) == "rejected");
-    BOOST_TEST(got({}, make_delta({}, new_text)) == new_text);
+    BOOST_TEST(applied(old_text, delta) == new_text);
+    BOOST_TEST(applied(new_text, delta) == "rejected");
+    BOOST_TEST(applied({}, make_delta({}, new_text)) == new_text);
     for (std::size_t i = 0; i < delta.size(); ++i) {
         std::string broken = delta;
         broken[i] = static_cast<char>(broken[i] ^ 0x55);
-        const std::string back = got(old_text, broken);
-        BOOST_TEST((back == "rejected" || back == new_text));
+        const std::string result = applied(old_text, broken);
+        BOOST_TEST((result == "rejected" || result == new_text));
     }
 }
 
--- a/tests/system/store/confirmed_record_test.cpp
+++ b/tests/system/store/confirmed_record_test.cpp
@@ -1,4 +1,4 @@
-// The stored form of confirmed versions (store/confirmed_record.hpp).
+// Storage format of confirmed versions (store/confirmed_record.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <limits>
@@ -18,24 +18,24 @@
         [] { return std::optional<ConfirmedVersion>(); });
 }
 
-BOOST_AUTO_TEST_CASE(keys_and_values_are_written_as_documented) {
+BOOST_AUTO_TEST_CASE(keys_and_values_have_the_documented_format) {
     const ConfirmedVersion record{7, 0xabc, 2};
     BOOST_TEST(confirmed_key(record) == "confirmed/00000000000000000002/00000000000000000007");
     BOOST_TEST(confirmed_value(record) == "0000000000000abc");
 }
 
-BOOST_AUTO_TEST_CASE(a_record_comes_back_as_it_was) {
+BOOST_AUTO_TEST_CASE(a_record_is_decoded_as_it_was_encoded) {
     constexpr std::uint64_t kMax = std::numeric_limits<std::uint64_t>::max();
     for (const ConfirmedVersion& record : {ConfirmedVersion{}, {7, 0xabc, 2}, {kMax, kMax, kMax}})
         BOOST_TEST((decoded(confirmed_key(record), confirmed_value(record)) == record));
 }
 
-BOOST_AUTO_TEST_CASE(keys_sort_as_index_and_version_do) {
+BOOST_AUTO_TEST_CASE(keys_sort_by_index_and_version) {
     BOOST_TEST(confirmed_key({9, 0, 10}) > confirmed_key({10, 0, 9}));
     BOOST_TEST(confirmed_key({10, 0, 9}) > confirmed_key({9, 0, 9}));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_record_is_refused) {
+BOOST_AUTO_TEST_CASE(malformed_records_are_rejected) {
     const std::string key = confirmed_key({7, 0xabc, 2});
     const std::string value = confirmed_value({7, 0xabc, 2});
     BOOST_TEST(!decoded("entry", value).has_value());
--- a/tests/system/store/power_loss_test.cpp
+++ b/tests/system/store/power_loss_test.cpp
@@ -1,4 +1,5 @@
-// What the store holds after a loss of power (unsynced_changes.hpp).
+// The state of the store after a power loss (unsynced_changes.hpp). Guards against a core that loses its
+// state when its machines lose power after a restart (CONFIG, RECOVER).
 #define BOOST_TEST_MODULE store_power_loss
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +15,7 @@
 namespace {
 
 constexpr char kDatabaseFolder[] = "state";
-// Of the changes that were not synced, the newest that are kept or lost in every combination.
+// The number of newest unsynced changes that are kept or lost in every combination.
 constexpr std::size_t kMaxCombined = 9;
 
 PersistentState state_at(std::uint64_t version, std::size_t body_bytes) {
@@ -28,7 +29,7 @@
     return state;
 }
 
-// Opens the store and writes versions first to last.
+// Opens the store and writes the versions from first to last.
 void write_versions(const TemporaryFolder& folder, std::uint64_t first, std::uint64_t last,
                     std::size_t body_bytes) {
     Store store;
@@ -37,16 +38,16 @@
         write(store, state_at(version, body_bytes));
 }
 
-// Whatever is kept of the changes that were not synced, the store holds that version.
+// Checks that the store has the version, whichever of the unsynced changes are kept.
 void check_every_power_loss(std::uint64_t version) {
     const std::size_t count = unsynced_change_count();
     const std::size_t combined = std::min(count, kMaxCombined);
-    const std::size_t older = (std::size_t{1} << (count - combined)) - 1;  // kept
+    const std::size_t older = (std::size_t{1} << (count - combined)) - 1;  // always kept
     for (std::size_t kept = 0; kept < std::size_t{1} << combined; ++kept) {
-        const TemporaryFolder after;
-        copy_after_power_loss(after.path() / kDatabaseFolder, kept << (count - combined) | older);
+        const TemporaryFolder copy;
+        copy_after_power_loss(copy.path() / kDatabaseFolder, kept << (count - combined) | older);
         Store store;
-        const PersistentState found = opened(store, after.path());
+        const PersistentState found = opened(store, copy.path());
         BOOST_TEST(found.voting_state.is_member, "kept " << kept << " of " << count);
         BOOST_TEST(found.entry.version == version, "kept " << kept << " of " << count);
     }
@@ -54,7 +55,6 @@
 
 }  // namespace
 
-// Guards against a core that has lost its state after restarts followed by a loss of power (CONFIG, RECOVER).
 BOOST_AUTO_TEST_CASE(a_new_store_survives_a_power_loss) {
     const TemporaryFolder folder;
     watch_folder(folder.path() / kDatabaseFolder);
@@ -62,8 +62,7 @@
     check_every_power_loss(1);
 }
 
-// Guards against a core that has lost its state after restarts followed by a loss of power (CONFIG, RECOVER).
-BOOST_AUTO_TEST_CASE(a_store_that_was_opened_again_survives_a_power_loss) {
+BOOST_AUTO_TEST_CASE(a_reopened_store_survives_a_power_loss) {
     const TemporaryFolder folder;
     write_versions(folder, 1, 3, 1000);
     watch_folder(folder.path() / kDatabaseFolder);
@@ -71,7 +70,6 @@
     check_every_power_loss(4);
 }
 
-// Guards against a core that has lost its state after restarts followed by a loss of power (CONFIG, RECOVER).
 BOOST_AUTO_TEST_CASE(a_store_with_many_changes_survives_a_power_loss) {
     constexpr std::size_t kBodyBytes = 250'000;
     constexpr std::uint64_t kVersions = 40;
--- a/tests/system/store/store_fixture.hpp
+++ b/tests/system/store/store_fixture.hpp
@@ -1,4 +1,4 @@
-// A folder of its own for each test, and a store in it that opens and writes or fails the test.
+// A temporary folder per test, and functions that open and write a store or fail the test.
 #pragma once
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace gannethold::cluster::tests {
 
-// Removed at the end of the test.
+// Created in the constructor and removed in the destructor.
 class TemporaryFolder {
   public:
     TemporaryFolder() {
--- a/tests/system/store/store_growth_test.cpp
+++ b/tests/system/store/store_growth_test.cpp
@@ -1,5 +1,5 @@
-// The store over thousands of changes, on a real folder: its size on disk stays bounded, it opens quickly,
-// and it gives the last state back.
+// The store after thousands of writes to the file system: its size on disk is bounded, it opens quickly, and
+// it returns the last state.
 #define BOOST_TEST_MODULE store_growth
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 constexpr std::uintmax_t kMaxBytes = 16U << 20;
 constexpr std::size_t kMaxFiles = 24;
 constexpr std::uint64_t kMeasureEvery = 50;
-constexpr auto kMaxOpeningTime = std::chrono::seconds(2);
+constexpr auto kMaxOpenTime = std::chrono::seconds(2);
 
 struct Usage {
     std::uintmax_t bytes = 0;
@@ -27,16 +27,16 @@
 Usage usage_of(const std::filesystem::path& folder) {
     Usage usage;
     for (const auto& file : std::filesystem::recursive_directory_iterator(folder)) {
-        std::error_code gone;  // LevelDB drops files by itself
-        const std::uintmax_t bytes = file.is_regular_file(gone) ? file.file_size(gone) : 0;
-        if (gone) continue;
+        std::error_code error;  // LevelDB removes files concurrently
+        const std::uintmax_t bytes = file.is_regular_file(error) ? file.file_size(error) : 0;
+        if (error) continue;
         usage.bytes += bytes;
-        usage.files += file.is_regular_file(gone);
+        usage.files += file.is_regular_file(error);
     }
     return usage;
 }
 
-// With a body of 200 to 300 KB that no compression shortens.
+// A state with an incompressible body of 200 to 300 KB.
 PersistentState state_at(std::uint64_t index) {
     std::mt19937 random(static_cast<unsigned>(index));
     PersistentState state;
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(thousands_of_changes_leave_a_small_folder_that_opens_quickly) {
+BOOST_AUTO_TEST_CASE(after_thousands_of_writes_the_store_is_small_and_opens_quickly) {
     const TemporaryFolder folder;
     Usage peak;
     {
@@ -72,16 +72,16 @@
     BOOST_TEST(peak.bytes < kMaxBytes);
     BOOST_TEST(peak.files < kMaxFiles);
     const auto begin = std::chrono::steady_clock::now();
-    Store again;
-    const PersistentState back = opened(again, folder.path());
+    Store reopened;
+    const PersistentState restored = opened(reopened, folder.path());
     const auto elapsed = std::chrono::steady_clock::now() - begin;
     BOOST_TEST_MESSAGE("opened in " << std::chrono::duration_cast<std::chrono::milliseconds>(elapsed).count()
                                     << " ms");
-    BOOST_TEST((elapsed < kMaxOpeningTime));
-    BOOST_TEST(back.voting_state.is_member);
-    BOOST_TEST(back.voting_state.term == kWrites);
-    BOOST_TEST(back.entry.version == kWrites);
-    BOOST_TEST((back.entry.body == state_at(kWrites).entry.body));
+    BOOST_TEST((elapsed < kMaxOpenTime));
+    BOOST_TEST(restored.voting_state.is_member);
+    BOOST_TEST(restored.voting_state.term == kWrites);
+    BOOST_TEST(restored.entry.version == kWrites);
+    BOOST_TEST((restored.entry.body == state_at(kWrites).entry.body));
 }
 
 }  // namespace gannethold::cluster::tests
--- a/tests/system/store/store_test.cpp
+++ b/tests/system/store/store_test.cpp
@@ -1,4 +1,4 @@
-// The store on a real folder: bounded, durable, and never misread (store/store.hpp).
+// Size, durability and integrity of the store on the file system (store/store.hpp).
 #define BOOST_TEST_MODULE store
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace filesystem = std::filesystem;
 
-// The same state for the same index, with a body of random letters.
+// A state that depends only on the index and the size; its body consists of random letters.
 PersistentState state_at(std::uint64_t index, std::size_t body_bytes) {
     PersistentState state;
     state.voting_state.is_member = true;
@@ -37,7 +37,7 @@
     return files;
 }
 
-// All states are written by one store, which is closed then.
+// Writes all states to one store and closes it.
 void write_all(const TemporaryFolder& folder, const std::vector<PersistentState>& states) {
     Store store;
     opened(store, folder.path());
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_store_gives_back_what_was_written_and_stays_under_its_bound) {
+BOOST_AUTO_TEST_CASE(a_store_returns_the_last_state_and_its_size_is_bounded) {
     constexpr std::size_t kBodyBytes = 250'000;
     constexpr std::uint64_t kWrites = 120;
     const TemporaryFolder folder;
@@ -66,16 +66,16 @@
     }
     std::uintmax_t bytes = 0;
     for (const auto& file : database_files(folder)) bytes += filesystem::file_size(file);
-    BOOST_TEST(bytes < 24U << 20, bytes);  // 30 MB were written; the disk holds 128
-    Store again;
-    const PersistentState back = opened(again, folder.path());
-    BOOST_TEST(back.voting_state.is_member);
-    BOOST_TEST(back.entry.version == kWrites);
-    BOOST_TEST((back.entry.body == state_at(kWrites, kBodyBytes).entry.body));
-    BOOST_TEST((back.entry.confirmed == state_at(kWrites, 0).entry.confirmed));
+    BOOST_TEST(bytes < 24U << 20, bytes);  // 30 MB were written; the disk has 128 MB
+    Store reopened;
+    const PersistentState restored = opened(reopened, folder.path());
+    BOOST_TEST(restored.voting_state.is_member);
+    BOOST_TEST(restored.entry.version == kWrites);
+    BOOST_TEST((restored.entry.body == state_at(kWrites, kBodyBytes).entry.body));
+    BOOST_TEST((restored.entry.confirmed == state_at(kWrites, 0).entry.confirmed));
 }
 
-BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_and_never_read_as_something_else) {
+BOOST_AUTO_TEST_CASE(a_torn_log_is_truncated_and_never_misread) {
     constexpr std::size_t kBodyBytes = 1000;
     for (const std::uintmax_t torn : {1U, 7U, 100U, 900U, 1500U}) {
         const TemporaryFolder folder;
@@ -84,13 +84,13 @@
             if (file.extension() == ".log" && filesystem::file_size(file) > torn)
                 filesystem::resize_file(file, filesystem::file_size(file) - torn);
         Store store;
-        const PersistentState back = opened(store, folder.path());
-        const std::string expected = state_at(back.entry.version, kBodyBytes).entry.body;
-        BOOST_TEST((!back.voting_state.is_member || back.entry.body == expected));
+        const PersistentState restored = opened(store, folder.path());
+        const std::string expected = state_at(restored.entry.version, kBodyBytes).entry.body;
+        BOOST_TEST((!restored.voting_state.is_member || restored.entry.body == expected));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_can_not_be_read_is_a_lost_disk) {
+BOOST_AUTO_TEST_CASE(an_unreadable_store_is_treated_as_a_lost_disk) {
     const TemporaryFolder folder;
     write_all(folder, {state_at(1, 1000)});
     for (const auto& file : database_files(folder))
@@ -100,26 +100,26 @@
     write(store, state_at(9, 10));
 }
 
-BOOST_AUTO_TEST_CASE(a_promise_is_durable_without_a_new_entry) {
+BOOST_AUTO_TEST_CASE(a_vote_is_durable_without_a_new_entry) {
     const TemporaryFolder folder;
     PersistentState state = state_at(1, 1000);
-    PersistentState promised = state;
-    promised.voting_state.term = 2;
-    promised.voting_state.voted_for = "10.0.0.2:80";
-    write_all(folder, {state, promised});
+    PersistentState with_vote = state;
+    with_vote.voting_state.term = 2;
+    with_vote.voting_state.voted_for = "10.0.0.2:80";
+    write_all(folder, {state, with_vote});
     Store store;
-    const PersistentState back = opened(store, folder.path());
-    BOOST_TEST(back.voting_state.term == 2U);
-    BOOST_TEST(back.voting_state.voted_for == "10.0.0.2:80");
-    BOOST_TEST((back.entry.position == state.entry.position));
+    const PersistentState restored = opened(store, folder.path());
+    BOOST_TEST(restored.voting_state.term == 2U);
+    BOOST_TEST(restored.voting_state.voted_for == "10.0.0.2:80");
+    BOOST_TEST((restored.entry.position == state.entry.position));
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_is_not_open_fails_to_write) {
+BOOST_AUTO_TEST_CASE(a_write_to_a_closed_store_fails) {
     Store store;
     BOOST_TEST(write_fails(store, state_at(1, 10)));
 }
 
-BOOST_AUTO_TEST_CASE(a_folder_that_is_not_there_fails_to_open) {
+BOOST_AUTO_TEST_CASE(a_store_in_a_missing_folder_cannot_be_opened) {
     const TemporaryFolder folder;
     Store store;
     const bool failed = leaf::try_handle_all(
--- a/tests/system/store/unsynced_changes.cpp
+++ b/tests/system/store/unsynced_changes.cpp
@@ -17,20 +17,20 @@
 
 namespace filesystem = std::filesystem;
 
-using Content = std::optional<std::string>;  // of a file; nullopt: there is none
+using Content = std::optional<std::string>;  // of a file; nullopt if it does not exist
 
 struct File {
     std::string name;
-    Content before;  // the change
+    Content before;  // its content before the change
 };
 
-// One call of rename() or unlink(), with the files that it changed.
+// A call of rename() or unlink(), and the files that it changed.
 struct Change {
     std::vector<File> files;
 };
 
 struct Watch {
-    std::mutex mutex;  // LevelDB compacts on a thread of its own
+    std::mutex mutex;  // LevelDB compacts in a background thread
     filesystem::path folder;
     std::vector<Change> changes;
 };
@@ -70,8 +70,9 @@
     if (path == watch().folder) watch().changes.clear();
 }
 
+// The C library's function that the one in this file replaces.
 template <class Function>
-Function* next(const char* name) {
+Function* original(const char* name) {
     return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
@@ -101,32 +102,32 @@
 
 using gannethold::cluster::tests::file_before;
 using gannethold::cluster::tests::is_watched;
-using gannethold::cluster::tests::next;
 using gannethold::cluster::tests::on_synced;
+using gannethold::cluster::tests::original;
 using gannethold::cluster::tests::watch;
 
-// The C library names its parameters with underscores, which are its own.
+// The C library's declarations name the parameters with reserved identifiers.
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" int rename(const char* from, const char* to) noexcept {
     const std::scoped_lock lock(watch().mutex);
     if (is_watched(to)) watch().changes.push_back({{file_before(from), file_before(to)}});
-    return next<int(const char*, const char*)>("rename")(from, to);
+    return original<int(const char*, const char*)>("rename")(from, to);
 }
 
 extern "C" int unlink(const char* path) noexcept {
     const std::scoped_lock lock(watch().mutex);
     if (is_watched(path)) watch().changes.push_back({{file_before(path)}});
-    return next<int(const char*)>("unlink")(path);
+    return original<int(const char*)>("unlink")(path);
 }
 
 extern "C" int fsync(int descriptor) {
-    const int status = next<int(int)>("fsync")(descriptor);
+    const int status = original<int(int)>("fsync")(descriptor);
     if (status == 0) on_synced(descriptor);
     return status;
 }
 
 extern "C" int fdatasync(int descriptor) {
-    const int status = next<int(int)>("fdatasync")(descriptor);
+    const int status = original<int(int)>("fdatasync")(descriptor);
     if (status == 0) on_synced(descriptor);
     return status;
 }
--- a/tests/system/store/unsynced_changes.hpp
+++ b/tests/system/store/unsynced_changes.hpp
@@ -1,8 +1,8 @@
-// A loss of power, as a disk shows it afterwards: each file that was renamed or removed while its folder was
-// not synced is found as before the change or as after it, each by itself.
+// Simulates the state of a disk after a power loss. Each rename or removal of a file that was not followed by
+// a sync of its folder may be undone, independently of the others.
 //
-// The program that links unsynced_changes.cpp has its own rename(), unlink(), fsync() and fdatasync() in
-// place of the C library's; they do the same and write down what a loss of power could undo.
+// unsynced_changes.cpp replaces the C library's rename(), unlink(), fsync() and fdatasync() in the program
+// that links it. The replacements call the originals and record the changes that a power loss could undo.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 namespace gannethold::cluster::tests {
 
-/// Begins to watch the files directly in that folder; forgets what was written down before.
+/// Starts to record changes of the files directly in the folder, and discards earlier records.
 void watch_folder(const std::filesystem::path& folder);
 
-/// How many changes in the watched folder a loss of power could undo now.
+/// The number of changes in the watched folder that a power loss could undo now.
 std::size_t unsynced_change_count();
 
-/// Copies the watched folder as it is after a loss of power. Bit n of `kept` tells whether the n-th change
-/// that was not synced is kept. REQUIRES: `copy` does not exist.
+/// Copies the watched folder in its state after a power loss. The n-th unsynced change is kept if bit n of
+/// `kept` is set, and undone otherwise. REQUIRES: `copy` does not exist.
 void copy_after_power_loss(const std::filesystem::path& copy, std::size_t kept);
 
 }  // namespace gannethold::cluster::tests
