--- a/src/cluster/controller/controller_status.hpp
+++ b/src/cluster/controller/controller_status.hpp
@@ -1,5 +1,5 @@
-// What a controller answers to gannethold-explain. The names of the JSON's members are read by operators'
-// tools.
+// The status that a controller reports to gannethold-explain. Operators' tools depend on the JSON field
+// names.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 
 namespace gannethold::cluster {
 
-/// `part`: "core" or one of Coordinator::explain(); empty: all. `consensus`: nullptr where the disk can not
-/// be used. `coordinator`: nullptr where this machine does not lead.
+/// `part` is "core" or a part of Coordinator::explain(); empty selects all parts. `consensus` is nullptr
+/// while the disk is unusable. `coordinator` is nullptr unless this machine is the leader.
 json::Value controller_status(Micros now, const std::string& part, const Settings& settings,
                               const Consensus* consensus, const Coordinator* coordinator);
 
--- a/src/cluster/controller/coordinator_role.hpp
+++ b/src/cluster/controller/coordinator_role.hpp
@@ -1,6 +1,6 @@
-// The coordinator's life in this process: one is started with each term in which this machine leads, and
-// stopped when the term is over. Between it and the proxies' sessions messages are deferred while the lease
-// has run out.
+// Manages the lifecycle of the coordinator in this process: a new one is started for each term in which this
+// machine is the leader, and stopped at the end of the term. While the lease has expired, messages between
+// the coordinator and the proxies' sessions are deferred.
 #pragma once
 
 #include <functional>
@@ -17,37 +17,39 @@
 
 class CoordinatorRole {
   public:
-    /// The entry's configuration where it has been read already; nullptr: it has not.
-    using ParsedConfiguration = std::function<std::shared_ptr<const Configuration>(const LogEntry&)>;
+    /// Returns the configuration of the entry if it has been parsed already, or nullptr.
+    using ParsedConfigurationLookup = std::function<std::shared_ptr<const Configuration>(const LogEntry&)>;
 
     /// All references must outlive this object.
     CoordinatorRole(net::Loop& loop, const Settings& settings, const ExchangeRates& rates,
                     const DurableConsensus& consensus, InboundConnections& connections,
-                    ParsedConfiguration parsed);
+                    ParsedConfigurationLookup find_parsed);
 
-    /// Starts and stops the coordinator as this machine's role asks, gives it the committed entry, and
-    /// delivers what was deferred. Call it whenever role, lease or committed entry may have changed.
+    /// Starts or stops the coordinator according to this machine's role, passes the committed entry to it,
+    /// and delivers deferred messages. Must be called when the role, the lease or the committed entry may
+    /// have changed.
     void update();
 
-    // Of proxies' sessions.
+    // Events of the proxies' sessions.
     void on_registered(Session session, const RegisterRequest& registration);
     void on_message(Session session, const Message& message);
     void on_disconnected(Session session);
 
     void tick(Micros now);
-    /// When to call tick() next; Micros' largest value where there is nothing to do.
+    /// When to call tick() next; the maximum of Micros if there is nothing to do.
     Micros next_tick(Micros now) const;
 
-    /// From the next update() on there is no coordinator in this process any more.
+    /// The next update() stops the coordinator, and no new one is started.
     void begin_shutdown() { shutting_down_ = true; }
 
-    /// Stops the coordinator, if there is one, and disconnects all proxies: they register with the next one.
+    /// Stops the coordinator, if there is one, and disconnects all proxies, which then register with the next
+    /// leader.
     void stop_coordinator();
 
-    /// Frees stopped coordinators, which may have been on the stack as they were stopped.
+    /// Destroys stopped coordinators, which may have been on the call stack when they were stopped.
     void sweep() { stopped_.clear(); }
 
-    /// nullptr: there is none.
+    /// The running coordinator, or nullptr.
     const Coordinator* coordinator() const { return coordinator_.get(); }
 
   private:
@@ -56,8 +58,9 @@
         Message message;
     };
 
-    // Whether a coordinator may receive and send now: the lease is held (Ongaro's thesis, section 6.4.1).
-    bool may_act(Micros now) const { return !shutting_down_ && consensus_.has_lease(now); }
+    // Whether the coordinator may send and receive messages now: only while this machine holds the lease
+    // (Ongaro's thesis, section 6.4.1).
+    bool can_act(Micros now) const { return !shutting_down_ && consensus_.has_lease(now); }
     void start_coordinator();
     void redirect(Session session);
     void deliver(Session session, const Message& message);
@@ -68,10 +71,10 @@
     ExchangeRates rates_;
     const DurableConsensus& consensus_;
     InboundConnections& connections_;
-    ParsedConfiguration parsed_;
+    ParsedConfigurationLookup find_parsed_;
     std::unique_ptr<Coordinator> coordinator_;
     std::vector<std::unique_ptr<Coordinator>> stopped_;
-    // Until the lease is back.
+    // Deferred until the lease is regained.
     std::vector<DeferredMessage> deferred_inbound_;
     std::vector<DeferredMessage> deferred_outbound_;
     bool shutting_down_ = false;
--- a/src/cluster/controller/durable_consensus.cpp
+++ b/src/cluster/controller/durable_consensus.cpp
@@ -14,13 +14,14 @@
 
 constexpr Micros kReopenInterval = 300'000;
 
-// Times follow from what the deployment promises to bear.
+// Derives the membership timeouts from the deployment's failure assumptions.
 Consensus::Options consensus_options(const Settings& settings) {
     Consensus::Options options;
     options.self = settings.control_plane_address;
     options.seeds = settings.seed_addresses;
     options.random_seed = std::random_device()();
-    // A machine counts as lost for catch_up after its start: by then its predecessor must be out.
+    // A started machine counts as failed for catch_up_time; the machine that it replaces must be removed by
+    // then.
     constexpr Micros kMinReplaceAfter = 600'000;
     constexpr Micros kMaxReplaceAfter = 3'000'000;
     options.replace_after = std::clamp(settings.catch_up_time / 4, kMinReplaceAfter, kMaxReplaceAfter);
@@ -37,7 +38,7 @@
     reopen_at_ = now + kReopenInterval;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            std::error_code ignored;  // the store says what is wrong
+            std::error_code ignored;  // store_.open() reports the failure
             std::filesystem::create_directories(settings_.data_directory, ignored);
             BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
             Consensus::Options options = consensus_options(settings_);
@@ -75,7 +76,7 @@
 
 void DurableConsensus::complete_step(const ConsensusOutput& output) {
     if (output.must_persist && !write_state()) {
-        // Nothing of the step has left the machine. It goes on from what its disk holds, once that can be
+        // No message of the step has been sent. The member continues from the state on disk once that can be
         // read again.
         consensus_.reset();
         reopen_at_ = net::Loop::now() + kReopenInterval;
--- a/src/cluster/controller/graceful_shutdown.hpp
+++ b/src/cluster/controller/graceful_shutdown.hpp
@@ -1,15 +1,15 @@
-// When a controller that is shutting down may end: once the other core machines hold all that is committed
-// and its last answers had time to be written, or half of the grace period is over.
+// Decides when a controller that is shutting down may exit: once the other core machines have all committed
+// entries and the last responses had time to be written, or after half of the grace period.
 #pragma once
 
 #include "types.hpp"
 
 namespace gannethold::cluster {
 
-/// No I/O and no clock: the caller passes the time.
+/// No I/O and no clock; the caller passes the time.
 class GracefulShutdown {
   public:
-    /// How often to ask is_complete() once begun.
+    /// How often to poll is_complete() after begin().
     static constexpr Micros kPollInterval = 20'000;
 
     /// The process is killed `grace_period` after `now`.
@@ -19,13 +19,13 @@
         not_before_ = now + kMinDuration;
     }
     bool has_begun() const { return has_begun_; }
-    /// `safe_to_end`: the others hold all that is committed here.
-    bool is_complete(Micros now, bool safe_to_end) const {
-        return has_begun_ && now >= not_before_ && (safe_to_end || now >= deadline_);
+    /// `is_safe_to_stop`: the other core machines have all entries that are committed here.
+    bool is_complete(Micros now, bool is_safe_to_stop) const {
+        return has_begun_ && now >= not_before_ && (is_safe_to_stop || now >= deadline_);
     }
 
   private:
-    static constexpr Micros kMinDuration = 300'000;  // in which answers under way reach their callers
+    static constexpr Micros kMinDuration = 300'000;  // for responses in flight
 
     bool has_begun_ = false;
     Micros deadline_ = 0;
--- a/src/cluster/controller/inbound_connections.cpp
+++ b/src/cluster/controller/inbound_connections.cpp
@@ -32,8 +32,8 @@
 }
 
 void InboundConnections::send(Session session, const Message& message) {
-    const auto at = peers_.find(session);
-    if (at != peers_.end() && at->second.connection->is_open()) at->second.connection->send(message);
+    const auto found = peers_.find(session);
+    if (found != peers_.end() && found->second.connection->is_open()) found->second.connection->send(message);
 }
 
 void InboundConnections::disconnect_proxies() {
@@ -51,10 +51,10 @@
         closed_.push_back(session);
     }
     for (const Session session : std::exchange(closed_, {})) {
-        const auto at = peers_.find(session);
-        if (at == peers_.end()) continue;  // closed in two ways
-        if (at->second.is_proxy) callbacks_.on_proxy_disconnected(session);
-        peers_.erase(at);
+        const auto found = peers_.find(session);
+        if (found == peers_.end()) continue;  // closed twice
+        if (found->second.is_proxy) callbacks_.on_proxy_disconnected(session);
+        peers_.erase(found);
     }
 }
 
--- a/src/cluster/controller/inbound_connections.hpp
+++ b/src/cluster/controller/inbound_connections.hpp
@@ -1,4 +1,4 @@
-// Connections that other processes of the system dialed: core machines, which name themselves in each
+// Inbound connections from other processes of the system: core machines, which identify themselves in each
 // message, and proxies, which register.
 #pragma once
 
@@ -19,39 +19,39 @@
   public:
     struct Callbacks {
         std::function<void(const std::string& member, const Message&)> on_core_message;
-        /// A proxy has registered, for the first time on its connection or again.
+        /// A proxy has registered, possibly not for the first time on its connection.
         std::function<void(Session, const RegisterRequest&)> on_registered;
-        /// Another message of a proxy that has registered.
+        /// Any other message from a registered proxy.
         std::function<void(Session, const Message&)> on_proxy_message;
-        /// The last callback of a session that has registered. Not called within another member.
+        /// The last callback for the session of a registered proxy. Only called by sweep().
         std::function<void(Session)> on_proxy_disconnected;
     };
 
-    /// Throws std::runtime_error where `listen_at` can not be bound. `loop` must outlive this object.
+    /// Throws std::runtime_error if `listen_at` cannot be bound. `loop` must outlive this object.
     InboundConnections(net::Loop& loop, const net::Address& listen_at, Callbacks callbacks);
 
-    /// Dropped where the session is over.
+    /// Sends a message, which is dropped if the session has ended.
     void send(Session session, const Message& message);
 
-    /// Calls `visit(Session, const Register&)` for each proxy that has registered and is connected.
+    /// Calls `visit(Session, const RegisterRequest&)` for each registered proxy that is connected.
     template <class Visit>
     void for_each_proxy(const Visit& visit) const {
         for (const auto& [session, peer] : peers_)
             if (peer.is_proxy && peer.connection->is_open()) visit(session, peer.registration);
     }
 
-    /// Closes all proxies' connections, so that they register with the next leader.
+    /// Closes the connections of all proxies, which then register with the next leader.
     void disconnect_proxies();
 
-    /// Closes connections that are silent, forgets closed ones, and calls on_proxy_disconnected for them.
-    /// Call it about twice a second.
+    /// Closes connections that exceed kPeerTimeout, removes closed ones, and calls on_proxy_disconnected for
+    /// them. Should be called about twice a second.
     void sweep(Micros now);
 
   private:
     struct Peer {
         std::unique_ptr<MessageConnection> connection;
-        bool is_proxy = false;         // has registered
-        RegisterRequest registration;  // the newest
+        bool is_proxy = false;         // it has registered
+        RegisterRequest registration;  // the newest one
     };
 
     void on_accept(evutil_socket_t socket);
@@ -61,7 +61,7 @@
     Callbacks callbacks_;
     net::Listener listener_;
     std::map<Session, Peer> peers_;
-    std::vector<Session> closed_;  // their connections may be on the stack: forgotten with the next sweep
+    std::vector<Session> closed_;  // removed by the next sweep: may be on the call stack
     Session last_session_ = 0;
 };
 
--- a/src/cluster/controller/operator_api.cpp
+++ b/src/cluster/controller/operator_api.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t kMaxConnections = 512;
 constexpr std::size_t kMaxBodyBytes = std::size_t{16} << 20;
-constexpr std::uint32_t kRetryMs = 200;         // where no leader is known, or an outcome is not
-constexpr std::uint32_t kStorageRetryMs = 300;  // until the disk is opened again
+constexpr std::uint32_t kRetryMs = 200;         // if the leader or the outcome is unknown
+constexpr std::uint32_t kStorageRetryMs = 300;  // until the storage is opened again
 
 }  // namespace
 
@@ -41,21 +41,21 @@
 }
 
 void OperatorApi::redirect_to_leader(ExchangeId exchange, const HttpMessage& request) {
-    const Consensus* const state = consensus_.state();
-    const std::string leader = state && !shutting_down_ ? state->leader() : std::string();
+    const Consensus* const consensus = consensus_.consensus();
+    const std::string leader = consensus && !shutting_down_ ? consensus->leader() : std::string();
     if (leader.empty() || leader == settings_.control_plane_address)
         return server_.respond(exchange, ErrorCode::no_quorum, {}, kRetryMs);
-    HttpMessage answer;
-    answer.status = error_response(ErrorCode::not_leader).status;
-    answer.fields.emplace_back("Location", "http://" + leader + request.target);
-    server_.respond(exchange, answer);
+    HttpMessage response;
+    response.status = error_response(ErrorCode::not_leader).status;
+    response.fields.emplace_back("Location", "http://" + leader + request.target);
+    server_.respond(exchange, response);
 }
 
 void OperatorApi::get_configuration(ExchangeId exchange) {
-    const LogEntry* const entry = consensus_.state()->committed_entry();
+    const LogEntry* const entry = consensus_.consensus()->committed_entry();
     if (!entry || entry->version == 0)
         return server_.respond(exchange, ErrorCode::no_quorum, "no configuration yet", kRetryMs);
-    answer_json(exchange, entry->body);
+    respond_with_json(exchange, entry->body);
 }
 
 void OperatorApi::put_configuration(ExchangeId exchange, std::string body) {
@@ -64,9 +64,9 @@
             BOOST_LEAF_AUTO(configuration, Configuration::parse(body));
             newest_put_ = configuration;
             newest_put_body_ = body;
-            const Number ticket = ++last_ticket_;
-            pending_[exchange] = ticket;
-            consensus_.propose(net::Loop::now(), {ticket, configuration->version(), std::move(body)});
+            const ProposalId id = ++last_proposal_id_;
+            pending_[exchange] = id;
+            consensus_.propose(net::Loop::now(), {id, configuration->version(), std::move(body)});
             return {};
         },
         [&](ErrorCode code, const ErrorDetail& detail) {
@@ -78,40 +78,40 @@
         [&] { server_.respond(exchange, ErrorCode::configuration_malformed); });
 }
 
-void OperatorApi::answer_json(ExchangeId exchange, std::string body) {
-    HttpMessage answer;
-    answer.status = 200;
-    answer.fields.emplace_back("Content-Type", "application/json");
-    answer.body = std::move(body);
-    server_.respond(exchange, answer);
+void OperatorApi::respond_with_json(ExchangeId exchange, std::string body) {
+    HttpMessage response;
+    response.status = 200;
+    response.fields.emplace_back("Content-Type", "application/json");
+    response.body = std::move(body);
+    server_.respond(exchange, response);
 }
 
 void OperatorApi::on_proposal_resolved(const ProposalResult& result) {
-    const auto at = std::find_if(pending_.begin(), pending_.end(),
-                                 [&](const auto& pending) { return pending.second == result.id; });
-    if (at == pending_.end()) return;
-    const ExchangeId exchange = at->first;
-    pending_.erase(at);
+    const auto found = std::find_if(pending_.begin(), pending_.end(),
+                                    [&](const auto& pending) { return pending.second == result.id; });
+    if (found == pending_.end()) return;
+    const ExchangeId exchange = found->first;
+    pending_.erase(found);
     switch (result.outcome) {
         case ProposalOutcome::committed:
-            return answer_json(exchange, "{}");
+            return respond_with_json(exchange, "{}");
         case ProposalOutcome::conflict:
             return server_.respond(exchange, ErrorCode::version_conflict,
-                                   "another body was confirmed under it");
+                                   "another configuration is committed under this version");
         case ProposalOutcome::unknown:
             return server_.respond(exchange, ErrorCode::no_quorum, {}, kRetryMs);
     }
 }
 
 void OperatorApi::on_storage_failed() {
-    for (const auto& [exchange, ticket] : std::exchange(pending_, {}))
+    for (const auto& [exchange, id] : std::exchange(pending_, {}))
         server_.respond(exchange, ErrorCode::disk_failed, {}, kStorageRetryMs);
 }
 
-std::shared_ptr<const Configuration> OperatorApi::parsed(const LogEntry& entry) const {
-    const bool same =
+std::shared_ptr<const Configuration> OperatorApi::parsed_configuration(const LogEntry& entry) const {
+    const bool is_newest_put =
         newest_put_ && newest_put_->version() == entry.version && newest_put_body_ == entry.body;
-    return same ? newest_put_ : nullptr;
+    return is_newest_put ? newest_put_ : nullptr;
 }
 
 void OperatorApi::begin_shutdown() {
--- a/src/cluster/controller/operator_api.hpp
+++ b/src/cluster/controller/operator_api.hpp
@@ -1,5 +1,5 @@
-// The operators' HTTP interface of a core machine: GET and PUT of /v1/configuration. The leader answers;
-// others redirect to it.
+// The operators' HTTP API of a core machine: GET and PUT of /v1/configuration. Only the leader serves
+// requests; the other machines redirect to it.
 #pragma once
 
 #include <cstddef>
@@ -18,24 +18,25 @@
 
 class OperatorApi {
   public:
-    /// Throws std::runtime_error where `listen_at` can not be bound. All references but that one must outlive
-    /// this object.
+    /// Throws std::runtime_error if `listen_at` cannot be bound. All references except `listen_at` must
+    /// outlive this object.
     OperatorApi(net::Loop& loop, const net::Address& listen_at, const Settings& settings,
                 DurableConsensus& consensus);
 
-    /// Answers the PUT whose proposal has that result, if its client still waits.
+    /// Responds to the PUT that made the proposal, if its client is still connected.
     void on_proposal_resolved(const ProposalResult& result);
 
-    /// Answers all pending PUTs: what they proposed is not on disk, so not acknowledged.
+    /// Responds to all pending PUTs with an error, since their proposals may not be on disk.
     void on_storage_failed();
 
-    /// The entry's configuration, where it is the one that was read from the newest PUT; else nullptr.
-    std::shared_ptr<const Configuration> parsed(const LogEntry& entry) const;
+    /// Returns the configuration of the entry if the newest valid PUT contained it, or nullptr.
+    std::shared_ptr<const Configuration> parsed_configuration(const LogEntry& entry) const;
 
-    /// From here on nothing is answered as the leader, and each answer closes its connection.
+    /// From now on this machine does not serve requests as the leader, and closes connections after their
+    /// responses.
     void begin_shutdown();
 
-    /// Closes idle connections. Call it about twice a second.
+    /// Closes idle connections. Should be called about twice a second.
     void sweep(Micros now) { server_.close_expired(now); }
 
     std::size_t pending_proposals() const { return pending_.size(); }
@@ -45,14 +46,14 @@
     void redirect_to_leader(ExchangeId exchange, const HttpMessage& request);
     void get_configuration(ExchangeId exchange);
     void put_configuration(ExchangeId exchange, std::string body);
-    void answer_json(ExchangeId exchange, std::string body);
+    void respond_with_json(ExchangeId exchange, std::string body);
 
     const Settings& settings_;
     DurableConsensus& consensus_;
     HttpServer server_;
-    std::map<ExchangeId, Number> pending_;  // tickets of proposals whose clients wait
-    Number last_ticket_ = 0;
-    std::shared_ptr<const Configuration> newest_put_;  // checked, and committed or not
+    std::map<ExchangeId, ProposalId> pending_;  // proposals of connected clients
+    ProposalId last_proposal_id_ = 0;
+    std::shared_ptr<const Configuration> newest_put_;  // valid, but not necessarily committed
     std::string newest_put_body_;
     bool shutting_down_ = false;
 };
--- a/src/cluster/controller/peer_connections.cpp
+++ b/src/cluster/controller/peer_connections.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros kConnectTimeout = 400'000;
 constexpr Micros kRedialInterval = 100'000;
-constexpr std::size_t kMaxUnsentBytes = std::size_t{256} * 1024;  // to one peer
+constexpr std::size_t kMaxUnsentBytes = std::size_t{256} * 1024;  // per peer
 
 }  // namespace
 
@@ -31,22 +31,22 @@
     peer.last_dialed_at = net::Loop::now();
     MessageConnection::Events events;
     events.on_message = [](const ReceivedMessage&) {};
-    events.on_disconnected = [this, member] { retire(peers_[member]); };
+    events.on_disconnected = [this, member] { discard_connection(peers_[member]); };
     peer.connection =
         std::make_unique<MessageConnection>(loop_, *address, kConnectTimeout, std::move(events));
 }
 
-void PeerConnections::retire(Peer& peer) {
+void PeerConnections::discard_connection(Peer& peer) {
     if (peer.connection) closed_.push_back(std::move(peer.connection));
 }
 
 void PeerConnections::sweep(Micros now) {
     closed_.clear();
     for (auto& [member, peer] : peers_) {
-        const Micros last_sign = std::max(peer.last_received_at, peer.last_dialed_at);
-        if (!peer.connection || now <= last_sign + kPeerTimeout) continue;
+        const Micros last_activity_at = std::max(peer.last_received_at, peer.last_dialed_at);
+        if (!peer.connection || now <= last_activity_at + kPeerTimeout) continue;
         peer.connection->close();
-        retire(peer);
+        discard_connection(peer);
     }
 }
 
--- a/src/cluster/controller/peer_timeout.hpp
+++ b/src/cluster/controller/peer_timeout.hpp
@@ -1,4 +1,4 @@
-// How long another process may be silent before a controller closes the connection to it.
+// Silence of another process after which a controller closes the connection to it.
 #pragma once
 
 #include "types.hpp"
--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -68,10 +68,10 @@
                                   "internal_port_range"),
                    connection_callbacks()),
       role_(loop, settings_, exchange_rates_from_flags(), consensus_, connections_,
-            [this](const LogEntry& entry) { return operator_api_.parsed(entry); }),
+            [this](const LogEntry& entry) { return operator_api_.parsed_configuration(entry); }),
       explain_(loop,
                [this](const std::string& part) {
-                   return controller_status(net::Loop::now(), part, settings_, consensus_.state(),
+                   return controller_status(net::Loop::now(), part, settings_, consensus_.consensus(),
                                             role_.coordinator());
                }),
       settings_watch_(loop, [this](const Settings& changed) { on_settings_changed(changed); }),
@@ -137,7 +137,8 @@
     consensus_.on_timer(now);
     role_.tick(now);
     if (now >= next_sweep_) sweep(now);
-    if (shutdown_.is_complete(now, !consensus_.state() || consensus_.state()->can_stop())) loop_.stop();
+    if (shutdown_.is_complete(now, !consensus_.consensus() || consensus_.consensus()->can_stop()))
+        loop_.stop();
     set_timer();
 }
 
--- a/tests/system/controller/coordinator_role_test.cpp
+++ b/tests/system/controller/coordinator_role_test.cpp
@@ -1,4 +1,5 @@
-// The coordinator's life in a controller: while the machine leads, paused while its lease has run out.
+// Lifecycle of the coordinator in a controller: it runs while the machine is the leader, and is paused while
+// the lease has expired (controller/coordinator_role.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <filesystem>
@@ -16,14 +17,14 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 500'000;
-constexpr Micros kLongerThanLease = 500'000;
+constexpr Micros kMoreThanLeaseDuration = 500'000;
 
-// A controller that is alone in its core, without a platform.
+// A controller that is the only member of its core, without a platform.
 struct Controller {
     Controller() : port(free_port()) {
-        static int made = 0;
+        static int instances = 0;
         folder = std::filesystem::temp_directory_path() /
-                 ("gannethold-role-" + std::to_string(getpid()) + "-" + std::to_string(++made));
+                 ("gannethold-role-" + std::to_string(getpid()) + "-" + std::to_string(++instances));
         settings.node_name = "core";
         settings.control_plane_address = "127.0.0.1:1";
         settings.seed_addresses = {settings.control_plane_address};
@@ -62,14 +63,14 @@
         role->tick(now);
     }
     bool is_leader() const { return consensus->has_lease(net::Loop::now()); }
-    // Turns the loop with the clock of consensus running.
+    // Runs the loop and ticks consensus and the coordinator.
     bool until(const std::function<bool()>& condition) {
         return run_loop_until(loop, [&] {
             tick();
             return condition();
         });
     }
-    // Turns the loop as a machine does that has no time for consensus.
+    // Runs the loop without ticks, like an overloaded machine whose lease expires.
     bool until_without_ticks(const std::function<bool()>& condition) {
         return run_loop_until(loop, condition);
     }
@@ -78,7 +79,7 @@
     std::uint16_t port;
     std::filesystem::path folder;
     Settings settings;
-    int messages = 0;  // of registered proxies
+    int messages = 0;  // from registered proxies
     std::optional<DurableConsensus> consensus;
     std::optional<InboundConnections> connections;
     std::optional<CoordinatorRole> role;
@@ -106,7 +107,7 @@
 
 BOOST_AUTO_TEST_SUITE(coordinator_role)
 
-BOOST_AUTO_TEST_CASE(a_proxy_is_redirected_where_there_is_no_coordinator) {
+BOOST_AUTO_TEST_CASE(a_proxy_is_redirected_if_there_is_no_coordinator) {
     Controller controller;
     Proxy proxy(controller);
     BOOST_REQUIRE(controller.until_without_ticks([&] { return proxy.count<Redirect>() == 1; }));
@@ -115,34 +116,34 @@
     BOOST_TEST(proxy.count<RegisterResponse>() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_connected_before_the_election_is_registered_with_it) {
+BOOST_AUTO_TEST_CASE(a_proxy_connected_before_the_election_is_registered_after_it) {
     Controller controller;
     Proxy proxy(controller);
     BOOST_REQUIRE(controller.until_without_ticks([&] { return proxy.count<Redirect>() == 1; }));
     BOOST_REQUIRE(controller.until([&] { return proxy.count<RegisterResponse>() >= 1; }));
     BOOST_REQUIRE(controller.role->coordinator() != nullptr);
-    BOOST_TEST(controller.role->coordinator()->term() == controller.consensus->state()->current_term());
+    BOOST_TEST(controller.role->coordinator()->term() == controller.consensus->consensus()->current_term());
 }
 
-BOOST_AUTO_TEST_CASE(messages_wait_while_the_lease_has_run_out) {
+BOOST_AUTO_TEST_CASE(messages_are_deferred_while_the_lease_has_expired) {
     Controller controller;
     BOOST_REQUIRE(controller.until([&] { return controller.is_leader(); }));
     Proxy proxy(controller);
     BOOST_REQUIRE(controller.until([&] { return proxy.count<RegisterResponse>() >= 1; }));
     const Coordinator* const coordinator = controller.role->coordinator();
-    const Micros lapsed_by = net::Loop::now() + kLongerThanLease;
-    BOOST_REQUIRE(controller.until_without_ticks([&] { return net::Loop::now() >= lapsed_by; }));
+    const Micros expired_by = net::Loop::now() + kMoreThanLeaseDuration;
+    BOOST_REQUIRE(controller.until_without_ticks([&] { return net::Loop::now() >= expired_by; }));
     BOOST_REQUIRE(!controller.is_leader());
     proxy.connection.send(Heartbeat{});
     BOOST_REQUIRE(controller.until_without_ticks([&] { return controller.messages == 1; }));
     BOOST_TEST(proxy.count<Heartbeat>() == 0);
-    BOOST_TEST(controller.role->next_tick(net::Loop::now()) > net::Loop::now() + kLongerThanLease);
+    BOOST_TEST(controller.role->next_tick(net::Loop::now()) > net::Loop::now() + kMoreThanLeaseDuration);
     BOOST_TEST(controller.until([&] { return proxy.count<Heartbeat>() == 1; }));
-    BOOST_TEST(controller.role->coordinator() == coordinator);  // the same: its term went on
+    BOOST_TEST(controller.role->coordinator() == coordinator);  // kept, since the term has not ended
     BOOST_TEST(!proxy.disconnected);
 }
 
-BOOST_AUTO_TEST_CASE(proxies_are_disconnected_as_the_coordinator_is_stopped) {
+BOOST_AUTO_TEST_CASE(proxies_are_disconnected_when_the_coordinator_is_stopped) {
     Controller controller;
     BOOST_REQUIRE(controller.until([&] { return controller.is_leader(); }));
     Proxy proxy(controller);
@@ -152,7 +153,7 @@
     controller.role->update();
     BOOST_TEST(controller.role->coordinator() == nullptr);
     BOOST_TEST(controller.until([&] { return proxy.disconnected; }));
-    BOOST_TEST(controller.role->coordinator() == nullptr);  // leads still, but shuts down
+    BOOST_TEST(controller.role->coordinator() == nullptr);  // still the leader, but shutting down
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/system/controller/graceful_shutdown_test.cpp
+++ b/tests/system/controller/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// When a controller that was told to end ends.
+// Duration of a graceful shutdown (controller/graceful_shutdown.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/controller/graceful_shutdown.hpp"
@@ -11,13 +11,13 @@
 
 BOOST_AUTO_TEST_SUITE(graceful_shutdown)
 
-BOOST_AUTO_TEST_CASE(is_never_complete_before_it_has_begun) {
+BOOST_AUTO_TEST_CASE(is_not_complete_before_it_has_begun) {
     const GracefulShutdown shutdown;
     BOOST_TEST(!shutdown.has_begun());
     BOOST_TEST(!shutdown.is_complete(kBegin, true));
 }
 
-BOOST_AUTO_TEST_CASE(leaves_answers_time_to_reach_their_callers) {
+BOOST_AUTO_TEST_CASE(lasts_long_enough_for_responses_in_flight) {
     GracefulShutdown shutdown;
     shutdown.begin(kBegin, kGracePeriod);
     BOOST_TEST(shutdown.has_begun());
@@ -25,14 +25,14 @@
     BOOST_TEST(shutdown.is_complete(kBegin + 300'000, true));
 }
 
-BOOST_AUTO_TEST_CASE(waits_for_the_others_for_half_of_the_grace_period_at_most) {
+BOOST_AUTO_TEST_CASE(waits_for_other_members_for_at_most_half_of_the_grace_period) {
     GracefulShutdown shutdown;
     shutdown.begin(kBegin, kGracePeriod);
     BOOST_TEST(!shutdown.is_complete(kBegin + kGracePeriod / 2 - 1, false));
     BOOST_TEST(shutdown.is_complete(kBegin + kGracePeriod / 2, false));
 }
 
-BOOST_AUTO_TEST_CASE(keeps_its_minimum_where_the_grace_period_is_short) {
+BOOST_AUTO_TEST_CASE(has_a_minimum_duration_if_the_grace_period_is_short) {
     GracefulShutdown shutdown;
     shutdown.begin(kBegin, 100'000);
     BOOST_TEST(!shutdown.is_complete(kBegin + 60'000, false));
--- a/tests/system/controller/inbound_connections_test.cpp
+++ b/tests/system/controller/inbound_connections_test.cpp
@@ -1,4 +1,4 @@
-// Sessions of processes that dial a controller: who they are, and when they are over.
+// Sessions of processes that connect to a controller (controller/inbound_connections.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <functional>
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 500'000;
-constexpr Micros kLongerThanPeerTimeout = 2'000'000;
+constexpr Micros kMoreThanPeerTimeout = 2'000'000;
 
-// A listening controller, and processes that dial it.
+// A listening controller that records its callbacks.
 struct Controller {
     Controller() : port(free_port()) {
         connections.emplace(
@@ -48,13 +48,14 @@
     std::optional<InboundConnections> connections;
 };
 
-// A process that has dialed it.
+// A process that connects to the controller.
 struct Dialer {
     explicit Dialer(Controller& controller)
-        : connection(controller.loop, *net::Address::read(controller.address()), kConnectTimeout,
-                     {[] {}, [this](const ReceivedMessage&) { ++received; }, [this] { ended = true; }}) {}
+        : connection(
+              controller.loop, *net::Address::read(controller.address()), kConnectTimeout,
+              {[] {}, [this](const ReceivedMessage&) { ++received; }, [this] { disconnected = true; }}) {}
     int received = 0;
-    bool ended = false;
+    bool disconnected = false;
     MessageConnection connection;
 };
 
@@ -66,7 +67,7 @@
 
 BOOST_AUTO_TEST_SUITE(inbound_connections)
 
-BOOST_AUTO_TEST_CASE(a_core_machine_names_itself_in_each_message) {
+BOOST_AUTO_TEST_CASE(a_core_machine_identifies_itself_in_each_message) {
     Controller controller;
     Dialer core(controller);
     core.connection.send(JoinRequest{}, "127.0.0.9:18263");
@@ -76,7 +77,7 @@
     BOOST_TEST(controller.connected_proxies().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_is_known_once_it_has_registered) {
+BOOST_AUTO_TEST_CASE(messages_of_a_proxy_are_delivered_once_it_has_registered) {
     Controller controller;
     Dialer proxy(controller);
     proxy.connection.send(Heartbeat{});
@@ -91,7 +92,7 @@
     BOOST_TEST(controller.until([&] { return proxy.received == 1; }));
 }
 
-BOOST_AUTO_TEST_CASE(a_closed_session_is_reported_with_the_next_sweep) {
+BOOST_AUTO_TEST_CASE(a_closed_session_is_reported_by_the_next_sweep) {
     Controller controller;
     Dialer proxy(controller);
     proxy.connection.send(registration("p-1"));
@@ -104,7 +105,7 @@
     controller.connections->sweep(net::Loop::now());
     BOOST_REQUIRE(controller.disconnected.size() == 1U);
     BOOST_TEST(controller.disconnected[0] == session);
-    BOOST_TEST(controller.until([&] { return proxy.ended; }));
+    BOOST_TEST(controller.until([&] { return proxy.disconnected; }));
     controller.connections->sweep(net::Loop::now());
     BOOST_TEST(controller.disconnected.size() == 1U);
 }
@@ -116,7 +117,7 @@
     BOOST_REQUIRE(controller.until([&] { return !controller.registered.empty(); }));
     controller.connections->sweep(net::Loop::now());
     BOOST_TEST(controller.connected_proxies().size() == 1U);
-    controller.connections->sweep(net::Loop::now() + kLongerThanPeerTimeout);
+    controller.connections->sweep(net::Loop::now() + kMoreThanPeerTimeout);
     BOOST_TEST(controller.connected_proxies().empty());
     BOOST_TEST(controller.disconnected.size() == 1U);
 }
--- a/tests/system/controller/peer_connections_test.cpp
+++ b/tests/system/controller/peer_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections to other core machines: dialed when there is something to send, again after a pause.
+// Connections to other core machines (controller/peer_connections.hpp).
 #include <boost/test/unit_test.hpp>
 
 #include <functional>
@@ -10,10 +10,10 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr Micros kLongerThanPeerTimeout = 2'000'000;
-constexpr Micros kLongerThanRedialInterval = 150'000;
+constexpr Micros kMoreThanPeerTimeout = 2'000'000;
+constexpr Micros kMoreThanRedialInterval = 150'000;
 
-// A core machine that listens and says nothing, and the one that sends to it.
+// A peer that accepts connections and sends nothing, and connections to it.
 struct Fixture {
     Fixture() {
         settings.control_plane_address = "127.0.0.1:1";
@@ -21,7 +21,7 @@
     }
     void send() { connections.send(member, Heartbeat{}); }
     bool until(const std::function<bool()>& condition) { return run_loop_until(loop, condition); }
-    void let_pass(Micros span) {
+    void wait_for(Micros span) {
         const Micros end = net::Loop::now() + span;
         until([end] { return net::Loop::now() >= end; });
     }
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(peer_connections)
 
-BOOST_AUTO_TEST_CASE(one_connection_takes_all_messages) {
+BOOST_AUTO_TEST_CASE(all_messages_share_one_connection) {
     Fixture fixture;
     BOOST_TEST(fixture.dials() == 0U);
     fixture.send();
@@ -47,37 +47,37 @@
     BOOST_TEST(fixture.dials() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_connection_is_dialed_again_after_a_pause) {
+BOOST_AUTO_TEST_CASE(a_lost_connection_is_dialed_again_after_the_redial_interval) {
     Fixture fixture;
     fixture.send();
     BOOST_REQUIRE(fixture.until([&] { return fixture.dials() == 1; }));
-    fixture.let_pass(kLongerThanRedialInterval);
+    fixture.wait_for(kMoreThanRedialInterval);
     fixture.peer.connections()[0].close();
-    fixture.let_pass(kLongerThanRedialInterval);
+    fixture.wait_for(kMoreThanRedialInterval);
     fixture.send();
     BOOST_TEST(fixture.until([&] { return fixture.dials() == 2; }));
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_right_after_a_dial_that_failed) {
+BOOST_AUTO_TEST_CASE(a_message_right_after_a_failed_dial_is_dropped) {
     Fixture fixture;
     fixture.send();
     BOOST_REQUIRE(fixture.until([&] { return fixture.dials() == 1; }));
-    fixture.connections.sweep(net::Loop::now() + kLongerThanPeerTimeout);  // closes it as silent
-    fixture.send();                                                        // dialed a moment ago: dropped
-    fixture.let_pass(kLongerThanRedialInterval / 10);
+    fixture.connections.sweep(net::Loop::now() + kMoreThanPeerTimeout);  // closes it as silent
+    fixture.send();                                                      // dropped: dialed recently
+    fixture.wait_for(kMoreThanRedialInterval / 10);
     BOOST_TEST(fixture.dials() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(only_a_silent_peer_is_hung_up_on) {
+BOOST_AUTO_TEST_CASE(only_connections_to_silent_peers_are_closed) {
     Fixture fixture;
     fixture.send();
     BOOST_REQUIRE(fixture.until([&] { return fixture.dials() == 1; }));
-    const Micros later = net::Loop::now() + kLongerThanPeerTimeout;
+    const Micros later = net::Loop::now() + kMoreThanPeerTimeout;
     fixture.connections.on_received_from(fixture.member, later);
     fixture.connections.sweep(later);
-    fixture.let_pass(kLongerThanRedialInterval);
+    fixture.wait_for(kMoreThanRedialInterval);
     BOOST_TEST(!fixture.peer.connections()[0].receive().closed);
-    fixture.connections.sweep(later + kLongerThanPeerTimeout);
+    fixture.connections.sweep(later + kMoreThanPeerTimeout);
     BOOST_TEST(fixture.until([&] { return fixture.peer.connections()[0].receive().closed; }));
 }
 
