--- a/src/cluster/controller/durable_consensus.cpp
+++ b/src/cluster/controller/durable_consensus.cpp
@@ -14,13 +14,14 @@
 
 constexpr Micros kReopenInterval = 300'000;
 
-// Times follow from what the deployment promises to bear.
+// Derives the membership timeouts from the deployment's failure assumptions.
 Consensus::Options consensus_options(const Settings& settings) {
     Consensus::Options options;
     options.self = settings.control_plane_address;
     options.seeds = settings.seed_addresses;
     options.random_seed = std::random_device()();
-    // A machine counts as lost for catch_up after its start: by then its predecessor must be out.
+    // A started machine counts as failed for catch_up_time; the machine that it replaces must be removed by
+    // then.
     constexpr Micros kMinReplaceAfter = 600'000;
     constexpr Micros kMaxReplaceAfter = 3'000'000;
     options.replace_after = std::clamp(settings.catch_up_time / 4, kMinReplaceAfter, kMaxReplaceAfter);
@@ -37,11 +38,11 @@
     reopen_at_ = now + kReopenInterval;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            std::error_code ignored;  // the store says what is wrong
+            std::error_code ignored;  // store_.open() reports the failure
             std::filesystem::create_directories(settings_.data_directory, ignored);
             BOOST_LEAF_AUTO(state, store_.open(settings_.data_directory));
             Consensus::Options options = consensus_options(settings_);
-            options.first_start = settings_.is_initial_start && !state.voting_state.is_member;
+            options.bootstrap = settings_.is_initial_start && !state.voting_state.is_member;
             Event("storage_opened")
                 .with("member", state.voting_state.is_member)
                 .with("term", state.voting_state.term)
@@ -75,15 +76,15 @@
 
 void DurableConsensus::complete_step(const ConsensusOutput& output) {
     if (output.must_persist && !write_state()) {
-        // Nothing of the step has left the machine. It goes on from what its disk holds, once that can be
+        // No message of the step has been sent. The member continues from the state on disk once that can be
         // read again.
         consensus_.reset();
         reopen_at_ = net::Loop::now() + kReopenInterval;
         callbacks_.on_storage_failed();
         return;
     }
-    for (const ConsensusOutput::Envelope& envelope : output.messages)
-        callbacks_.send(envelope.to, envelope.message);
+    for (const ConsensusOutput::OutboundMessage& outbound : output.messages)
+        callbacks_.send(outbound.to, outbound.message);
     for (const ProposalResult& result : output.proposal_results) callbacks_.on_proposal_resolved(result);
     callbacks_.on_step_completed();
 }
