--- a/src/cluster/base/bounded_history.hpp
+++ b/src/cluster/base/bounded_history.hpp
@@ -1,4 +1,4 @@
-// The newest entries of a sequence, in memory, for operators to look at.
+// An in-memory history of the most recent entries of a sequence, for operators to inspect.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace gannethold::cluster {
 
-// Keeps at most max_size entries; a further one replaces the oldest. Not thread-safe.
+// Keeps at most max_size entries; a further entry evicts the oldest one. Not thread-safe.
 template <class Entry>
 class BoundedHistory {
   public:
@@ -18,9 +18,9 @@
         entries_.push_back(std::move(entry));
         ++total_added_;
     }
-    // The oldest first.
+    // The entries that are kept, the oldest first.
     const std::deque<Entry>& entries() const { return entries_; }
-    // With those that were replaced.
+    // The number of entries ever added, including the evicted ones.
     std::size_t total_added() const { return total_added_; }
 
   private:
--- a/src/cluster/base/events.cpp
+++ b/src/cluster/base/events.cpp
@@ -27,7 +27,7 @@
     return log4cpp::Priority::ERROR;
 }
 
-std::optional<Level> level_named(const std::string& name) {
+std::optional<Level> parse_level(const std::string& name) {
     if (name == "debug") return Level::debug;
     if (name == "info") return Level::info;
     if (name == "warning") return Level::warning;
@@ -35,26 +35,26 @@
     return std::nullopt;
 }
 
-// std::cerr keeps nothing back, so that there is nothing to flush at the end.
-std::unique_ptr<log4cpp::Appender> standard_error_appender() {
+// std::cerr is unbuffered, so there is nothing to flush when the process ends.
+std::unique_ptr<log4cpp::Appender> make_stderr_appender() {
     auto layout = std::make_unique<log4cpp::PatternLayout>();
     layout->setConversionPattern("time=%d{%Y-%m-%dT%H:%M:%S.%l} level=%p %m%n");
     auto appender = std::make_unique<log4cpp::OstreamAppender>("stderr", &std::cerr);
-    appender->setLayout(layout.release());  // the appender owns it from here on
+    appender->setLayout(layout.release());  // the appender takes ownership
     return appender;
 }
 
-// nullptr until open_log(). Owned by log4cpp.
+// nullptr until open_log() has been called. Owned by log4cpp.
 log4cpp::Category* open_logger = nullptr;
 
 }  // namespace
 
 bool open_log(const std::string& level) {
-    const auto min_level = level_named(level);
+    const auto min_level = parse_level(level);
     if (!min_level) return false;
     log4cpp::Category& root = log4cpp::Category::getRoot();
     root.removeAllAppenders();
-    root.addAppender(standard_error_appender().release());  // the category owns it from here on
+    root.addAppender(make_stderr_appender().release());  // the category takes ownership
     root.setPriority(log4cpp_priority(*min_level));
     open_logger = &root;
     return true;
@@ -74,7 +74,8 @@
     line_ += '"';
     for (const char character : value) {
         if (character == '"' || character == '\\') line_ += '\\';
-        const bool is_control = character < ' ' && character >= 0;  // the bytes of UTF-8 may be negative
+        const bool is_control =
+            character < ' ' && character >= 0;  // bytes of UTF-8 sequences may be negative
         line_ += is_control ? ' ' : character;
     }
     line_ += '"';
--- a/src/cluster/base/events.hpp
+++ b/src/cluster/base/events.hpp
@@ -1,9 +1,9 @@
-// Log lines for operators: each event is one line of key=value pairs on standard error, written by log4cpp.
-// It starts no threads, and nothing is left to be written when a process ends.
+// Structured log events for operators. Each event is one line of key=value pairs on standard error, written
+// synchronously by log4cpp: logging starts no threads and needs no flush when the process ends.
 //
 //   Event("leader_elected").with("term", 4).with("leader", address);
 //
-// An event is a snake_case noun and verb; docs/on-call.md lists them all.
+// Event names are a noun and a verb in snake_case; docs/on-call.md lists all of them.
 #pragma once
 
 #include <sstream>
@@ -14,12 +14,13 @@
 
 enum class Level { debug, info, warning, error };
 
-// Opens the log at a level: debug, info, warning or error; events below it are not written. False: there is
-// no such level. REQUIRES: called before the first event and before a second thread is started. Events before
-// it are dropped. Each line is written before the event's destructor returns.
+// Opens the log at a level (debug, info, warning or error); events below that level are not written. Returns
+// false if there is no such level. REQUIRES: called before the first event and before a second thread is
+// started; earlier events are dropped. Each line is written before the event's destructor returns.
 bool open_log(const std::string& level);
 
-// Collects one line and writes it when destroyed. Any number may exist at once; safe from several threads.
+// Collects one log line and writes it on destruction. Any number of events may exist at once, and threads may
+// log concurrently.
 class Event {
   public:
     explicit Event(std::string_view name, Level level = Level::info);
@@ -27,7 +28,8 @@
     Event& operator=(const Event&) = delete;
     ~Event();
 
-    // The value as operator<< writes it; quoted where it would not stay one word.
+    // Appends key=value, with the value as operator<< formats it. It is quoted if it is empty or contains
+    // spaces, quotes, line breaks, tabs or '='.
     template <class Value>
     Event& with(std::string_view key, const Value& value) {
         if (!is_enabled_) return *this;
--- a/src/cluster/base/mechanisms.hpp
+++ b/src/cluster/base/mechanisms.hpp
@@ -1,35 +1,39 @@
-// Mechanisms of policy that can be switched off one by one, to measure what each is worth. Only a build with
-// GANNETHOLD_MEASURING can do so, by the flag --without; in every other build all are on and cost nothing.
+// Policy mechanisms that can be switched off individually, to measure the benefit of each. Only a build with
+// GANNETHOLD_MEASURING has the flag --without for that; in other builds all mechanisms are always on and the
+// checks compile to nothing.
 #pragma once
 
 #include <string>
 
 namespace gannethold::cluster {
 
+// A comment says what the mechanism does; after "off:" it says what happens instead. The flag --without names
+// mechanisms by their enumerators.
 enum class Mechanism {
-    split_step,         // the gradient-projection step: fractions stay equal
-    near_zone_first,    // a runner of the proxy's zone is drawn before others
-    unrestricted_mode,  // requests are sent without a slot where there is much room
-    spare_slots,        // any slot may be used without a coordinator where there is some room
-    own_share,          // without a coordinator a proxy has a share of the slots
-    silence_detection,  // a coordinator that does not answer is passed over
-    start_ahead,        // a runner before the first request
-    keep_by_rate,       // an idle runner is kept by expected requests: it is kept for its break-even time
-    late_by_chance,     // runners against waits at random
-    room_for_interruptions,
-    near_runners,         // runners in further zones and regions
-    starts_for_waiting,   // one more runner for those that wait
-    early_rejection,      // a request at the end of a long queue is denied at once
-    urgency_order,        // requests wait in the order of their urgency: in the order of arrival
-    late_turns,           // late requests have a turn now and then
-    ejection,             // a runner that failed is passed over for a moment
-    second_attempts,      // a request may be sent to another runner
-    configuration_delta,  // configurations are sent as differences
+    split_step,         // the gradient-projection step for the fractions; off: the fractions stay equal
+    near_zone_first,    // runners in the proxy's own zone are drawn first
+    unrestricted_mode,  // requests need no slot where there is ample free capacity
+    spare_slots,        // without a coordinator any slot may be used where there is some free capacity
+    own_share,          // without a coordinator each proxy may use its share of the slots
+    silence_detection,  // a coordinator that does not answer is bypassed
+    start_ahead,        // a runner is started before the first request
+    keep_by_rate,       // idle runners are kept by the expected request rate; off: for their break-even time
+    late_by_chance,     // extra runners for waits caused by random arrivals
+    room_for_interruptions,  // spare capacity to serve the backlog after an interruption
+    near_runners,            // additional runners in other zones and regions, near the requests
+    starts_for_waiting,      // an additional runner is started for waiting requests
+    early_rejection,         // a request at the end of a long queue is rejected at once
+    urgency_order,           // waiting requests are ordered by urgency; off: by arrival
+    late_turns,              // every n-th slot goes to a request past its latency target
+    ejection,                // a runner that failed is ejected for a short time
+    second_attempts,         // a request may be retried at another runner
+    configuration_delta,     // configurations are sent as deltas
 };
 
 #ifdef GANNETHOLD_MEASURING
 bool is_off(Mechanism mechanism);
-// names: separated by commas, as the enumerators above. False: one of them is none.
+// Switches off the mechanisms in a comma-separated list of enumerator names. Returns false at the first name
+// that is unknown; the mechanisms before it stay switched off.
 bool switch_off(const std::string& names);
 #else
 constexpr bool is_off(Mechanism /*mechanism*/) { return false; }
--- a/src/cluster/base/settings.cpp
+++ b/src/cluster/base/settings.cpp
@@ -21,11 +21,12 @@
         !ports.empty() &&
         std::from_chars(ports[0].data(), ports[0].data() + ports[0].size(), port).ec == std::errc();
     if (!is_number || port == 0 || port > kMaxPort)
-        return make_error(ErrorCode::settings_invalid, "internal_port_range is no range of ports: " + range);
+        return make_error(ErrorCode::settings_invalid, "internal_port_range is not a port range: " + range);
     return static_cast<std::uint16_t>(port);
 }
 
-// Who the process is, where it listens and whom it knows. Everything that has no default is here.
+// Reads the process's name and location, its listen addresses and the addresses of its peers. All settings
+// without a default are among them.
 leaf::result<void> read_identity(const SettingsFile& file, Settings& settings) {
     BOOST_LEAF_ASSIGN(settings.node_name, file.required_text("node_name"));
     BOOST_LEAF_ASSIGN(settings.ip_address, file.required_text("ip_address"));
@@ -93,7 +94,7 @@
 leaf::result<void> read_urgency(const SettingsFile& file, Settings& settings) {
     BOOST_LEAF_AUTO(late_turn, file.number("urgency.late_turn", settings.late_turn));
     if (late_turn < kMinLateTurn || late_turn > kMaxLateTurn)
-        return make_error(ErrorCode::settings_invalid, "urgency.late_turn is not from 2 to 100");
+        return make_error(ErrorCode::settings_invalid, "urgency.late_turn is not between 2 and 100");
     settings.late_turn = static_cast<int>(late_turn);
     return {};
 }
@@ -104,7 +105,7 @@
     std::ifstream file(path);
     std::stringstream text;
     text << file.rdbuf();
-    if (!file) return make_error(ErrorCode::settings_unreadable, path + " can not be read");
+    if (!file) return make_error(ErrorCode::settings_unreadable, path + " cannot be read");
     return parse(text.str());
 }
 
--- a/src/cluster/base/settings.hpp
+++ b/src/cluster/base/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of one process, as its settings file gives them.
+// The settings of one process, read from its settings file.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace gannethold::cluster {
 
-// Plain values; addresses are "ip:port". Beside each group stand the names in the file. Settings that are not
-// read are ignored, as the deployment asks.
+// Plain values; addresses are "ip:port". The comment before each group lists the keys in the file. Unknown
+// keys are ignored, because the deployment also passes settings that no process reads.
 struct Settings {
     // node_name, zone, ip_address, zones.<zone>
     std::string node_name;
@@ -37,7 +37,7 @@
     std::int64_t memory_limit_mb = 256;
     std::int64_t max_file_descriptors = 1024;
 
-    // platform_api.address, .rate_per_s (of lists), .duty_per_s (of starts and stops together), .max_lag_ms
+    // platform_api.address, .rate_per_s (list calls), .duty_per_s (starts and stops together), .max_lag_ms
     std::string platform_address;
     double platform_lists_per_s = 1;
     double platform_actions_per_s = 1;
@@ -48,7 +48,7 @@
     Micros drain_timeout = 3'000'000;
     Micros grace_period = 6'000'000;
     Micros address_reuse_delay = 2'000'000;
-    Micros catch_up_time = 4'000'000;  // in which a controller that is new or restarted must be up to date
+    Micros catch_up_time = 4'000'000;  // limit for a new or restarted controller to be up to date
 
     // bounds.retry_budget_ratio, .retry_budget_slack, .budget_window_s, .rejection_slack
     double retry_budget_ratio = 0.2;
@@ -56,18 +56,18 @@
     Micros retry_budget_window = 10'000'000;
     double rejection_slack = 10;
 
-    // urgency.late_turn: every so many slots, one goes to a request that is past its latency target
+    // urgency.late_turn: one in this many slots goes to a request that is past its latency target
     int late_turn = 4;
 
-    // Reads a settings file. Errors: settings_unreadable, and those of parse.
+    // Reads a settings file. Errors: settings_unreadable, and those of parse().
     static leaf::result<Settings> read(const std::string& path);
 
-    // Reads the text of a settings file. Errors: settings_unreadable, where it is not made of a.b=value
-    // lines; settings_invalid, whose detail names a setting that is missing or has a value that cannot be
-    // used.
+    // Parses the text of a settings file. Errors: settings_unreadable if it is not a list of a.b=value lines;
+    // settings_invalid if a setting is missing or has an invalid value, with its name in the detail.
     static leaf::result<Settings> parse(const std::string& text);
 
-    // The address for the cluster's own messages of the controller with that control_plane address.
+    // Returns the address at which the controller with this control_plane address accepts the cluster's
+    // internal messages.
     std::string internal_address_of(const std::string& control_plane) const;
 };
 
--- a/src/cluster/base/settings_file.cpp
+++ b/src/cluster/base/settings_file.cpp
@@ -48,7 +48,8 @@
     const auto [end, error] = std::from_chars(text.data(), text_end, value);
     const bool in_range = value >= 0 && value <= kMaxNumber;  // false for NaN
     if (error != std::errc() || end != text_end || !in_range)
-        return make_error(ErrorCode::settings_invalid, name + " is no number from 0 on: " + text);
+        return make_error(ErrorCode::settings_invalid,
+                          name + " is not a number in the accepted range (0 to 1e12): " + text);
     return value;
 }
 
--- a/src/cluster/base/settings_file.hpp
+++ b/src/cluster/base/settings_file.hpp
@@ -1,4 +1,4 @@
-// Lines "a.b=value" as a table of texts, and typed access to it.
+// A settings file: lines of the form "a.b=value", parsed into a table with typed access.
 #pragma once
 
 #include <map>
@@ -14,27 +14,29 @@
 constexpr double kMicrosPerMs = 1e3;
 constexpr double kMicrosPerSecond = 1e6;
 
+// The keys and values of a settings file. Immutable after parse().
 class SettingsFile {
   public:
-    // Of a name that stands twice the last value counts. Error: settings_unreadable.
+    // Parses the text of a file. The last value of a repeated name applies. Error: settings_unreadable.
     static leaf::result<SettingsFile> parse(const std::string& text);
 
-    // Error: settings_invalid, where the setting is missing or empty.
+    // Error: settings_invalid if the setting is missing or empty.
     leaf::result<std::string> required_text(const std::string& name) const;
-    // Empty where the setting is missing.
+    // Returns an empty text if the setting is missing.
     std::string text(const std::string& name) const;
-    // Error: settings_invalid, where the value is no number from 0 to 1e12.
+    // Returns the fallback if the setting is missing. Error: settings_invalid if the value is not a number
+    // from 0 to 1e12.
     leaf::result<double> number(const std::string& name, double fallback) const;
-    // A time that the file gives in a unit of so many microseconds. Errors as of number.
+    // Returns a duration; micros_per_unit converts the file's unit to microseconds. Errors as for number().
     leaf::result<Micros> time(const std::string& name, double micros_per_unit, Micros fallback) const;
-    // The values of all names that begin with the prefix, by the rest of the name.
+    // Returns the settings whose name begins with the prefix, keyed by the remainder of the name.
     std::map<std::string, std::string> with_prefix(const std::string& prefix) const;
 
   private:
     std::map<std::string, std::string> values_;
 };
 
-// The parts of a list with commas; empty parts are left out.
+// Splits a comma-separated list; empty elements are omitted.
 std::vector<std::string> split_list(const std::string& text);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/wire/codec.cpp
+++ b/src/cluster/wire/codec.cpp
@@ -18,19 +18,19 @@
 using capnproto::Envelope;
 using mapping::Mapping;
 
-// Words of 8 bytes: most messages need no second allocation.
+// In words of 8 bytes. Large enough that most messages need no second segment.
 constexpr unsigned kFirstSegmentWords = 64;
 
-std::string packed(capnp::MessageBuilder& builder) {
+std::string pack(capnp::MessageBuilder& builder) {
     kj::VectorOutputStream out;
     capnp::writePackedMessage(out, builder);
     const auto bytes = out.getArray();
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-// Calls read with the root of a packed structure. Error: bytes_malformed, where Cap'n Proto says so.
+// Calls read() with the root of a packed structure. Error: bytes_malformed if Cap'n Proto rejects the bytes.
 template <class Root, class Read>
-auto unpacked(std::string_view bytes, const Read& read) -> decltype(read(typename Root::Reader())) {
+auto unpack(std::string_view bytes, const Read& read) -> decltype(read(typename Root::Reader())) {
     try {
         kj::ArrayInputStream in(kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
         capnp::PackedMessageReader reader(in);
@@ -40,9 +40,11 @@
     }
 }
 
-leaf::error_id unknown_message() { return make_error(ErrorCode::bytes_malformed, "no message of ours"); }
+leaf::error_id unknown_message() {
+    return make_error(ErrorCode::bytes_malformed, "unknown message type or enumeration value");
+}
 
-// The message if it is of this type; else the next type of the variant is tried.
+// Decodes the message if the envelope holds the variant's type number kType; otherwise tries the next type.
 template <std::size_t kType = 0>
 leaf::result<Message> decode_message(Envelope::Reader envelope) {
     if constexpr (kType == std::variant_size_v<Message>) {
@@ -62,13 +64,13 @@
     capnp::MallocMessageBuilder builder(kFirstSegmentWords);
     const Builder root = builder.initRoot<typename Builder::Builds>();
     mapping::encode_fields(record, root);
-    return packed(builder);
+    return pack(builder);
 }
 
 template <class Record>
 leaf::result<Record> decode_record(std::string_view bytes) {
     using Reader = typename Mapping<Record>::Reader;
-    return unpacked<typename Reader::Reads>(bytes, [](Reader from) -> leaf::result<Record> {
+    return unpack<typename Reader::Reads>(bytes, [](Reader from) -> leaf::result<Record> {
         Record record;
         if (!mapping::decode_fields(record, from)) return unknown_message();
         return record;
@@ -87,11 +89,11 @@
             mapping::encode_fields(alternative, Mapping<Type>::builder(envelope));
         },
         message);
-    return make_frame(packed(builder));
+    return make_frame(pack(builder));
 }
 
 leaf::result<ReceivedMessage> decode(std::string_view packed) {
-    return unpacked<Envelope>(packed, [](Envelope::Reader envelope) -> leaf::result<ReceivedMessage> {
+    return unpack<Envelope>(packed, [](Envelope::Reader envelope) -> leaf::result<ReceivedMessage> {
         BOOST_LEAF_AUTO(message, decode_message(envelope));
         return ReceivedMessage{mapping::to_string(envelope.getFrom()), std::move(message)};
     });
--- a/src/cluster/wire/codec.hpp
+++ b/src/cluster/wire/codec.hpp
@@ -1,4 +1,4 @@
-// Messages and stored records as bytes. The functions have no state and may be called from any thread.
+// Encodes and decodes messages and stored records. The functions are stateless and thread-safe.
 #pragma once
 
 #include <string>
@@ -9,18 +9,19 @@
 
 namespace gannethold::cluster {
 
+// A decoded message and its sender.
 struct ReceivedMessage {
-    std::string from;  // the sender's control_plane address; empty unless the message names it
+    std::string from;  // the sender's control_plane address; empty unless the message contains it
     Message message;
 };
 
-// A frame (frames.hpp) with a packed Cap'n Proto Envelope (cluster.capnp).
+// Returns a frame (frames.hpp) that contains a packed Cap'n Proto Envelope (cluster.capnp).
 std::string encode(const Message& message, std::string_view from = {});
-// The message in a frame's content. Error: bytes_malformed.
+// Decodes the message in a frame's content. Error: bytes_malformed.
 leaf::result<ReceivedMessage> decode(std::string_view packed);
 
-// Records, as packed Cap'n Proto structures without a frame: the payload that is sent in chunks, and what a
-// controller stores. Error of each decode_...: bytes_malformed.
+// Records are packed Cap'n Proto structures without a frame: the payload that is sent in chunks, and the
+// state that a controller stores. Error of each decode function: bytes_malformed.
 std::string encode_payload(const EntryPayload& payload);
 leaf::result<EntryPayload> decode_payload(std::string_view bytes);
 std::string encode_entry(const LogEntry& entry);
--- a/src/cluster/wire/controller_mappings.hpp
+++ b/src/cluster/wire/controller_mappings.hpp
@@ -1,7 +1,7 @@
-// The messages between controllers, and the heartbeat that all connections share.
+// Mappings of the messages between controllers, and of the heartbeat that all connections use.
 //
-// The mapping of a message has, besides Reader, Builder and Fields: kTag, the message's place in the union of
-// Envelope, and reader() and builder(), which select that place.
+// In addition to Reader, Builder and Fields, the mapping of a message has kTag, the message's member in the
+// union of Envelope, and reader() and builder(), which select that member.
 #pragma once
 
 #include "cluster.capnp.h"
@@ -11,7 +11,7 @@
 
 namespace gannethold::cluster::mapping {
 
-// A message without fields.
+// Encodes and decodes a message without fields.
 template <auto Set>
 struct Marker {
     template <class Value>
--- a/src/cluster/wire/field_mapping.hpp
+++ b/src/cluster/wire/field_mapping.hpp
@@ -1,5 +1,5 @@
-// How a plain structure and a Cap'n Proto structure correspond: each field is named once, and is encoded and
-// decoded by that one line.
+// Declares how a plain structure corresponds to a Cap'n Proto structure. Each field is listed once, and that
+// entry both encodes and decodes it.
 //
 //   template <>
 //   struct Mapping<LogPosition> {
@@ -9,10 +9,10 @@
 //                                Field<&LogPosition::index, &Reader::getIndex, &Builder::setIndex>>;
 //   };
 //
-// Fields are encoded in the order of their list. The order of texts, lists and structures decides where they
-// stand in the encoded bytes, which are compared with those of earlier versions: it must not change.
+// Fields are encoded in the order of their list, which determines the position of texts, lists and structures
+// in the encoded bytes. The order must not change: the bytes are compared with those of earlier versions.
 //
-// Only for the sources of this folder: it includes Cap'n Proto.
+// Private to the sources of this folder, because it includes Cap'n Proto.
 #pragma once
 
 #include <capnp/list.h>
@@ -26,12 +26,12 @@
 
 namespace gannethold::cluster::mapping {
 
-// Specialized for each structure that has a Cap'n Proto counterpart: Reader, Builder and Fields.
+// Specialized for each structure that has a Cap'n Proto counterpart; defines Reader, Builder and Fields.
 template <class Value>
 struct Mapping;
 
-// Specialized for each enumeration: kLast, its greatest value, and kUnknown, what a greater one is read as
-// (nullopt: the message is malformed).
+// Specialized for each enumeration; defines kLast, its greatest enumerator, and kUnknown, the enumerator that
+// replaces a greater value when decoding (nullopt: the message is malformed).
 template <class Enum>
 struct Enumeration;
 
@@ -54,7 +54,7 @@
     Mapping<Value>::Fields::encode(value, to);
 }
 
-// False: an enumeration has a value that is unknown and has no substitute.
+// Returns false if an enumeration has an unknown value for which there is no substitute.
 template <class Value>
 [[nodiscard]] bool decode_fields(Value& value, typename Mapping<Value>::Reader from) {
     return Mapping<Value>::Fields::decode(value, from);
@@ -62,13 +62,13 @@
 
 template <class Element, class List>
 void encode_list(const std::vector<Element>& values, List to) {
-    unsigned place = 0;
+    unsigned index = 0;
     for (const Element& value : values) {
         if constexpr (std::is_same_v<Element, std::string>)
-            to.set(place, to_text(value));
+            to.set(index, to_text(value));
         else
-            encode_fields(value, to[place]);
-        ++place;
+            encode_fields(value, to[index]);
+        ++index;
     }
 }
 
@@ -97,8 +97,8 @@
     return Enumeration<Enum>::kUnknown.has_value();
 }
 
-// One field: Member of the plain structure, Get of the reader, and of the builder Set where the field is a
-// number, a text or bytes, else Init.
+// One field: the plain structure's Member, the reader's Get, and the builder's Set if the field is a number,
+// a text or bytes, otherwise its Init.
 template <auto Member, auto Get, auto SetOrInit>
 struct Field {
     template <class Value, class Builder>
@@ -137,7 +137,7 @@
     }
 };
 
-// A field that is encoded only where IsSent says so of the structure.
+// A field that is encoded only if IsSent(structure) is true.
 template <auto IsSent, class Inner>
 struct FieldIf {
     template <class Value, class Builder>
@@ -150,7 +150,7 @@
     }
 };
 
-// A structure that the plain one lacks: it is encoded empty, and not read.
+// A nested structure without a counterpart in the plain structure: encoded empty, ignored when decoding.
 template <auto Init>
 struct EmptyField {
     template <class Value, class Builder>
@@ -163,6 +163,7 @@
     }
 };
 
+// The fields of a structure, in the order in which they are encoded.
 template <class... Fields>
 struct FieldList {
     template <class Value, class Builder>
--- a/src/cluster/wire/frames.cpp
+++ b/src/cluster/wire/frames.cpp
@@ -6,12 +6,12 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kLengthPrefixBytes = 4;
 
 std::size_t read_length(std::string_view bytes) {
     std::size_t length = 0;
-    for (std::size_t place = 0; place < kLengthBytes; ++place)
-        length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[place])) << (8 * place);
+    for (std::size_t index = 0; index < kLengthPrefixBytes; ++index)
+        length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[index])) << (8 * index);
     return length;
 }
 
@@ -20,21 +20,22 @@
 std::string make_frame(std::string_view bytes) {
     const auto length = static_cast<std::uint32_t>(bytes.size());
     std::string frame;
-    frame.reserve(kLengthBytes + bytes.size());
-    for (std::size_t place = 0; place < kLengthBytes; ++place)
-        frame += static_cast<char>(length >> (8 * place) & 0xff);
+    frame.reserve(kLengthPrefixBytes + bytes.size());
+    for (std::size_t index = 0; index < kLengthPrefixBytes; ++index)
+        frame += static_cast<char>(length >> (8 * index) & 0xff);
     return frame.append(bytes);
 }
 
 leaf::result<std::optional<std::string_view>> FrameReader::next() {
     buffer_.erase(0, std::exchange(consumed_, 0));
-    if (buffer_.size() < kLengthBytes) return std::optional<std::string_view>();
+    if (buffer_.size() < kLengthPrefixBytes) return std::optional<std::string_view>();
     const std::size_t length = read_length(buffer_);
     if (length > kMaxFrameBytes)
-        return make_error(ErrorCode::bytes_malformed, "a message of " + std::to_string(length) + " bytes");
-    if (buffer_.size() < kLengthBytes + length) return std::optional<std::string_view>();
-    consumed_ = kLengthBytes + length;
-    return std::optional(std::string_view{buffer_}.substr(kLengthBytes, length));
+        return make_error(ErrorCode::bytes_malformed,
+                          "frame of " + std::to_string(length) + " bytes exceeds the limit");
+    if (buffer_.size() < kLengthPrefixBytes + length) return std::optional<std::string_view>();
+    consumed_ = kLengthPrefixBytes + length;
+    return std::optional(std::string_view{buffer_}.substr(kLengthPrefixBytes, length));
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/wire/frames.hpp
+++ b/src/cluster/wire/frames.hpp
@@ -1,4 +1,4 @@
-// Messages in a stream of bytes: each stands behind its length (4 bytes, the lowest first).
+// Framing of messages in a byte stream: each message follows its length (4 bytes, little-endian).
 #pragma once
 
 #include <cstddef>
@@ -10,25 +10,27 @@
 
 namespace gannethold::cluster {
 
-// The greatest length that is accepted, so that a stranger's length does not decide how much is buffered.
+// The greatest accepted length of a frame's content. It bounds the memory that an unknown peer can make the
+// receiver buffer.
 constexpr std::size_t kMaxFrameBytes = 16U << 20;
 
-// The bytes with their length before them.
+// Returns the bytes, preceded by their length.
 std::string make_frame(std::string_view bytes);
 
-// Cuts a stream into messages. Not thread-safe.
+// Splits a byte stream into frames. Not thread-safe.
 class FrameReader {
   public:
+    // Appends received bytes to the stream.
     void add(std::string_view bytes) { buffer_.append(bytes); }
 
-    // The next complete message, without its length, valid until the next call of any method; nullopt while
-    // it is not complete. Error: bytes_malformed, where a length exceeds kMaxFrameBytes; the stream is then
-    // of no further use.
+    // Returns the content of the next complete frame, which is valid until the next call of any method, or
+    // nullopt if no complete frame has been received. Error: bytes_malformed if a length exceeds
+    // kMaxFrameBytes; the reader cannot be used any further then.
     leaf::result<std::optional<std::string_view>> next();
 
   private:
     std::string buffer_;
-    std::size_t consumed_ = 0;  // bytes at the front that the last call gave out
+    std::size_t consumed_ = 0;  // bytes at the front that the last call returned
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/wire/messages.hpp
+++ b/src/cluster/wire/messages.hpp
@@ -1,9 +1,9 @@
-// The messages between the cluster's own processes, and the records that a controller stores, as plain
-// values. codec.hpp turns them into bytes and back.
+// The messages between the cluster's own processes and the records that a controller stores, as plain values.
+// codec.hpp encodes and decodes them.
 //
-// Controllers are named by their control_plane address ("ip:port"), runners by the platform's runner_id.
-// Terms, logs, votes and leases are Raft's (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm"); the sections that are named below are that paper's.
+// Controllers are identified by their control_plane address ("ip:port"), runners by the platform's runner_id.
+// Terms, logs, votes and leases are those of Raft (Ongaro and Ousterhout, "In Search of an Understandable
+// Consensus Algorithm"); the sections cited below are those of that paper.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,31 @@
 
 namespace gannethold::cluster {
 
-// What a number counts. The types are all the same, as the messages and the stored records carry them.
+// Aliases that state the meaning of a number; they are plain integers, as in messages and stored records.
 using Term = std::uint64_t;                  // of leadership; never decreases while the cluster exists
-using LogIndex = std::uint64_t;              // of an entry in the replicated log; the first entry has 1
+using LogIndex = std::uint64_t;              // of an entry in the replicated log; the first entry has index 1
 using ConfigurationVersion = std::uint64_t;  // chosen by the operator; 0: no configuration yet
 using Digest = std::uint64_t;                // of a configuration's text (configuration/digest.hpp)
-using Incarnation = std::uint64_t;           // of a process: differs after each start
+using Incarnation = std::uint64_t;           // of a process: a new value after each start
 using Round = std::uint64_t;                 // of heartbeats, counted within a term
-using Nonce = std::uint64_t;                 // ties a response to its request
+using Nonce = std::uint64_t;                 // matches a response to its request
 using ByteCount = std::uint64_t;
-using RunnerNumber = std::uint32_t;  // a runner's short name within one term; 0: no runner
+using RunnerNumber = std::uint32_t;  // a runner's number within one term; 0: no runner
 using AcquireId = std::uint32_t;     // of a request for a slot, chosen by the proxy; 0: none
-// Where the kind of number is not said yet.
+// A number whose meaning is given where it is used.
 using Number = std::uint64_t;
 
-// The position of an entry in the replicated log. Ordered by term, then by index: of two positions the
-// greater one is the more up-to-date (section 5.4.1).
+// The position of an entry in the replicated log. Ordered by term, then by index: the greater of two
+// positions is the more up-to-date one (section 5.4.1).
 struct LogPosition {
     Term term = 0;
     LogIndex index = 0;
-    // clang-tidy 14 takes the defaulted comparison for a null pointer.
+    // clang-tidy 14 mistakes the defaulted comparison for a null pointer.
     friend auto operator<=>(const LogPosition&,
                             const LogPosition&) = default;  // NOLINT(modernize-use-nullptr)
 };
 
-// A configuration version that was confirmed to an operator, with the digest of the text that it stands for.
+// A configuration version that was confirmed to an operator, with the digest of that configuration's text.
 struct ConfirmedVersion {
     ConfigurationVersion version = 0;
     Digest digest = 0;
@@ -45,27 +45,27 @@
     friend bool operator==(const ConfirmedVersion&, const ConfirmedVersion&) = default;
 };
 
-// An entry of the replicated log. Each entry contains the complete replicated state, so only the newest one
-// is stored, and only the newest one that a quorum has stored is in force.
+// An entry of the replicated log. Each entry contains the complete replicated state, so only the newest entry
+// is stored, and the newest entry that a quorum has stored is the one in force.
 struct LogEntry {
     LogPosition position;
     ConfigurationVersion version = 0;
     std::vector<std::string> members;           // the voters
-    std::vector<std::string> outgoing_members;  // the voters before a membership change that is in progress
+    std::vector<std::string> outgoing_members;  // the voters before a membership change in progress
                                                 // (joint consensus, section 6); empty otherwise
     std::vector<ConfirmedVersion> confirmed;  // the newest ones, by index (consensus/confirmed_versions.hpp)
     std::string body;                         // the configuration as the operator sent it
 };
 
-// What a member must remember about its votes (the persistent state of figure 2 in the paper). It is on disk
-// before any message is sent that depends on it.
+// What a member must remember about its votes (the persistent state in figure 2 of the paper). It is written
+// to disk before any message that depends on it is sent.
 struct VotingState {
-    bool is_member = false;      // false: its earlier votes are unknown (an empty disk), or it is no voter
+    bool is_member = false;      // false: its earlier votes are unknown (empty disk), or it is not a voter
     Term term = 0;               // current_term
-    std::string voted_for;       // in that term; empty: nobody
-    Term no_vote_through = 0;    // no votes up to this term: a disk that was lost may have voted in them
+    std::string voted_for;       // in that term; empty: no vote
+    Term no_vote_through = 0;    // it grants no vote up to this term: a lost disk may have held such votes
     Term pre_voted_through = 0;  // the newest term in which it granted a pre-vote
-    std::string last_leader;  // whose heartbeat it answered last: that leader's lease may outlast a restart
+    std::string last_leader;     // leader of the last answered heartbeat; its lease may outlast a restart
 };
 
 // A log entry as the difference to a base entry (consensus/entry_transfer.hpp).
@@ -73,25 +73,25 @@
     ConfigurationVersion version = 0;
     std::vector<std::string> members;
     std::vector<std::string> outgoing_members;
-    std::vector<ConfirmedVersion> confirmed;  // those that the base entry lacks
-    std::string body_delta;                   // to the base entry's body (configuration/delta.hpp)
+    std::vector<ConfirmedVersion> confirmed;  // versions that the base entry does not contain
+    std::string body_delta;                   // relative to the base entry's body (configuration/delta.hpp)
 };
 
-// A configuration's text as the difference to a base that the receiver has.
+// A configuration's text as a delta to a base that the receiver has.
 struct Delta {
-    std::uint64_t base = 0;  // the base's configuration version; 0: the difference to an empty text
-    std::string bytes;       // of configuration/delta.hpp
+    std::uint64_t base = 0;  // the base's configuration version; 0: the base is an empty text
+    std::string bytes;       // as encoded by configuration/delta.hpp
 };
 
 // ---- between controllers ----
 
-// From a candidate: asks for a vote in a term (section 5.2). A pre-vote asks whether the vote would be
-// granted, so that a member that was partitioned does not raise the others' terms once it is back.
+// From a candidate: requests a vote in a term (section 5.2). A pre-vote asks whether the vote would be
+// granted, so that a member that returns after a partition does not raise the terms of the others.
 struct VoteRequest {
     Term term = 0;
     LogPosition last_entry;  // of the candidate
     bool pre_vote = false;
-    bool leadership_transfer = false;  // the leader asked for this election and has given up its lease
+    bool leadership_transfer = false;  // the leader requested this election and gave up its lease
 };
 struct VoteResponse {
     Term term = 0;
@@ -111,21 +111,21 @@
     Term term = 0;
     Round round = 0;
     LogPosition position;  // of the entry
-    LogPosition base;      // of the entry that the payload is the difference to; {}: none
+    LogPosition base;      // of the entry that the payload is a delta to; {}: none
     ByteCount offset = 0;  // of this chunk in the encoded payload
     ByteCount total_bytes = 0;
     std::string bytes;
 };
-// Answers a heartbeat and a chunk.
+// The response to a heartbeat or a chunk.
 struct AppendResponse {
     Term term = 0;
     Round round = 0;
     LogPosition last_entry;  // on the sender's disk
-    LogPosition receiving;   // the entry of which chunks arrive; {}: none
+    LogPosition receiving;   // the entry whose chunks are being received; {}: none
     ByteCount received_bytes = 0;
     bool leaving = false;  // the sender is shutting down
 };
-// From a member that lost its disk, or from a controller that is no member.
+// From a member that lost its disk, or from a controller that is not a member.
 struct RecoveryRequest {
     Nonce nonce = 0;
 };
@@ -138,13 +138,14 @@
     std::vector<std::string> members;
     std::vector<std::string> outgoing_members;
 };
-// From a controller that is no member: asks to become a learner.
+// From a controller that is not a member: requests to become a learner.
 struct JoinRequest {};
 // From the leader before it shuts down: the receiver starts an election at once (leadership transfer).
 struct TimeoutNow {
     Term term = 0;
 };
-// From a member that is about to shut down for good; the leader answers once the member is no voter any more.
+// From a member that is about to shut down permanently. The leader responds once the member is no longer a
+// voter.
 struct LeaveRequest {};
 struct LeaveResponse {
     Term term = 0;
@@ -158,12 +159,12 @@
     std::string service;
     std::string address;  // "ip:port"
     std::string zone;
-    std::string worker;             // the machine that it runs on
-    std::uint32_t slots = 1;        // requests that it may serve at once
-    std::uint32_t outstanding = 0;  // requests that the sender has at it
+    std::string worker;             // the machine on which it runs
+    std::uint32_t slots = 1;        // requests that it may serve concurrently
+    std::uint32_t outstanding = 0;  // requests that the sender has in flight at it
     bool reachable = false;
 };
-// What one proxy sent to one function since its last report.
+// The load that one proxy sent to one function since its last report.
 struct FunctionLoad {
     std::string service;
     std::uint32_t requests = 0;
@@ -176,16 +177,16 @@
     Incarnation incarnation = 0;
     ConfigurationVersion configuration_version = 0;
     std::vector<RunnerInfo> runners;
-    std::vector<FunctionLoad> unrestricted;  // functions in unrestricted mode, with the last second's load
+    std::vector<FunctionLoad> unrestricted;  // load in the last second of functions in unrestricted mode
 };
-// The answer of a controller that is not the leader.
+// The response of a controller that is not the leader.
 struct Redirect {
     std::string leader;
 };
 struct RegisterResponse {
     Term term = 0;
-    std::uint32_t rank = 0;     // of this proxy among all proxies, from 0
-    std::uint32_t proxies = 1;  // that are registered
+    std::uint32_t rank = 0;     // of this proxy among all proxies, counted from 0
+    std::uint32_t proxies = 1;  // number of registered proxies
     std::vector<std::string> members;
 };
 struct ConfigurationUpdate {
@@ -196,30 +197,30 @@
     ConfigurationVersion version = 0;
 };
 enum class RunnerState : std::uint8_t { starting, ready, gone };
-// The leader gives a runner its number, and says when its state changes.
+// From the leader: assigns a runner its number and reports changes of its state.
 struct RunnerUpdate {
     RunnerNumber number = 0;
     RunnerState state = RunnerState::gone;
-    RunnerInfo runner;   // not sent of a runner that is gone
-    bool watch = false;  // the proxy reports with RunnerReachable when it can connect
+    RunnerInfo runner;   // not sent if the runner is gone
+    bool watch = false;  // the proxy sends RunnerReachable once it can connect
 };
-// Asks for a slot of a function.
+// Requests a slot of a function.
 struct AcquireRequest {
     AcquireId id = 0;
     RunnerNumber preferred_runner = 0;
     std::string service;
-    std::uint32_t latency_target_ms = 0;  // what is left of it
-    std::uint32_t deadline_ms = 0;        // what is left of it
+    std::uint32_t latency_target_ms = 0;  // remaining time until the latency target
+    std::uint32_t deadline_ms = 0;        // remaining time until the deadline
     std::uint8_t priority = 0;            // 0 is the highest
     std::uint16_t request_class = 0;      // Route::request_class
-    bool is_retry = false;                // another runner had the request before
+    bool is_retry = false;                // the request was sent to another runner before
 };
 // What a request for a slot had to wait for.
 enum class WaitReason : std::uint8_t {
     none,
-    start,   // of a runner
-    slot,    // at a runner
-    memory,  // a start for which no worker has memory
+    start,   // the start of a runner
+    slot,    // a free slot at a runner
+    memory,  // memory on a worker, for the start of a runner
 };
 struct AcquireGranted {
     AcquireId id = 0;
@@ -232,25 +233,25 @@
     WaitReason wait_reason = WaitReason::none;
 };
 enum class ReleaseReason : std::uint8_t { unused, answered, failed, rejected, unreachable, gone };
-// Gives a slot back, or withdraws a request for one.
+// Releases a slot, or withdraws a request for one.
 struct Release {
     AcquireId id = 0;         // 0: the slot was taken without a request
-    RunnerNumber runner = 0;  // 0: no slot was granted yet
+    RunnerNumber runner = 0;  // 0: no slot has been granted yet
     ReleaseReason reason = ReleaseReason::unused;
-    std::uint32_t duration_ms = 0;  // of the work
+    std::uint32_t duration_ms = 0;  // for which the runner worked on the request
 };
-// Answers RunnerUpdate::watch.
+// The response to RunnerUpdate::watch.
 struct RunnerReachable {
     RunnerNumber runner = 0;
-    bool reachable = false;  // false: the proxy has given up
+    bool reachable = false;  // false: the proxy gave up connecting
 };
-// Whether slots of a function must be acquired. In unrestricted mode there is so much capacity that each
-// proxy balances by itself and only reports its load.
+// Whether slots of a function must be acquired. In unrestricted mode there is enough capacity for each proxy
+// to balance its requests without acquiring slots; it only reports its load.
 struct FunctionMode {
     std::string service;
     bool unrestricted = false;
-    // Proxies may use any slot, not only those of their own share, while no coordinator can be asked: for as
-    // long as that usually lasts few requests would find a runner full.
+    // While no coordinator is reachable, proxies may use any slot and not only those of their own share: for
+    // the usual duration of such an outage, few requests would reach a runner without a free slot.
     bool has_spare_slots = false;
 };
 struct LoadReport {
@@ -261,8 +262,8 @@
     RunnerNumber runner = 0;
     std::uint32_t requests = 0;
 };
-// Requests that a proxy has outstanding at a function that has just left unrestricted mode. Each is released
-// when it ends.
+// The requests that a proxy has in flight at a function that has just left unrestricted mode. A Release
+// follows for each when it ends.
 struct OutstandingReport {
     std::vector<OutstandingCount> counts;
 };
--- a/src/cluster/wire/proxy_mappings.hpp
+++ b/src/cluster/wire/proxy_mappings.hpp
@@ -1,4 +1,4 @@
-// The messages between proxies and controllers (controller_mappings.hpp says what a mapping has).
+// Mappings of the messages between proxies and controllers (controller_mappings.hpp describes their members).
 #pragma once
 
 #include <optional>
@@ -16,7 +16,7 @@
     static constexpr std::optional<RunnerState> kUnknown = std::nullopt;
 };
 
-// Only shown to operators: a reason that a later version has does no harm.
+// Only shown to operators, so a reason that a later version adds can be read as none.
 template <>
 struct Enumeration<WaitReason> {
     static constexpr WaitReason kLast = WaitReason::memory;
--- a/src/cluster/wire/record_mappings.hpp
+++ b/src/cluster/wire/record_mappings.hpp
@@ -1,4 +1,4 @@
-// The structures that messages and stored records share, and the stored records.
+// Mappings of the stored records, and of the structures that messages and records share.
 #pragma once
 
 #include "cluster.capnp.h"
@@ -37,7 +37,7 @@
         Field<&LogEntry::body, &Reader::getBody, &Builder::setBody>>;
 };
 
-// The chunks that carry a payload say its position.
+// The position is not encoded here: the chunks that carry a payload contain it.
 template <>
 struct Mapping<EntryPayload> {
     using Reader = capnproto::EntryRecord::Reader;
