--- a/src/cluster/transport/http_client.cpp
+++ b/src/cluster/transport/http_client.cpp
@@ -10,7 +10,7 @@
 constexpr int kMaxDiscardedResponses = 2;
 constexpr Micros kHalfSecond = 500'000;
 
-/// For how long a connection may stay idle in the pool after this response; 0: it is not reusable.
+/// How long the connection may stay idle in the pool after this response; 0: it must not be reused.
 Micros idle_timeout_after(const HttpMessage& response, Micros configured) {
     constexpr std::string_view kTimeout = "timeout=";
     const std::string_view keep_alive = response.field("Keep-Alive");
@@ -19,14 +19,15 @@
     const char* const end = keep_alive.data() + keep_alive.size();
     int seconds = 0;
     std::from_chars(keep_alive.data() + found + kTimeout.size(), end, seconds);
-    // Half of what the server states: a request that crosses its close may have been executed.
+    // Half of the server's timeout: whether a request that crosses the server's close was executed is
+    // unknown.
     return std::min<Micros>(configured, std::max(0, seconds) * kHalfSecond);
 }
 
 }  // namespace
 
-/// One connection: connecting, serving one call, or idle in the pool. The client owns it; after release() it
-/// waits in closed_ until it is freed.
+/// One connection: connecting, serving one call, or idle in the pool. Owned by the client; after release() it
+/// stays in closed_ until it is freed.
 class HttpClient::UpstreamConnection final : net::Connection::Owner {
   public:
     UpstreamConnection(HttpClient& client, std::string address, const net::Address& resolved)
@@ -35,7 +36,7 @@
           reader_(http::Kind::answer, client_.loop_.blocks()),
           connection_(client_.loop_, *this, resolved, client_.options_.connect_timeout) {}
 
-    /// Sends the request, now or once the connection is established. REQUIRES: no call is in progress here.
+    /// Sends the request, now or once the connection is established. REQUIRES: no call is in progress on it.
     void start(CallId call, const HttpMessage& request) {
         call_ = call;
         const std::string& id_field = client_.options_.id_field;
@@ -70,7 +71,7 @@
     }
 
     void bytes(std::string_view bytes) override {
-        if (!call_) return close();  // they belong to no request
+        if (!call_) return close();  // the bytes belong to no request
         has_received_ = true;
         while (call_) {
             switch (reader_.read(bytes)) {
@@ -106,7 +107,7 @@
             return release();
         }
         if (!is_established_) return fail_call(CallResult::connect_failed);
-        // A body that only the end of the connection delimits may have been truncated.
+        // A body without a length ends with the connection, so a truncation cannot be detected.
         if (ending == net::Ending::ended_early && reader_.ends_by_close())
             return fail_call(CallResult::malformed_response);
         fail_call(is_head_truncated() && !has_received_ ? CallResult::not_sent : CallResult::connection_lost);
@@ -132,16 +133,16 @@
         return !id.empty() && id != request_id_;
     }
 
-    // Whether the kernel never accepted the whole head of the request. A server may execute a request once
-    // it has the head: a truncated body proves nothing.
+    // True if the kernel did not accept the complete head of the request. A server may execute a request once
+    // it has the head, so a truncated body does not show that the request was not executed.
     bool is_head_truncated() const { return connection_.unsent_at_end() > request_body_bytes_; }
 
     void complete_call(bool has_surplus_bytes) {
         const Micros idle_timeout = idle_timeout_after(response_, client_.options_.idle_timeout);
         expires_at_ = net::Loop::now() + idle_timeout;
-        // Bytes behind a complete response, or another request's response before it: the two sides do not
-        // agree on whose turn it is. If the response came before the request was sent completely, the rest
-        // of it would precede the next request.
+        // After surplus bytes or a discarded response, later responses may be attributed to the wrong
+        // request. If the response came before the request was sent completely, the rest of that request
+        // would precede the next one.
         is_closing_ = has_surplus_bytes || discarded_responses_ > 0 || connection_.unsent() ||
                       !response_.keeps_alive || idle_timeout == 0;
         const bool is_first = completed_calls_++ == 0 && discarded_responses_ == 0;
@@ -170,7 +171,7 @@
         client.events_.on_call_completed({call, result, {}, is_first});
     }
 
-    // Takes the connection out of the pool. It is freed later: it may be in its own callback.
+    // Removes the connection from the client's tables. It is freed later, as this may be its own callback.
     void release() {
         const auto owned = client_.connections_.find(this);
         if (owned == client_.connections_.end()) return;
@@ -188,12 +189,12 @@
     std::string request_id_;     // the request's value of Options::id_field
     std::string request_bytes_;  // not yet handed to the connection
     std::size_t request_body_bytes_ = 0;
-    HttpMessage response_;       // as far as it has been read
-    bool has_received_ = false;  // anything since the call began
+    HttpMessage response_;       // the part that has been read
+    bool has_received_ = false;  // bytes were received since the call began
 
     bool is_established_ = false;
     bool is_closing_ = false;
-    bool is_preconnect_ = false;  // opened by preconnect(), whose event is still due
+    bool is_preconnect_ = false;  // opened by preconnect(), whose event has not been reported yet
     int completed_calls_ = 0;
     int discarded_responses_ = 0;
     Micros expires_at_ = 0;  // once idle
@@ -216,7 +217,8 @@
     return *key;
 }
 
-// The idle connection to this address that was used last. Closes those that are no longer usable.
+// Takes the most recently used idle connection to this address; nullptr if there is none. Closes connections
+// that are no longer usable.
 HttpClient::UpstreamConnection* HttpClient::take_idle(const std::string& address) {
     const Micros now = net::Loop::now();
     for (auto idle = idle_.find(address); idle != idle_.end() && !idle->second.empty();
@@ -286,7 +288,7 @@
 void HttpClient::close_idle(const std::string& address) {
     const auto idle = idle_.find(address);
     if (idle == idle_.end()) return;
-    // close() takes each out of the pool.
+    // A copy, because close() removes each connection from the pool.
     const ConnectionList connections = idle->second;
     for (UpstreamConnection* const connection : connections) connection->close();
 }
--- a/src/cluster/transport/http_client.hpp
+++ b/src/cluster/transport/http_client.hpp
@@ -1,7 +1,7 @@
 // An HTTP/1.1 client with a pool of keep-alive connections, one call at a time on each (no pipelining).
 //
-// Every request is sent at most once: whether a call may be repeated is decided by who makes it, for which
-// CallResult tells apart what can have been executed from what can not.
+// Every request is sent at most once. The caller decides about retries; CallResult distinguishes requests
+// that may have been executed from those that cannot have been.
 #pragma once
 
 #include <cstdint>
@@ -18,58 +18,59 @@
 
 namespace gannethold::cluster {
 
-/// How a call ended. Bytes that the kernel has accepted count as received by the server.
+/// The outcome of a call. Bytes that the kernel has accepted count as received by the server.
 enum class CallResult {
-    completed,           // with a complete response
+    completed,           // a complete response was received
     connect_failed,      // no connection was established: not executed
-    not_sent,            // the connection ended before the kernel accepted the whole head: not executed
-    connection_lost,     // it ended later, without a complete response: may have been executed, even if
-                         // part of the body was not sent
-    malformed_response,  // no valid response, or that to another request: may have been executed
+    not_sent,            // the connection ended before the kernel accepted the complete head: not executed
+    connection_lost,     // the connection ended later, without a complete response: may have been executed,
+                         // even if part of the body was not sent
+    malformed_response,  // the response is invalid or belongs to another request: may have been executed
 };
 
-/// Names a call of one HttpClient. Chosen by the caller; no two calls in progress may have the same.
+/// Identifies a call of one HttpClient. Chosen by the caller, and unique among the calls in progress.
 enum class CallId : std::uint64_t {};
 
+/// A call that has ended, with or without a response.
 struct CompletedCall {
     CallId id{};
     CallResult result = CallResult::connection_lost;
-    HttpMessage response;              // with CallResult::completed
-    bool first_on_connection = false;  // no other response can have come before it on its connection
+    HttpMessage response;              // only with CallResult::completed
+    bool first_on_connection = false;  // no response preceded this one on its connection
 };
 
-/// Not thread-safe: all use is on the loop's thread. Callbacks come from the loop, never from within a method
-/// of this class, and may call any method except close_expired(). The client must outlive the callback that
-/// it is in.
+/// Not thread-safe: all use is on the loop's thread. Callbacks are invoked by the loop, never from within a
+/// method of this class, and may call any method except close_expired(). The client must not be destroyed
+/// during a callback.
 class HttpClient {
   public:
     struct Events {
-        /// Exactly once for each call, unless it is cancelled.
+        /// Called exactly once for each call, unless it is cancelled.
         std::function<void(CompletedCall&&)> on_call_completed;
-        /// A connection that preconnect() opened is established and idle.
+        /// A connection that preconnect() opened has been established and is idle.
         std::function<void(const std::string& address)> on_preconnected = [](const std::string&) {};
         std::function<void(const std::string& address)> on_preconnect_failed = [](const std::string&) {};
     };
     struct Options {
         Micros connect_timeout = 600'000;
-        Micros idle_timeout = 8'000'000;            // of a pooled connection, unless the server states less
+        Micros idle_timeout = 8'000'000;  // of a pooled connection, unless the server states a shorter one
         std::size_t max_idle_connections = 4;       // for each address
         std::size_t max_response_bytes = 16 << 20;  // of the body
-        /// Header field that names a request and the response to it; empty: none. A response that bears
-        /// another value than its request belongs to an earlier request and is discarded.
+        /// Header field that identifies a request and the response to it; empty: none. A response whose value
+        /// differs from that of the request belongs to an earlier request and is discarded.
         std::string id_field = {};
     };
     HttpClient(net::Loop& loop, Options options, Events events);
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
-    /// Calls in progress end without an event.
+    /// Calls in progress are dropped without an event.
     ~HttpClient();
 
     /// Starts a call to "ip:port". REQUIRES: no call in progress has this id.
     ///
-    /// on_new_connection: for a request that may have been sent to this address before, under the same value
-    /// of Options::id_field: on a pooled connection a duplicate response to the earlier attempt would be
-    /// taken for the response to this one.
+    /// Set on_new_connection for a request that may have been sent to this address before with the same value
+    /// of Options::id_field. On a pooled connection, a duplicate response to the earlier attempt would be
+    /// mistaken for the response to this one.
     void call(CallId id, const std::string& address, const HttpMessage& request,
               bool on_new_connection = false);
     /// Ends a call without an event and closes its connection. Does nothing if there is no such call.
@@ -78,14 +79,14 @@
     void preconnect(const std::string& address);
     /// Closes the idle connections to this address. Calls in progress go on.
     void close_idle(const std::string& address);
-    /// Closes connections that have been idle for too long, and frees those that were closed since the last
-    /// time. Call it regularly. REQUIRES: not within a callback of this client.
+    /// Closes connections whose idle timeout has passed, and frees those closed since the previous call. Call
+    /// it regularly. REQUIRES: not within a callback of this client.
     void close_expired(Micros now);
 
   private:
     class UpstreamConnection;
     friend class UpstreamConnection;
-    using ConnectionList = std::list<UpstreamConnection*>;  // the last used is at the back
+    using ConnectionList = std::list<UpstreamConnection*>;  // the most recently used is at the back
     struct FailedCall {
         CallId id{};
         CallResult result = CallResult::connect_failed;
@@ -106,7 +107,7 @@
     std::vector<std::unique_ptr<UpstreamConnection>> closed_;
     std::unordered_map<CallId, UpstreamConnection*> calls_;  // in progress
     std::unordered_map<std::string, ConnectionList> idle_;   // by address
-    // In call(); their events are due in the loop's next turn.
+    // Calls that failed before anything was sent; reported in the loop's next turn.
     std::deque<FailedCall> failed_;
     net::Timer report_timer_;
 };
--- a/src/cluster/transport/http_message.cpp
+++ b/src/cluster/transport/http_message.cpp
@@ -3,9 +3,10 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kTypicalHeadBytes = 256;
+constexpr std::size_t kTypicalHeadBytes = 256;  // reserved for the head, to avoid reallocations
 
-bool has_no_length(const HttpMessage& message) {
+// True if the message is sent without a Content-Length and a body.
+bool omits_length_and_body(const HttpMessage& message) {
     if (message.status == 0) return message.body.empty() && message.method == "GET";
     return message.responds_to_head || message.status == 204 || message.status == 304;
 }
@@ -78,12 +79,12 @@
         text.append(message.method).append(" ").append(message.target).append(" HTTP/1.1\r\n");
     for (const auto& [name, value] : message.fields)
         text.append(name).append(": ").append(value).append("\r\n");
-    const bool lengthless = has_no_length(message);
-    if (!lengthless)
+    const bool omits_body = omits_length_and_body(message);
+    if (!omits_body)
         text.append("Content-Length: ").append(std::to_string(message.body.size())).append("\r\n");
     if (!message.keeps_alive) text.append("Connection: close\r\n");
     text.append("\r\n");
-    return lengthless ? text : text.append(message.body);
+    return omits_body ? text : text.append(message.body);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/http_message.hpp
+++ b/src/cluster/transport/http_message.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages as values: read completely before they are handed on, and written in one piece.
+// HTTP/1.1 messages as values: they are read completely before they are delivered, and written as a whole.
 #pragma once
 
 #include <string>
@@ -20,22 +20,23 @@
     std::vector<std::pair<std::string, std::string>> fields;
     std::string body;
 
-    /// The first header field of that name, whatever its case; empty: there is none. Valid as long as the
-    /// message is not changed.
+    /// Returns the value of the first header field with that name (case-insensitive), or an empty text. Valid
+    /// until the message changes.
     std::string_view field(std::string_view name) const;
 };
 
-/// Copies a head that was read. The body is still empty.
+/// Copies a head that has been read; the body of the message is empty.
 HttpMessage make_http_message(const http::Head& head);
 
-/// Whether a header field concerns one connection only, or is set anew by whoever serializes the message.
-/// An intermediary does not forward these.
+/// Whether a header field applies to a single connection, or is set when the message is serialized.
+/// Intermediaries do not forward such fields.
 bool is_hop_by_hop(std::string_view field_name);
 
-/// The standard phrase of the statuses that the system uses.
+/// Returns the standard reason phrase of the statuses that the system uses, and "Status" for all others.
 const char* reason_phrase(int status);
 
-/// The message's bytes, with a Content-Length wherever the protocol allows one.
+/// Returns the message as bytes, with a Content-Length wherever the protocol allows one, except in GET
+/// requests without a body.
 std::string serialize(const HttpMessage& message);
 
 }  // namespace gannethold::cluster
--- a/src/cluster/transport/http_server.cpp
+++ b/src/cluster/transport/http_server.cpp
@@ -9,7 +9,7 @@
 namespace gannethold::cluster {
 namespace {
 
-constexpr std::size_t kMaxPipelinedBytes = 1U << 20;
+constexpr std::size_t kMaxPipelinedBytes = 1U << 20;  // for each connection
 constexpr double kMillisPerSecond = 1e3;
 constexpr int kRequestTimeout = 408;
 constexpr int kContentTooLarge = 413;
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-/// One client's connection. The server owns it; once it has ended it waits in closed_ until it is freed.
+/// One client's connection. Owned by the server; once it has ended, it stays in closed_ until it is freed.
 class HttpServer::DownstreamConnection final : net::Connection::Owner {
   public:
     DownstreamConnection(HttpServer& server, evutil_socket_t socket)
@@ -44,7 +44,7 @@
           last_activity_(net::Loop::now()),
           connection_(server_.loop_, *this, socket) {}
 
-    /// REQUIRES: an exchange is pending here.
+    /// REQUIRES: an exchange is pending on this connection.
     void respond(const HttpMessage& message) {
         exchange_.reset();
         last_activity_ = net::Loop::now();
@@ -55,7 +55,7 @@
         if (!response.keeps_alive) finish();
     }
 
-    /// Nothing is pending, and no part of a request has been read.
+    /// True if no exchange is pending and no part of a request has been read.
     bool is_idle() const { return !exchange_ && !is_reading_body_ && pipelined_.empty() && !reader_.begun(); }
     bool is_finishing() const { return is_finishing_; }
     bool is_busy() const { return connection_.unsent() || !(is_finishing_ || is_idle()); }
@@ -71,7 +71,8 @@
         reject(kRequestTimeout);
     }
 
-    /// Closes without reading on; a response that is still being written is written first. REQUIRES: idle.
+    /// Closes without reading any further; the rest of an unsent response is written first. REQUIRES:
+    /// is_idle().
     void close_idle() {
         if (connection_.unsent()) return finish();
         close();
@@ -87,8 +88,8 @@
         pipelined_.append(bytes);
     }
 
-    // Pipelined requests are read once the response before them has been written: however many there are,
-    // on_request is not nested, and no more than one response is in memory.
+    // Pipelined requests are read only after the preceding response has been written. Calls of on_request are
+    // thus never nested, and at most one response is in memory, however many requests are pipelined.
     void all_written() override {
         if (exchange_ || is_finishing_ || pipelined_.empty()) return;
         const std::string bytes = std::exchange(pipelined_, {});
@@ -132,7 +133,7 @@
         }
     }
 
-    // The request is complete; the bytes behind it are pipelined.
+    // Delivers a complete request; the bytes that follow it belong to pipelined requests.
     void begin_exchange(std::string_view pipelined) {
         reader_.restart();
         is_reading_body_ = false;
@@ -158,7 +159,7 @@
         finish();
     }
 
-    // Ends the connection once what is unsent has been written.
+    // Closes the connection once all unsent bytes have been written.
     void finish() {
         is_finishing_ = true;
         connection_.finish();
@@ -171,14 +172,14 @@
 
     HttpServer& server_;
     http::Reader reader_;
-    HttpMessage request_;                 // as far as it has been read
-    std::string pipelined_;               // received behind the request that is pending
-    std::optional<ExchangeId> exchange_;  // pending
+    HttpMessage request_;                 // the part that has been read
+    std::string pipelined_;               // bytes received after the pending request
+    std::optional<ExchangeId> exchange_;  // the pending one
     bool is_reading_body_ = false;
     bool client_keeps_alive_ = true;
-    bool is_head_request_ = false;  // the one that is pending
+    bool is_head_request_ = false;  // of the pending request
     bool is_finishing_ = false;
-    Micros last_activity_;  // the last response, or the last time that nothing of a request had been read
+    Micros last_activity_;  // time of the last response, or of the last read before a request began
     net::Connection connection_;
 };
 
--- a/src/cluster/transport/http_server.hpp
+++ b/src/cluster/transport/http_server.hpp
@@ -1,6 +1,6 @@
 // An HTTP/1.1 server on one address. It reads complete requests, one at a time on each connection, and writes
-// complete responses; pipelined requests wait for the response before them. What a request is answered is its
-// owner's business, except where the limits reject it.
+// complete responses; a pipelined request waits until the preceding response has been written. The owner
+// decides on the response, except for requests that violate the limits: the server itself rejects those.
 #pragma once
 
 #include <cstdint>
@@ -18,50 +18,52 @@
 
 namespace gannethold::cluster {
 
-/// One request and its response. Counted by each server from 1 and never used twice.
+/// Identifies one request and its response. Each server counts from 1 and never reuses an id.
 enum class ExchangeId : std::uint64_t {};
 
-/// Not thread-safe: all use is on the loop's thread. Callbacks come from the loop, never from within a method
-/// of this class and never nested, and may call any method except close_expired().
+/// Not thread-safe: all use is on the loop's thread. Callbacks are invoked by the loop, never from within a
+/// method of this class and never nested, and may call any method except close_expired().
 class HttpServer {
   public:
     struct Events {
-        /// A complete request. Call respond() once, now or later, unless on_client_disconnected comes first.
+        /// A complete request was received. Call respond() once, now or later, unless on_client_disconnected
+        /// is called first.
         std::function<void(ExchangeId, HttpMessage&&)> on_request;
-        /// The client has gone before its response: nothing is owed any more.
+        /// The client disconnected before its response; the exchange has ended.
         std::function<void(ExchangeId)> on_client_disconnected = [](ExchangeId) {};
     };
 
-    /// Listens at once; throws std::runtime_error where it can not. Connections beyond max_connections are
-    /// closed as they are accepted.
+    /// Starts to listen; throws std::runtime_error if that fails. Connections beyond max_connections are
+    /// closed as soon as they are accepted.
     HttpServer(net::Loop& loop, const net::Address& address, Events events, std::size_t max_connections);
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
     ~HttpServer();
 
-    /// Does nothing if the exchange has ended: responded to already, or its client has gone.
+    /// Does nothing if the exchange has ended by a response or by a disconnect of the client.
     void respond(ExchangeId exchange, const HttpMessage& response);
-    /// Responds with the error's status and a JSON body. retry_after_ms goes with status 503 only.
+    /// Responds with the error's status and a JSON body. retry_after_ms is sent with status 503 only.
     void respond(ExchangeId exchange, ErrorCode error, const std::string& detail = {},
                  std::uint32_t retry_after_ms = 0);
 
-    /// Sizes and time-outs, also for connections that are open.
+    /// Sets size limits and timeouts; they apply to open connections too.
     void set_limits(const Limits& limits) { limits_ = limits; }
-    /// From now on each response closes its connection.
+    /// From now on the connection is closed after each response.
     void disable_keep_alive() { is_keep_alive_disabled_ = true; }
-    /// Stops listening and closes idle connections. What a client sends on these meanwhile is not read, and
-    /// meets a reset, so that it may safely send it elsewhere. Busy connections go on.
+    /// Stops listening and closes idle connections; busy connections continue. Bytes that a client sends on
+    /// an idle connection meanwhile are not read and are answered by a reset, so the client may safely send
+    /// the request elsewhere.
     void drain();
-    /// Closes connections that have been idle, or have been sending a request, for too long, and frees those
-    /// that were closed since the last time. Call it regularly. REQUIRES: not within a callback of this
+    /// Closes connections that exceed the idle timeout or the timeout for receiving a request, and frees
+    /// those closed since the previous call. Call it regularly. REQUIRES: not within a callback of this
     /// server.
     void close_expired(Micros now);
 
     std::uint16_t port() const { return listener_.port(); }
-    /// Requests that wait for their response.
+    /// The number of requests that wait for their response.
     std::size_t pending_exchanges() const { return exchanges_.size(); }
-    /// Connections on which a request is being read, waits for its response, or has a response that is not
-    /// yet written completely.
+    /// The number of connections on which a request is being read or waits for its response, or on which a
+    /// response is being written.
     std::size_t busy_connections() const;
     std::size_t connections() const { return connections_.size(); }
 
@@ -80,7 +82,7 @@
     std::unordered_map<DownstreamConnection*, std::unique_ptr<DownstreamConnection>> connections_;
     // Freed by close_expired(): a connection may be closed within its own callback.
     std::vector<std::unique_ptr<DownstreamConnection>> closed_;
-    std::unordered_map<ExchangeId, DownstreamConnection*> exchanges_;  // that wait for their response
+    std::unordered_map<ExchangeId, DownstreamConnection*> exchanges_;  // waiting for their response
     net::Listener listener_;
 };
 
--- a/src/cluster/transport/message_connection.cpp
+++ b/src/cluster/transport/message_connection.cpp
@@ -29,7 +29,8 @@
     if (is_closed_) return 0;
     const std::string bytes = encode(message, from);
     if (connection_.write(bytes)) return bytes.size();
-    // The pool of blocks is empty: the peer does not read. Whoever needs the message repeats it.
+    // The pool of blocks is exhausted, because the peer does not read. The sender's protocol repeats messages
+    // that are still needed.
     disconnect();
     return 0;
 }
@@ -71,7 +72,7 @@
                                     });
 }
 
-// Hands on the next complete message; false: there is none yet.
+// Delivers the next complete message; returns false if none has been received yet.
 leaf::result<bool> MessageConnection::receive_next() {
     BOOST_LEAF_AUTO(frame, frames_.next());
     if (!frame) return false;
