--- a/src/cluster/programs/controller.cpp
+++ b/src/cluster/programs/controller.cpp
@@ -1,5 +1,5 @@
-// gannethold-controller: a core machine. Keeps the shared state with the other core machines, answers
-// operators, and, while it leads, coordinates the slots of all runners and starts and stops runners.
+// gannethold-controller: replicates the shared state with the other controllers and serves the operators'
+// API. While it is the leader, it also coordinates the slots of all runners and starts and stops runners.
 #include <algorithm>
 #include <utility>
 
@@ -12,7 +12,7 @@
 #include "cluster/controller/inbound_connections.hpp"
 #include "cluster/controller/operator_api.hpp"
 #include "cluster/controller/peer_connections.hpp"
-#include "cluster/programs/admin.hpp"
+#include "cluster/programs/explain_resource.hpp"
 #include "cluster/programs/exchange_rate_flags.hpp"
 #include "cluster/programs/process.hpp"
 
@@ -22,7 +22,7 @@
 constexpr Micros kSweepInterval = 500'000;
 constexpr Micros kSettingsPollInterval = 2'000'000;
 
-// The parts of the program, and what each tells the others.
+// Owns the components of the program and connects their events.
 class Controller {
   public:
     Controller(net::Loop& loop, Settings settings);
@@ -31,7 +31,7 @@
     DurableConsensus::Callbacks consensus_callbacks();
     InboundConnections::Callbacks connection_callbacks();
 
-    void on_core_message(const std::string& member, const Message& message);
+    void on_controller_message(const std::string& member, const Message& message);
     void on_step_completed();
     void on_storage_failed();
     void on_settings_changed(const Settings& settings);
@@ -49,7 +49,7 @@
     CoordinatorRole role_;
     GracefulShutdown shutdown_;
     ExplainResource explain_;
-    SettingsWatch settings_watch_;
+    SettingsWatcher settings_watcher_;
     ShutdownSignals signals_;
     net::Timer timer_;
     Micros next_sweep_ = 0;
@@ -61,11 +61,11 @@
       settings_(std::move(settings)),
       consensus_(settings_, consensus_callbacks()),
       peers_(loop, settings_),
-      operator_api_(loop, address_or_end(settings_.control_plane_address, "listen_addresses.control_plane"),
+      operator_api_(loop, address_or_exit(settings_.control_plane_address, "listen_addresses.control_plane"),
                     settings_, consensus_),
       connections_(loop,
-                   address_or_end(settings_.ip_address + ":" + std::to_string(settings_.internal_port),
-                                  "internal_port_range"),
+                   address_or_exit(settings_.ip_address + ":" + std::to_string(settings_.internal_port),
+                                   "internal_port_range"),
                    connection_callbacks()),
       role_(loop, settings_, exchange_rates_from_flags(), consensus_, connections_,
             [this](const LogEntry& entry) { return operator_api_.parsed(entry); }),
@@ -74,7 +74,7 @@
                    return controller_status(net::Loop::now(), part, settings_, consensus_.state(),
                                             role_.coordinator());
                }),
-      settings_watch_(loop, [this](const Settings& changed) { on_settings_changed(changed); }),
+      settings_watcher_(loop, [this](const Settings& changed) { on_settings_changed(changed); }),
       signals_(loop, [this] { on_shutdown(); }),
       timer_(loop, [this] { on_timer(); }) {
     on_timer();
@@ -91,7 +91,7 @@
 
 InboundConnections::Callbacks Controller::connection_callbacks() {
     return {
-        [this](const std::string& member, const Message& message) { on_core_message(member, message); },
+        [this](const std::string& member, const Message& message) { on_controller_message(member, message); },
         [this](Session session, const RegisterRequest& registration) {
             role_.on_registered(session, registration);
         },
@@ -100,7 +100,7 @@
     };
 }
 
-void Controller::on_core_message(const std::string& member, const Message& message) {
+void Controller::on_controller_message(const std::string& member, const Message& message) {
     const Micros now = net::Loop::now();
     peers_.on_received_from(member, now);
     consensus_.on_message(now, member, message);
@@ -150,7 +150,7 @@
     peers_.sweep(now);
     if (now >= next_settings_poll_) {
         next_settings_poll_ = now + kSettingsPollInterval;
-        settings_watch_.poll();
+        settings_watcher_.poll();
     }
 }
 
@@ -168,6 +168,7 @@
     using namespace gannethold;
     return cluster::run_process<cluster::Controller>(
         argc, argv,
-        "gannethold-controller keeps the system's shared state and, while it leads, its slots and runners.\n"
-        "It takes its addresses and bounds from the settings file.");
+        "gannethold-controller replicates the system's shared state; the leader also manages slots and "
+        "runners.\n"
+        "Its addresses and limits are read from the settings file.");
 }
--- a/src/cluster/programs/exchange_rate_flags.cpp
+++ b/src/cluster/programs/exchange_rate_flags.cpp
@@ -5,22 +5,22 @@
 #include <cstdio>
 #include <cstdlib>
 
-// The unit of all costs is the worth of one request that is answered within its latency target.
+// All costs are in one unit: the value of one request that is answered within its latency target.
 ABSL_FLAG(double, cost_instance_gb_s, gannethold::cluster::ExchangeRates{}.instance_gb_second,
-          "what a gigabyte of a runner's memory costs for a second, in requests answered in time");
+          "cost of one gigabyte of a runner's memory for one second, in requests answered in time");
 ABSL_FLAG(double, cost_instance_start, gannethold::cluster::ExchangeRates{}.instance_start,
-          "what a start of a runner costs beside its memory, in requests answered in time");
+          "cost of the start of a runner in addition to its memory, in requests answered in time");
 ABSL_FLAG(double, cost_late_request, gannethold::cluster::ExchangeRates{}.late_request,
-          "what a request loses that is answered after its latency target, in requests answered in time");
+          "loss for a request that is answered after its latency target, in requests answered in time");
 ABSL_FLAG(double, cost_zone_gb, gannethold::cluster::ExchangeRates{}.zone_gb,
-          "what a gigabyte between two zones of a region costs, in requests answered in time");
+          "cost of one gigabyte between two zones of a region, in requests answered in time");
 ABSL_FLAG(double, cost_region_gb, gannethold::cluster::ExchangeRates{}.region_gb,
-          "what a gigabyte between two regions costs, in requests answered in time");
+          "cost of one gigabyte between two regions, in requests answered in time");
 ABSL_FLAG(double, expected_requests_per_s, gannethold::cluster::ExchangeRates{}.expected_requests_per_s,
-          "requests a second that are expected at each proxy before any has come");
-ABSL_FLAG(
-    double, expected_interruptions_per_h, gannethold::cluster::ExchangeRates{}.expected_interruptions_per_h,
-    "interruptions an hour, of about a second, that runners are kept for so that the backlog is served soon");
+          "requests per second expected at each proxy before any have arrived");
+ABSL_FLAG(double, expected_interruptions_per_h,
+          gannethold::cluster::ExchangeRates{}.expected_interruptions_per_h,
+          "interruptions per hour, of about a second each, for whose backlog spare runners are kept");
 
 namespace gannethold::cluster {
 namespace {
@@ -28,7 +28,7 @@
 double checked(const absl::Flag<double>& flag, const char* name) {
     const double value = absl::GetFlag(flag);
     if (std::isfinite(value) && value >= 0) return value;
-    std::fprintf(stderr, "--%s must be a number that is not negative\n", name);
+    std::fprintf(stderr, "--%s must be a finite, non-negative number\n", name);
     std::exit(2);
 }
 
--- a/src/cluster/programs/explain.cpp
+++ b/src/cluster/programs/explain.cpp
@@ -1,5 +1,5 @@
-// gannethold-explain: asks a running proxy or controller at its --admin address, and prints tables or the
-// JSON as it came.
+// gannethold-explain: queries the --admin address of a running proxy or controller, and prints the response
+// as tables or as unmodified JSON.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -13,12 +13,12 @@
 #include "net/loop.hpp"
 #include "cluster/transport/http_client.hpp"
 
-ABSL_FLAG(std::string, at, "127.0.0.1:9800", "ip:port that the process was given as --admin");
-ABSL_FLAG(bool, json, false, "print the JSON as it came");
+ABSL_FLAG(std::string, at, "127.0.0.1:9800", "ip:port that the process has as its --admin flag");
+ABSL_FLAG(bool, json, false, "print the unmodified JSON");
 ABSL_FLAG(std::string, what, "",
-          "only that part: requests, losses, splits (a proxy); core, starts, functions, waiting, "
+          "the part to print: requests, losses, splits (a proxy); core, starts, functions, waiting, "
           "overtakings, fronts (a controller); empty: all");
-ABSL_FLAG(int, wait_ms, 3000, "milliseconds to wait for the answer");
+ABSL_FLAG(int, wait_ms, 3000, "milliseconds to wait for the response");
 
 namespace {
 
@@ -44,7 +44,7 @@
     return value ? cell_text(*value) : std::string("-");
 }
 
-// The columns' names and how wide each has to be.
+// Returns the names of the columns, and for each the width of its widest cell.
 std::map<std::string, std::size_t> column_widths(const json::List& rows) {
     std::map<std::string, std::size_t> widths;
     for (const auto& row : rows)
@@ -60,7 +60,7 @@
     std::printf("%-*s  ", static_cast<int>(width), text.c_str());
 }
 
-// A list of objects, a row each, with a column for each name.
+// Prints a list of objects: a row for each object, and a column for each member name.
 void print_table(const std::string& title, const json::List& rows) {
     std::printf("\n%s (%zu)\n", title.c_str(), rows.size());
     const std::map<std::string, std::size_t> widths = column_widths(rows);
@@ -72,8 +72,8 @@
     }
 }
 
-// Returns the program's exit status.
-int print(const std::string& body) {
+// Prints the body of a response. Returns the program's exit status.
+int print_response(const std::string& body) {
     if (absl::GetFlag(FLAGS_json)) {
         std::printf("%s\n", body.c_str());
         return 0;
@@ -96,7 +96,7 @@
     return request;
 }
 
-// Returns the program's exit status.
+// Queries the process at the address. Returns the program's exit status.
 int explain(const std::string& address) {
     net::Loop loop(kBlocks);
     int status = 1;
@@ -108,13 +108,13 @@
          .max_response_bytes = kMaxResponseBytes},
         {.on_call_completed = [&](cluster::CompletedCall&& call) {
             if (call.result == cluster::CallResult::completed && call.response.status == 200)
-                status = print(call.response.body);
+                status = print_response(call.response.body);
             else
-                std::fprintf(stderr, "no answer at %s\n", address.c_str());
+                std::fprintf(stderr, "no usable response from %s\n", address.c_str());
             loop.stop();
         }});
     net::Timer timeout(loop, [&] {
-        std::fprintf(stderr, "no answer at %s in time\n", address.c_str());
+        std::fprintf(stderr, "no response from %s in time\n", address.c_str());
         loop.stop();
     });
     timeout.set(net::Loop::now() + absl::GetFlag(FLAGS_wait_ms) * Micros{1000});
@@ -127,7 +127,7 @@
 
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
-        "gannethold explain asks a running proxy or controller what it decided lately and why.");
+        "gannethold-explain shows recent decisions of a running proxy or controller, and their reasons.");
     absl::ParseCommandLine(argc, argv);
     return explain(absl::GetFlag(FLAGS_at));
 }
--- a/src/cluster/programs/admin.cpp
+++ b/src/cluster/programs/explain_resource.cpp
@@ -1,4 +1,4 @@
-#include "cluster/programs/admin.hpp"
+#include "cluster/programs/explain_resource.hpp"
 
 #include <absl/flags/flag.h>
 
@@ -7,8 +7,9 @@
 
 #include "cluster/programs/process.hpp"
 
-ABSL_FLAG(std::string, admin, "",
-          "ip:port at which operators may ask what was decided and why (gannethold explain); empty: nowhere");
+ABSL_FLAG(
+    std::string, admin, "",
+    "ip:port of the admin endpoint, which explains recent decisions (gannethold-explain); empty: disabled");
 
 namespace gannethold::cluster {
 namespace {
@@ -20,8 +21,8 @@
 ExplainResource::ExplainResource(net::Loop& loop, Explain explain) : explain_(std::move(explain)) {
     const std::string address = absl::GetFlag(FLAGS_admin);
     if (address.empty()) return;
-    service_ = std::make_unique<HttpServer>(
-        loop, address_or_end(address, "--admin"),
+    server_ = std::make_unique<HttpServer>(
+        loop, address_or_exit(address, "--admin"),
         HttpServer::Events{
             [this](ExchangeId exchange, HttpMessage&& request) { on_request(exchange, request); },
             [](ExchangeId) {}},
@@ -31,15 +32,15 @@
 void ExplainResource::on_request(ExchangeId exchange, const HttpMessage& request) {
     constexpr std::string_view kParameter = "what=";
     if (request.method != "GET" || request.target.substr(0, request.target.find('?')) != "/explain")
-        return service_->respond(exchange, ErrorCode::no_route, "GET /explain?what=WORD");
-    const auto at = request.target.find(kParameter);
+        return server_->respond(exchange, ErrorCode::no_route, "GET /explain?what=PART");
+    const auto found = request.target.find(kParameter);
     const std::string part =
-        at == std::string::npos ? std::string() : request.target.substr(at + kParameter.size());
-    HttpMessage answer;
-    answer.status = 200;
-    answer.fields.emplace_back("Content-Type", "application/json");
-    answer.body = json::write(explain_(part));
-    service_->respond(exchange, answer);
+        found == std::string::npos ? std::string() : request.target.substr(found + kParameter.size());
+    HttpMessage response;
+    response.status = 200;
+    response.fields.emplace_back("Content-Type", "application/json");
+    response.body = json::write(explain_(part));
+    server_->respond(exchange, response);
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/admin.hpp
+++ b/src/cluster/programs/explain_resource.hpp
@@ -1,5 +1,5 @@
-// The admin endpoint, at which operators ask a running process what it did and why (`gannethold-explain`). It
-// is off unless the flag --admin names an address.
+// The admin endpoint of a running process, which `gannethold-explain` queries for recent decisions and their
+// reasons. It is disabled unless the flag --admin gives an address.
 #pragma once
 
 #include <functional>
@@ -12,24 +12,24 @@
 
 namespace gannethold::cluster {
 
-/// Serves GET /explain?what=PART with JSON.
+/// Serves GET /explain?what=PART; the response is JSON.
 class ExplainResource {
   public:
-    /// What the process tells of one part of its state; an empty `part` means all of it.
+    /// Returns one part of the process's state as JSON; an empty `part` selects all of it.
     using Explain = std::function<json::Value(const std::string& part)>;
 
-    /// Listens nowhere where --admin is empty.
+    /// Listens at the address of --admin, if there is one.
     ExplainResource(net::Loop& loop, Explain explain);
-    /// Closes idle connections. Call it about twice a second.
+    /// Closes expired connections. Call it about twice a second.
     void sweep(Micros now) {
-        if (service_) service_->close_expired(now);
+        if (server_) server_->close_expired(now);
     }
 
   private:
     void on_request(ExchangeId exchange, const HttpMessage& request);
 
     Explain explain_;
-    std::unique_ptr<HttpServer> service_;
+    std::unique_ptr<HttpServer> server_;
 };
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/process.cpp
+++ b/src/cluster/programs/process.cpp
@@ -13,13 +13,11 @@
 #include "cluster/base/mechanisms.hpp"
 
 ABSL_FLAG(std::string, settings, "",
-          "path of the settings file (lines a.b=value); empty: what GANNETHOLD_CONFIG names");
-ABSL_FLAG(std::string, log_level, "warning",
-          "least level of the events that are logged: debug, info, warning or error");
+          "path of the settings file (lines a.b=value); empty: the value of GANNETHOLD_CONFIG");
+ABSL_FLAG(std::string, log_level, "warning", "minimum level of logged events: debug, info, warning or error");
 
 #ifdef GANNETHOLD_MEASURING
-ABSL_FLAG(std::string, without, "",
-          "mechanisms that are switched off, separated by commas (base/mechanisms.hpp)");
+ABSL_FLAG(std::string, without, "", "comma-separated mechanisms to switch off (base/mechanisms.hpp)");
 #endif
 
 namespace gannethold::cluster {
@@ -45,15 +43,14 @@
 
 }  // namespace
 
-Settings begin_process(int argc, char** argv, const char* usage) {
+Settings initialize_process(int argc, char** argv, const char* usage) {
     absl::SetProgramUsageMessage(usage);
     const auto positional = absl::ParseCommandLine(argc, argv);
-    if (positional.size() > 1) exit_with_error(std::string("not understood: ") + positional[1]);
+    if (positional.size() > 1) exit_with_error(std::string("unexpected argument: ") + positional[1]);
     if (!open_log(absl::GetFlag(FLAGS_log_level)))
-        exit_with_error("--log_level is none of debug, info, warning, error");
+        exit_with_error("--log_level is not one of debug, info, warning, error");
 #ifdef GANNETHOLD_MEASURING
-    if (!switch_off(absl::GetFlag(FLAGS_without)))
-        exit_with_error("--without names a mechanism that is none");
+    if (!switch_off(absl::GetFlag(FLAGS_without))) exit_with_error("--without names an unknown mechanism");
 #endif
     std::signal(SIGPIPE, SIG_IGN);
     return leaf::try_handle_all(
@@ -61,15 +58,15 @@
         [](ErrorCode code, const ErrorDetail& detail) -> Settings {
             exit_with_error(std::string(error_response(code).name) + ": " + detail.text);
         },
-        []() -> Settings { exit_with_error("settings can not be read"); });
+        []() -> Settings { exit_with_error("the settings cannot be read"); });
 }
 
-SettingsWatch::SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> on_changed)
+SettingsWatcher::SettingsWatcher(net::Loop& loop, std::function<void(const Settings&)> on_changed)
     : on_changed_(std::move(on_changed)),
       text_(read_file(settings_path())),
       hangup_(loop, SIGHUP, [this] { reload(Trigger::signal); }) {}
 
-void SettingsWatch::reload(Trigger trigger) {
+void SettingsWatcher::reload(Trigger trigger) {
     std::string text = read_file(settings_path());
     if (text == text_) return;
     leaf::try_handle_all(
@@ -81,7 +78,8 @@
             return {};
         },
         [&](ErrorCode code, const ErrorDetail& detail) {
-            // A file that is being written is read at the next poll again: no reason for a warning.
+            // No warning for a poll: the file may be in the middle of a write, and the next poll reads it
+            // again.
             if (trigger == Trigger::signal)
                 Event("settings_rejected", Level::warning)
                     .with("error", error_response(code).name)
@@ -101,24 +99,25 @@
     on_shutdown_();
 }
 
-StartSignalGuard::StartSignalGuard() {
-    sigemptyset(&held_back_);
-    for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&held_back_, number);
-    sigprocmask(SIG_BLOCK, &held_back_, nullptr);
+StartupSignalGuard::StartupSignalGuard() {
+    sigemptyset(&blocked_signals_);
+    for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&blocked_signals_, number);
+    sigprocmask(SIG_BLOCK, &blocked_signals_, nullptr);
 }
 
-void StartSignalGuard::deliver() const { sigprocmask(SIG_UNBLOCK, &held_back_, nullptr); }
+void StartupSignalGuard::unblock() const { sigprocmask(SIG_UNBLOCK, &blocked_signals_, nullptr); }
 
-net::Address address_or_end(const std::string& text, const char* key) {
+net::Address address_or_exit(const std::string& text, const char* key) {
     auto address = net::Address::read(text);
-    if (!address) exit_with_error(std::string("settings_invalid: ") + key + " is no ip:port: " + text);
+    if (!address)
+        exit_with_error(std::string("settings_invalid: ") + key + " is not an ip:port address: " + text);
     return *address;
 }
 
 std::size_t blocks_for(const Settings& settings) {
     constexpr std::size_t kBlockKb = 8;
-    constexpr std::size_t kShareOfMemory = 4;
-    return static_cast<std::size_t>(settings.memory_limit_mb) * 1024 / kBlockKb / kShareOfMemory;
+    constexpr std::size_t kMemoryDivisor = 4;
+    return static_cast<std::size_t>(settings.memory_limit_mb) * 1024 / kBlockKb / kMemoryDivisor;
 }
 
 }  // namespace gannethold::cluster
--- a/src/cluster/programs/process.hpp
+++ b/src/cluster/programs/process.hpp
@@ -1,4 +1,4 @@
-// What both programs share: command-line flags, settings, signals, and the process's beginning and end.
+// Common parts of the proxy and controller programs: flags, settings, signals, startup and shutdown.
 #pragma once
 
 #include <csignal>
@@ -12,16 +12,16 @@
 
 namespace gannethold::cluster {
 
-/// Reads the flags and the settings file and opens the log. On a fault it writes one line to standard error
-/// that names what is wrong, and ends the process with status 2.
-Settings begin_process(int argc, char** argv, const char* usage);
+/// Parses the flags, reads the settings file and opens the log. On an error it writes one line that describes
+/// the error to standard error and exits with status 2.
+Settings initialize_process(int argc, char** argv, const char* usage);
 
-/// Watches the settings file: SIGHUP, or a change without one, reads it again. A file that can not be read or
-/// is not valid changes nothing.
-class SettingsWatch {
+/// Reloads the settings file on SIGHUP, and when a poll finds that it has changed. A file that cannot be read
+/// or is invalid is ignored.
+class SettingsWatcher {
   public:
-    SettingsWatch(net::Loop& loop, std::function<void(const Settings&)> on_changed);
-    /// Looks whether the file has changed. Call it every few seconds.
+    SettingsWatcher(net::Loop& loop, std::function<void(const Settings&)> on_changed);
+    /// Reloads the file if it has changed. Call it every few seconds.
     void poll() { reload(Trigger::poll); }
 
   private:
@@ -33,7 +33,7 @@
     net::Signal hangup_;
 };
 
-/// Calls on_shutdown once, at the first SIGTERM or SIGINT.
+/// Calls on_shutdown once, on the first SIGTERM or SIGINT.
 class ShutdownSignals {
   public:
     ShutdownSignals(net::Loop& loop, std::function<void()> on_shutdown);
@@ -47,36 +47,36 @@
     net::Signal interrupt_;
 };
 
-/// The address that `text` ("ip:port") names. Ends the process with status 2 and names the setting `key`
-/// where it names none.
-net::Address address_or_end(const std::string& text, const char* key);
+/// Parses an address ("ip:port"). If `text` is not one, names the setting `key` on standard error and exits
+/// with status 2.
+net::Address address_or_exit(const std::string& text, const char* key);
 
-/// How many blocks of memory all connections may use together: a quarter of limits.memory_mb.
+/// Returns the number of memory blocks that all connections together may use: a quarter of limits.memory_mb.
 std::size_t blocks_for(const Settings& settings);
 
-/// Holds SIGTERM, SIGINT and SIGHUP back from its construction until deliver(): one that comes before the
-/// program handles it would end the process at once.
-class StartSignalGuard {
+/// Blocks SIGTERM, SIGINT and SIGHUP from its construction until unblock(). Without that, a signal before the
+/// program has installed its handlers would terminate the process at once.
+class StartupSignalGuard {
   public:
-    StartSignalGuard();
-    /// What came meanwhile is delivered now. REQUIRES: the program handles all three.
-    void deliver() const;
+    StartupSignalGuard();
+    /// Delivers the signals that are pending. REQUIRES: the program handles all three signals.
+    void unblock() const;
 
   private:
-    sigset_t held_back_{};
+    sigset_t blocked_signals_{};
 };
 
-/// A program from its first to its last line; returns its exit status. Program is constructed with
-/// (net::Loop&, Settings), and stops the loop once it is to end: what must survive is on disk by then, and
-/// every answer is written.
+/// Runs a program and returns its exit status. Program is constructed with (net::Loop&, Settings). It stops
+/// the loop when the process is to exit; by then durable state is on disk and all responses have been
+/// written.
 template <class Program>
 int run_process(int argc, char** argv, const char* usage) {
-    const StartSignalGuard start_signals;
-    const Settings settings = begin_process(argc, argv, usage);
+    const StartupSignalGuard startup_signals;
+    const Settings settings = initialize_process(argc, argv, usage);
     {
         net::Loop loop(blocks_for(settings));
         Program program(loop, settings);
-        start_signals.deliver();
+        startup_signals.unblock();
         loop.run([] {});
     }
     return 0;
--- a/src/cluster/programs/proxy_explain.cpp
+++ b/src/cluster/programs/proxy_explain.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "cluster/programs/admin.hpp"
+#include "cluster/programs/explain_resource.hpp"
 
 namespace gannethold::cluster {
 namespace {
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-json::Value explain_proxy(const ProxyServer& server, const std::string& what, Micros now) {
+json::Value explain_proxy(const ProxyServer& server, const std::string& part, Micros now) {
     const RequestHandler& handler = server.handler();
-    const auto is_wanted = [&](const char* part) { return what.empty() || what == part; };
+    const auto is_requested = [&](const char* name) { return part.empty() || part == name; };
     json::Object all{
         {"node", json_value(server.settings().node_name)},
         {"role", json_value(std::string("proxy"))},
@@ -59,9 +59,9 @@
         {"coordinator", json::Value(handler.has_coordinator())},
         {"open", json_value(static_cast<double>(handler.pending_requests()))},
         {"malformed_lines", json_value(static_cast<double>(MessageConnection::malformed_connections()))}};
-    if (is_wanted("losses")) all["losses"] = explain_losses(handler.statistics());
-    if (is_wanted("requests")) all["requests"] = explain_requests(handler.statistics(), now);
-    if (is_wanted("splits")) all["splits"] = explain_splits(handler);
+    if (is_requested("losses")) all["losses"] = explain_losses(handler.statistics());
+    if (is_requested("requests")) all["requests"] = explain_requests(handler.statistics(), now);
+    if (is_requested("splits")) all["splits"] = explain_splits(handler);
     return json::Value(std::move(all));
 }
 
--- a/src/cluster/programs/proxy_explain.hpp
+++ b/src/cluster/programs/proxy_explain.hpp
@@ -1,4 +1,5 @@
-// What a proxy tells operators about its decisions (gannethold-explain, docs/operators-system.md).
+// The state and recent decisions of a proxy, as shown to operators by gannethold-explain
+// (docs/operators-system.md).
 #pragma once
 
 #include <string>
@@ -8,7 +9,8 @@
 
 namespace gannethold::cluster {
 
-/// what: requests, splits or losses; empty: all of them. The keys are the operators'.
-json::Value explain_proxy(const ProxyServer& server, const std::string& what, Micros now);
+/// Returns one part as JSON: requests, splits or losses; an empty `part` selects all of them. The keys are
+/// part of the operators' interface.
+json::Value explain_proxy(const ProxyServer& server, const std::string& part, Micros now);
 
 }  // namespace gannethold::cluster
