--- a/tests/system/runners/platform_api_test.cpp
+++ b/tests/system/runners/platform_api_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of faulty responses of the platform's API. setting_names.cpp tests field names and encoded
+// Decoding of faulty responses of the platform's API. platform_fields_test.cpp tests field names and encoded
 // requests.
 #include "cluster/runners/platform_api.hpp"
 
