--- a/src/beanstalk/replies.hpp
+++ b/src/beanstalk/replies.hpp
@@ -1,4 +1,4 @@
-// What beanstalkd's protocol answers: words, and the YAML of its figures as clients read it.
+// Formatting of the beanstalkd protocol's replies: keyword replies, and the YAML of statistics and lists.
 #pragma once
 
 #include <cstdint>
@@ -8,42 +8,44 @@
 
 namespace gannethold::beanstalk {
 
-inline std::string with_id(std::string_view word, std::uint64_t id) {
-    return std::string(word) + " " + std::to_string(id) + "\r\n";
+// A reply that consists of a keyword and a number.
+inline std::string with_id(std::string_view keyword, std::uint64_t id) {
+    return std::string(keyword) + " " + std::to_string(id) + "\r\n";
 }
 
-inline std::string with_body(std::string_view word, std::uint64_t id, std::string_view body) {
-    std::string all;
-    all.reserve(word.size() + body.size() + 40);
-    all.append(word)
+// A reply that consists of a keyword, a job's id and the job's body.
+inline std::string with_body(std::string_view keyword, std::uint64_t id, std::string_view body) {
+    std::string reply;
+    reply.reserve(keyword.size() + body.size() + 40);
+    reply.append(keyword)
         .append(" ")
         .append(std::to_string(id))
         .append(" ")
         .append(std::to_string(body.size()))
         .append("\r\n");
-    return all.append(body).append("\r\n");
+    return reply.append(body).append("\r\n");
 }
 
-// A map or a list, one line each. Names stand quoted in maps and bare in lists, as in the present server:
-// clients that have no YAML reader cut a list's lines behind the dash.
+// A YAML map or list with one line per entry. Names are quoted in maps and unquoted in lists, as in
+// beanstalkd: clients without a YAML parser take the text after the dash of a list entry.
 class Yaml {
   public:
-    Yaml& pair(std::string_view name, std::uint64_t value) {
-        return line(std::string(name) + ": " + std::to_string(value));
+    Yaml& number(std::string_view name, std::uint64_t value) {
+        return add_line(std::string(name) + ": " + std::to_string(value));
     }
-    Yaml& text(std::string_view name, std::string_view value) {
-        return line(std::string(name) + ": \"" + std::string(value) + "\"");
+    Yaml& string(std::string_view name, std::string_view value) {
+        return add_line(std::string(name) + ": \"" + std::string(value) + "\"");
     }
     Yaml& bare(std::string_view name, std::string_view value) {
-        return line(std::string(name) + ": " + std::string(value));
+        return add_line(std::string(name) + ": " + std::string(value));
     }
-    Yaml& item(std::string_view value) { return line("- " + std::string(value)); }
-    // As an answer: the word OK, the length, the text.
-    std::string ok() const { return "OK " + std::to_string(text_.size()) + "\r\n" + text_ + "\r\n"; }
+    Yaml& item(std::string_view value) { return add_line("- " + std::string(value)); }
+    // The complete reply: the keyword OK, the length, and the text.
+    std::string to_reply() const { return "OK " + std::to_string(text_.size()) + "\r\n" + text_ + "\r\n"; }
 
   private:
-    Yaml& line(const std::string& one) {
-        text_ += one + "\n";
+    Yaml& add_line(const std::string& line) {
+        text_ += line + "\n";
         return *this;
     }
     std::string text_ = "---\n";
--- a/src/beanstalk/server.cpp
+++ b/src/beanstalk/server.cpp
@@ -6,192 +6,209 @@
 namespace gannethold::beanstalk {
 namespace {
 
-// For a command to come whole, counted from its first byte, and for a first valid one, from the connect.
-constexpr Micros kPatience = 2'000'000;
-constexpr Micros kLookForStalled = 100'000;
-constexpr std::size_t kMostUnread =
-    64 * 1024;  // beside one body, of whoever goes on while it waits or does not read
+// Limit for receiving a complete command, from its first byte, and for the first valid command, from the
+// connection's start.
+constexpr Micros kCommandTimeout = 2'000'000;
+constexpr Micros kStallCheckInterval = 100'000;
+// Limit of the unprocessed input in addition to one body, and of the unsent replies of a session, for clients
+// that keep sending during a reserve or do not read the replies.
+constexpr std::size_t kMaxBufferedBytes = 64 * 1024;
 
 }  // namespace
 
-// One client's connection. Commands are obeyed in their order; none while it waits in a reserve.
+// One client connection. Commands are executed in order; none is executed while the session waits in a
+// reserve.
 class Server::Session final : public net::Connection::Owner {
   public:
-    Session(Server& server, SessionId id, std::size_t door, evutil_socket_t socket)
+    Session(Server& server, SessionId id, std::size_t listener_index, evutil_socket_t socket)
         : server_(server),
           id_(id),
-          door_(door),
-          since_(net::Loop::now()),
-          reader_(server.longest_body_),
+          listener_index_(listener_index),
+          idle_since_(net::Loop::now()),
+          parser_(server.max_body_bytes_),
           connection_(server.loop_, *this, socket) {}
 
     void on_bytes(std::string_view bytes) override {
-        if (over_) return;
-        if (!reader_.half_said() && unread_.empty()) since_ = spoke_ ? net::Loop::now() : since_;
-        // Against hundreds of commands piled up by who does not read the answers.
-        if (unread_.size() + bytes.size() > kMostUnread + server_.longest_body_ + Reader::kLongestLine)
+        if (is_closed_) return;
+        if (!parser_.has_partial_command() && input_.empty())
+            idle_since_ = has_sent_command_ ? net::Loop::now() : idle_since_;
+        // Closes a client that sends hundreds of commands and does not read the replies.
+        if (input_.size() + bytes.size() >
+            kMaxBufferedBytes + server_.max_body_bytes_ + CommandParser::kMaxLineBytes)
             return close();
-        unread_.append(bytes);
-        obey();
+        input_.append(bytes);
+        process_input();
     }
-    void obey() {
-        if (obeying_) return;
-        obeying_ = true;
-        std::string_view left = unread_;
-        while (!over_ && !left.empty() && connection_.unsent_bytes() < kMostUnread &&
-               !server_.exchange_.waits(id_)) {
-            const Found found = reader_.read(left);
-            if (found == Found::nothing) break;
-            spoke_ = spoke_ || found == Found::command;
-            since_ = net::Loop::now();
-            // Once nothing valid was ever said, the first fault is the last.
-            server_.exchange_.heard(net::Loop::now(), id_, found, std::move(reader_.command()));
-            if (found != Found::command && !spoke_) finish();
+    void process_input() {
+        if (is_processing_) return;
+        is_processing_ = true;
+        std::string_view remaining = input_;
+        while (!is_closed_ && !remaining.empty() && connection_.unsent_bytes() < kMaxBufferedBytes &&
+               !server_.broker_.is_waiting(id_)) {
+            const ParseResult result = parser_.parse(remaining);
+            if (result == ParseResult::incomplete) break;
+            has_sent_command_ = has_sent_command_ || result == ParseResult::command;
+            idle_since_ = net::Loop::now();
+            // A client whose first input is invalid is not a beanstalk client: it is closed after the error
+            // reply.
+            server_.broker_.on_command(net::Loop::now(), id_, result, std::move(parser_.command()));
+            if (result != ParseResult::command && !has_sent_command_) finish();
         }
-        unread_.erase(0, unread_.size() - left.size());
-        obeying_ = false;
+        input_.erase(0, input_.size() - remaining.size());
+        is_processing_ = false;
     }
     void on_all_written() override {
-        if (!over_ && !unread_.empty()) obey();
+        if (!is_closed_ && !input_.empty()) process_input();
     }
     void on_closed(net::CloseReason) override { close(); }
-    void say(std::string&& words) {
-        if (over_) return;
-        // Against a session that goes while the exchange is still busy with it: ended in the next look.
-        if (!connection_.write(words)) return server_.end_soon(id_);
-        // Its reserve is over: what came meanwhile may be read, in the next turn.
-        if (!unread_.empty() && !obeying_) server_.again_.push_back(id_), server_.wake_.set(net::Loop::now());
+    void send(std::string&& reply) {
+        if (is_closed_) return;
+        // The broker may still be using this session, so it is closed in the next update().
+        if (!connection_.write(reply)) return server_.close_later(id_);
+        // The reserve has ended: input received meanwhile is processed in the next update().
+        if (!input_.empty() && !is_processing_)
+            server_.to_process_.push_back(id_), server_.update_timer_.set(net::Loop::now());
     }
     void finish() {
-        if (std::exchange(finishing_, true) || over_) return;
+        if (std::exchange(is_finishing_, true) || is_closed_) return;
         connection_.finish();
     }
     void close() {
-        if (std::exchange(over_, true)) return;
+        if (std::exchange(is_closed_, true)) return;
         connection_.close();
-        server_.ended_.push_back(id_);
-        server_.exchange_.closed(net::Loop::now(), id_);
+        server_.closed_.push_back(id_);
+        server_.broker_.on_session_closed(net::Loop::now(), id_);
     }
-    bool stalled(Micros now) const {
-        return (!spoke_ || finishing_ || (reader_.half_said() && !server_.exchange_.waits(id_))) &&
-               now - since_ > kPatience;
+    bool is_stalled(Micros now) const {
+        return (!has_sent_command_ || is_finishing_ ||
+                (parser_.has_partial_command() && !server_.broker_.is_waiting(id_))) &&
+               now - idle_since_ > kCommandTimeout;
     }
-    bool never_spoke() const { return !spoke_; }
-    bool owed() const { return !over_ && connection_.has_unsent_bytes(); }
-    std::size_t door() const { return door_; }
+    bool has_sent_nothing() const { return !has_sent_command_; }
+    bool has_unsent_reply() const { return !is_closed_ && connection_.has_unsent_bytes(); }
+    std::size_t listener_index() const { return listener_index_; }
 
   private:
     Server& server_;
     const SessionId id_;
-    const std::size_t door_;
-    Micros since_;
-    bool over_ = false, finishing_ = false, spoke_ = false, obeying_ = false;
-    std::string unread_;
-    Reader reader_;
+    const std::size_t listener_index_;
+    Micros idle_since_;
+    bool is_closed_ = false, is_finishing_ = false, has_sent_command_ = false, is_processing_ = false;
+    std::string input_;
+    CommandParser parser_;
     net::Connection connection_;
 };
 
-Server::Server(net::Loop& loop, std::vector<Entrance> entrances, std::size_t most, Trade trade,
-               Exchange::Places places, House& house, log::Log& log)
+Server::Server(net::Loop& loop, std::vector<ListenerSettings> listeners, std::size_t max_connections,
+               BrokerSettings settings, TubeBroker::TubeMapping mapping, ServerCallbacks& callbacks,
+               log::Log& log)
     : loop_(loop),
-      house_(house),
+      callbacks_(callbacks),
       log_(log),
-      most_(most),
-      longest_body_(trade.longest_body),
-      exchange_(std::move(trade), std::move(places), *this),
-      wake_(loop, [this] { look(); }),
-      stalled_(loop, [this] { check_stalled(); }) {
-    for (Entrance& e : entrances) {
-        const std::size_t door = doors_.size();
-        doors_.push_back({e, std::make_unique<net::Listener>(
-                                 loop, e.at, [this, door](evutil_socket_t socket) { accept(door, socket); },
-                                 [this] { make_room(); })});
-        log_.info(net::Loop::now(), "beanstalkd's protocol on ", log::field("address", e.at.text));
+      max_connections_(max_connections),
+      max_body_bytes_(settings.max_body_bytes),
+      broker_(std::move(settings), std::move(mapping), *this),
+      update_timer_(loop, [this] { update(); }),
+      stall_timer_(loop, [this] { close_stalled(); }) {
+    for (ListenerSettings& listener : listeners) {
+        const std::size_t listener_index = listeners_.size();
+        listeners_.push_back(
+            {listener, std::make_unique<net::Listener>(
+                           loop, listener.address,
+                           [this, listener_index](evutil_socket_t socket) { accept(listener_index, socket); },
+                           [this] { evict_silent_session(); })});
+        log_.info(net::Loop::now(), "beanstalkd's protocol on ",
+                  log::field("address", listener.address.text));
     }
-    stalled_.set(net::Loop::now() + kLookForStalled);
+    stall_timer_.set(net::Loop::now() + kStallCheckInterval);
 }
 
 Server::~Server() = default;
 
-void Server::accept(std::size_t door, evutil_socket_t socket) {
-    // Accepting never stops: who finds no room is closed at once, so that nobody waits in a backlog unheard.
-    if (leaving_ || (sessions_.size() - ended_.size() >= most_ && !make_room())) {
+void Server::accept(std::size_t listener_index, evutil_socket_t socket) {
+    // Accepting never stops: a connection over the limit is closed at once, so that clients do not wait in
+    // the accept backlog.
+    if (is_shutting_down_ ||
+        (sessions_.size() - closed_.size() >= max_connections_ && !evict_silent_session())) {
         evutil_closesocket(socket);
         return;
     }
-    const SessionId id{++opened_};
-    sessions_.emplace(id, std::make_unique<Session>(*this, id, door, socket));
-    exchange_.opened(net::Loop::now(), id);
+    const SessionId id{++last_session_id_};
+    sessions_.emplace(id, std::make_unique<Session>(*this, id, listener_index, socket));
+    broker_.on_session_opened(net::Loop::now(), id);
 }
 
-// Against 500 silent connections that keep out who has something to say.
-bool Server::make_room() {
+// Closes the oldest session that has not sent a valid command yet. Without this, silent connections (500 of
+// them, for example) would use up the limit and keep active clients out.
+bool Server::evict_silent_session() {
     Session* oldest = nullptr;
     SessionId oldest_id{};
     for (const auto& [id, session] : sessions_)
-        if (session->never_spoke() && std::find(ended_.begin(), ended_.end(), id) == ended_.end() &&
+        if (session->has_sent_nothing() && std::find(closed_.begin(), closed_.end(), id) == closed_.end() &&
             (!oldest || id < oldest_id))
             oldest = session.get(), oldest_id = id;
     if (oldest) oldest->close();
     return oldest != nullptr;
 }
 
-void Server::check_stalled() {
+void Server::close_stalled() {
     const Micros now = net::Loop::now();
     std::vector<Session*> stalled;
     for (const auto& [id, session] : sessions_)
-        if (session->stalled(now)) stalled.push_back(session.get());
-    for (Session* const one : stalled) one->close();
-    stalled_.set(now + kLookForStalled);
+        if (session->is_stalled(now)) stalled.push_back(session.get());
+    for (Session* const session : stalled) session->close();
+    stall_timer_.set(now + kStallCheckInterval);
 }
 
-void Server::look() {
-    for (const SessionId id : std::exchange(doomed_, {})) close(id);
-    for (const SessionId id : std::exchange(again_, {}))
-        if (const auto found = sessions_.find(id); found != sessions_.end()) found->second->obey();
-    const Micros next = exchange_.pass(net::Loop::now());
-    if (!again_.empty() || !doomed_.empty())
-        wake_.set(net::Loop::now());
+void Server::update() {
+    for (const SessionId id : std::exchange(to_close_, {})) close(id);
+    for (const SessionId id : std::exchange(to_process_, {}))
+        if (const auto found = sessions_.find(id); found != sessions_.end()) found->second->process_input();
+    const Micros next = broker_.advance(net::Loop::now());
+    if (!to_process_.empty() || !to_close_.empty())
+        update_timer_.set(net::Loop::now());
     else if (next > 0)
-        wake_.set(next);
+        update_timer_.set(next);
 }
 
-void Server::leave() {
-    if (std::exchange(leaving_, true)) return;
-    exchange_.turn_away(true);
-    exchange_.hand_out(false);
-    if (const std::size_t lost = exchange_.waiting_jobs(); lost > 0)
-        log_.warning(net::Loop::now(), "leaving, and ", log::field("jobs", lost),
+void Server::shut_down() {
+    if (std::exchange(is_shutting_down_, true)) return;
+    broker_.set_rejects_puts(true);
+    broker_.set_dispatches_jobs(false);
+    if (const std::size_t queued = broker_.queued_jobs(); queued > 0)
+        log_.warning(net::Loop::now(), "leaving, and ", log::field("jobs", queued),
                      " jobs that wait in tubes are lost with this process");
-    std::vector<Session*> all;
-    for (const auto& [id, session] : sessions_) all.push_back(session.get());
-    for (Session* const one : all) one->finish();
+    std::vector<Session*> open;
+    for (const auto& [id, session] : sessions_) open.push_back(session.get());
+    for (Session* const session : open) session->finish();
 }
 
-bool Server::quiet() const {
-    return exchange_.tasks_out() == 0 &&
-           std::none_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s.second->owed(); });
+bool Server::is_idle() const {
+    return broker_.tasks_in_flight() == 0 &&
+           std::none_of(sessions_.begin(), sessions_.end(),
+                        [](const auto& s) { return s.second->has_unsent_reply(); });
 }
 
-void Server::end_soon(SessionId id) {
-    doomed_.push_back(id);
-    wake_.set(net::Loop::now());
+void Server::close_later(SessionId id) {
+    to_close_.push_back(id);
+    update_timer_.set(net::Loop::now());
 }
 
-void Server::sweep() {
-    for (const SessionId id : std::exchange(ended_, {})) sessions_.erase(id);
+void Server::destroy_closed_sessions() {
+    for (const SessionId id : std::exchange(closed_, {})) sessions_.erase(id);
 }
 
-void Server::say(SessionId to, std::string&& words) {
-    if (const auto found = sessions_.find(to); found != sessions_.end()) found->second->say(std::move(words));
+void Server::send(SessionId session, std::string&& reply) {
+    if (const auto found = sessions_.find(session); found != sessions_.end())
+        found->second->send(std::move(reply));
 }
 
 void Server::close(SessionId session) {
     if (const auto found = sessions_.find(session); found != sessions_.end()) found->second->close();
 }
 
-RunnerId Server::worker_joins(SessionId session, const WorkloadSet& serves, bool cold) {
-    return house_.worker_joins(doors_[sessions_.at(session)->door()].entrance, serves, cold);
+RunnerId Server::add_worker(SessionId session, const WorkloadSet& serves, bool cold) {
+    return callbacks_.add_worker(listeners_[sessions_.at(session)->listener_index()].settings, serves, cold);
 }
 
 }  // namespace gannethold::beanstalk
--- a/src/beanstalk/server.hpp
+++ b/src/beanstalk/server.hpp
@@ -1,5 +1,5 @@
-// The connections of beanstalkd's protocol: bytes in and out for an Exchange, and a bound on whoever says
-// nothing valid.
+// TCP server for the beanstalkd protocol. Connects client connections to a TubeBroker, and closes connections
+// that send no valid command in time.
 #pragma once
 
 #include <list>
@@ -8,102 +8,107 @@
 #include <unordered_map>
 #include <vector>
 
-#include "beanstalk/exchange.hpp"
+#include "beanstalk/tube_broker.hpp"
 #include "log/log.hpp"
 #include "net/connection.hpp"
 #include "net/listener.hpp"
 
 namespace gannethold::beanstalk {
 
-// One address that it listens on, and what the workers who come by it are.
-struct Entrance {
-    net::Address at;
+// An address that the server listens on, and the kind and zone of the workers that connect to it.
+struct ListenerSettings {
+    net::Address address;
     std::string kind, zone;
 };
 
-// How the front is furnished; from the operators' file.
-struct Furnishing {
-    std::vector<Entrance> entrances;
-    std::size_t connections = 64;  // at once; they come out of what the process may open
-    Trade trade;
+// Settings of the beanstalk front, from the operators' settings file.
+struct ServerSettings {
+    std::vector<ListenerSettings> listeners;
+    std::size_t max_connections = 64;  // simultaneous; part of the process's socket limit
+    BrokerSettings broker;
 };
 
-// Who stands behind the exchange but for the connections.
-class House {
+// What the server needs from the dispatcher: task submission, and membership of the workers.
+class ServerCallbacks {
   public:
-    virtual TaskId hand_in(const queue::Job& job, const std::string& tube, const TubePlan& plan,
-                           WorkloadId workload) = 0;
-    virtual void take_back(TaskId task) = 0;
-    virtual RunnerId worker_joins(const Entrance& by, const WorkloadSet& serves, bool cold) = 0;
-    virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
-    virtual void worker_leaves(RunnerId worker) = 0;
-    virtual void worker_room(RunnerId worker, double slots) = 0;
+    virtual TaskId submit_task(const queue::Job& job, const std::string& tube, const TubePlan& plan,
+                               WorkloadId workload) = 0;
+    virtual void cancel_task(TaskId task) = 0;
+    virtual RunnerId add_worker(const ListenerSettings& listener, const WorkloadSet& serves, bool cold) = 0;
+    virtual void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) = 0;
+    virtual void remove_worker(RunnerId worker) = 0;
+    virtual void set_worker_slots(RunnerId worker, double slots) = 0;
     virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
     virtual void probe_ended(RunnerId worker) = 0;
 
   protected:
-    ~House() = default;
+    ~ServerCallbacks() = default;
 };
 
-class Server final : public Floor {
+// Owns the listeners, the connections and the broker.
+class Server final : public BrokerCallbacks {
   public:
-    // most: connections at once. The house outlives the server.
-    Server(net::Loop& loop, std::vector<Entrance> entrances, std::size_t most, Trade trade,
-           Exchange::Places places, House& house, log::Log& log);
+    // `callbacks` must outlive the server.
+    Server(net::Loop& loop, std::vector<ListenerSettings> listeners, std::size_t max_connections,
+           BrokerSettings settings, TubeBroker::TubeMapping mapping, ServerCallbacks& callbacks,
+           log::Log& log);
     ~Server();
 
-    Exchange& exchange() { return exchange_; }
-    const Exchange& exchange() const { return exchange_; }
-    std::uint16_t port(std::size_t entrance = 0) const { return doors_[entrance].listener->port(); }
-    // What time and the last turn changed; once a turn, before the module settles, and whenever something may
-    // have.
-    void look();
-    // Answers that are owed are written, then all connections end. Against a worker that stays in its reserve
-    // for ever.
-    void leave();
-    bool quiet() const;  // nothing is owed to anybody
-    void sweep();
+    TubeBroker& broker() { return broker_; }
+    const TubeBroker& broker() const { return broker_; }
+    std::uint16_t port(std::size_t listener = 0) const { return listeners_[listener].listener->port(); }
+    // Processes deferred input, deferred closes and expired timers. To be called once per loop turn before
+    // the balancer's actions are collected, and whenever the broker's state may have changed.
+    void update();
+    // Starts a graceful shutdown: pending replies are written, then all connections are closed, including
+    // those of workers that wait in a reserve without a timeout.
+    void shut_down();
+    bool is_idle() const;  // no job is reserved and no reply is unsent
+    void destroy_closed_sessions();
 
   private:
     class Session;
-    struct Door {
-        Entrance entrance;
+    struct OpenListener {
+        ListenerSettings settings;
         std::unique_ptr<net::Listener> listener;
     };
 
-    void accept(std::size_t door, evutil_socket_t socket);
-    bool make_room();
-    void check_stalled();
-    void end_soon(SessionId id);
+    void accept(std::size_t listener_index, evutil_socket_t socket);
+    bool evict_silent_session();
+    void close_stalled();
+    void close_later(SessionId id);
 
-    void say(SessionId to, std::string&& words) override;
+    void send(SessionId session, std::string&& reply) override;
     void close(SessionId session) override;
-    TaskId hand_in(const queue::Job& job, const std::string& tube, const TubePlan& plan,
-                   WorkloadId workload) override {
-        return house_.hand_in(job, tube, plan, workload);
+    TaskId submit_task(const queue::Job& job, const std::string& tube, const TubePlan& plan,
+                       WorkloadId workload) override {
+        return callbacks_.submit_task(job, tube, plan, workload);
     }
-    void take_back(TaskId task) override { house_.take_back(task); }
-    RunnerId worker_joins(SessionId session, const WorkloadSet& serves, bool cold) override;
-    void worker_serves(RunnerId worker, const WorkloadSet& serves) override {
-        house_.worker_serves(worker, serves);
+    void cancel_task(TaskId task) override { callbacks_.cancel_task(task); }
+    RunnerId add_worker(SessionId session, const WorkloadSet& serves, bool cold) override;
+    void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) override {
+        callbacks_.set_worker_workloads(worker, serves);
     }
-    void worker_leaves(RunnerId worker) override { house_.worker_leaves(worker); }
-    void worker_room(RunnerId worker, double slots) override { house_.worker_room(worker, slots); }
-    void errand_ended(runners::ErrandEnded&& ended) override { house_.errand_ended(std::move(ended)); }
-    void probe_ended(RunnerId worker) override { house_.probe_ended(worker); }
+    void remove_worker(RunnerId worker) override { callbacks_.remove_worker(worker); }
+    void set_worker_slots(RunnerId worker, double slots) override {
+        callbacks_.set_worker_slots(worker, slots);
+    }
+    void errand_ended(runners::ErrandEnded&& ended) override { callbacks_.errand_ended(std::move(ended)); }
+    void probe_ended(RunnerId worker) override { callbacks_.probe_ended(worker); }
 
     net::Loop& loop_;
-    House& house_;
+    ServerCallbacks& callbacks_;
     log::Log& log_;
-    const std::size_t most_, longest_body_;
-    std::uint64_t opened_ = 0;
-    bool leaving_ = false;
+    const std::size_t max_connections_, max_body_bytes_;
+    std::uint64_t last_session_id_ = 0;
+    bool is_shutting_down_ = false;
     std::unordered_map<SessionId, std::unique_ptr<Session>> sessions_;
-    std::vector<SessionId> ended_, again_,
-        doomed_;  // again_: whose bytes can be read on; doomed_: whose answer found no buffer
-    Exchange exchange_;
-    std::vector<Door> doors_;
-    net::Timer wake_, stalled_;
+    // to_process_: sessions with buffered input that may be processed now. to_close_: sessions whose reply
+    // could not be buffered.
+    std::vector<SessionId> closed_, to_process_, to_close_;
+    TubeBroker broker_;
+    std::vector<OpenListener> listeners_;
+    net::Timer update_timer_, stall_timer_;
 };
 
 }  // namespace gannethold::beanstalk
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -51,17 +51,18 @@
 }
 
 // What the connections of the other front and of operators' programs leave.
-std::size_t sockets_left(const Posting& posting, const beanstalk::Furnishing& tubes, std::size_t own) {
-    const std::size_t theirs = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
-                               (posting.window ? admin::AdminServer::kMaxDescriptors : 0) +
-                               (posting.heirloom.empty() ? 0 : handover::Passage::kDescriptors);
+std::size_t sockets_left(const Posting& posting, const beanstalk::ServerSettings& tubes, std::size_t own) {
+    const std::size_t theirs =
+        (tubes.listeners.empty() ? 0 : tubes.max_connections + tubes.listeners.size()) +
+        (posting.window ? admin::AdminServer::kMaxDescriptors : 0) +
+        (posting.heirloom.empty() ? 0 : handover::Passage::kDescriptors);
     return own > theirs ? own - theirs : 1;
 }
 
-settings::WorkloadRegistry with_tubes(const Posting& posting, beanstalk::Furnishing& tubes,
-                                      beanstalk::Workloads& tube_workloads) {
+settings::WorkloadRegistry with_tubes(const Posting& posting, beanstalk::ServerSettings& tubes,
+                                      beanstalk::TubeWorkloads& tube_workloads) {
     SettingsMap all = posting.orders;
-    if (!tubes.entrances.empty()) tube_workloads = beanstalk::add_workloads(all, tubes.trade);
+    if (!tubes.listeners.empty()) tube_workloads = beanstalk::add_workloads(all, tubes.broker);
     return settings::WorkloadRegistry(all, posting.workloads());
 }
 
@@ -112,9 +113,9 @@
     if (!watched_.empty())
         shadow_ =
             std::make_unique<shadow::Shadow>(over_ours(Posting::read_file(watched_)), extras.watched_every);
-    if (!tubes_.entrances.empty())
-        pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
-                                                       tubes_.trade, tube_workloads_.places, *this, log);
+    if (!tubes_.listeners.empty())
+        pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.listeners, tubes_.max_connections,
+                                                       tubes_.broker, tube_workloads_.mapping, *this, log);
     if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
     if (posting_.window)
         admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
@@ -149,7 +150,7 @@
     }
     last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
     links_.stop_all_by(last_minute_);
-    if (pullers_) pullers_->exchange().stop_all_by(last_minute_);
+    if (pullers_) pullers_->broker().stop_all_by(last_minute_);
     log_.info(left_at, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
     if (posting_.inherited) {
         // The socket outlives this process, and who else has it accepts. What waits in its queue is theirs to
@@ -203,7 +204,7 @@
 
 bool Dispatcher::open(WorkloadId place) const {
     // A tube that shares a workload shares the terms that it had at the start.
-    const auto& named = tube_workloads_.places.named;
+    const auto& named = tube_workloads_.mapping.by_name;
     return std::any_of(named.begin(), named.end(),
                        [place](const auto& tube) { return tube.second == place; }) ||
            std::any_of(tasks_.begin(), tasks_.end(),
@@ -239,16 +240,17 @@
 void Dispatcher::look_at_drain() {
     const Micros now = net::Loop::now();
     const drain::DrainDirective wanted =
-        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->quiet())});
+        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->is_idle())});
     if (pullers_) {
         // A producer keeps its job, and needs no front to be told: from the order on, and at a restart once
         // others are told.
-        pullers_->exchange().turn_away(drain_.is_shutting_down() ? wanted.closes_after_response
-                                                                 : drain_.phase() != drain::Phase::serving);
-        pullers_->exchange().hand_out(
+        pullers_->broker().set_rejects_puts(drain_.is_shutting_down()
+                                                ? wanted.closes_after_response
+                                                : drain_.phase() != drain::Phase::serving);
+        pullers_->broker().set_dispatches_jobs(
             drain_.phase() == drain::Phase::serving ||
             (drain_.phase() == drain::Phase::draining && !wanted.answers_waiting_tasks));
-        if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->leave();
+        if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->shut_down();
     }
     healthy_ = wanted.is_healthy;
     if (!server_.leaving())
@@ -296,7 +298,7 @@
     holds_.lay_over(*news, book_);
     for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
     if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
+        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.pushed_workloads;
     guests_.lay_over(news->for_module, holds_, book_);
     note(news->for_module);
     if (passage_ && passage_->has_heirs())
@@ -399,14 +401,14 @@
 void Dispatcher::end_turn() {
     if (drain_.phase() != drain::Phase::serving) look_at_drain();
     if (!owed_.empty()) answer_owed();
-    if (pullers_) pullers_->look();
+    if (pullers_) pullers_->update();
     // What carrying out brings at once, such as an assignment that is moot, is a batch of its own.
     while (std::exchange(noted_, false)) {
         actions_.clear();
         balancer_.collect_actions(net::Loop::now(), actions_);
         if (shadow_) watch_settled();
         for (const Action& action : std::exchange(actions_, {})) carry_out(action);
-        if (pullers_) pullers_->look();
+        if (pullers_) pullers_->update();
     }
     links_.sweep();
     server_.sweep();
@@ -414,7 +416,7 @@
     if (desk_) desk_->sweep();
     if (admin_server_) admin_server_->erase_ended_sessions();
     if (passage_) passage_->sweep();
-    if (pullers_) pullers_->sweep();
+    if (pullers_) pullers_->destroy_closed_sessions();
 }
 
 void Dispatcher::carry_out(const Action& action) {
@@ -423,7 +425,7 @@
                      [&](const Abandon& a) { answer(a.task, clients::Answer::abandoned, "", 0); },
                      [&](const Withdraw& a) {
                          links_.withdraw(a.task, a.assignment);
-                         if (pullers_) pullers_->exchange().withdraw(a.task, a.assignment);
+                         if (pullers_) pullers_->broker().withdraw(a.task, a.assignment);
                      },
                      [&](const WakeAt& a) { wakes_.emplace(a.at, a.timer), set_wake(); },
                      [&](const Probe& a) { port_of(a.runner).probe(a.runner); },
@@ -468,7 +470,7 @@
         return;
     }
     runners::Port& port = port_of(wanted.runner);
-    if (pullers_ && &port == &links_) pullers_->exchange().went_elsewhere(wanted.task);
+    if (pullers_ && &port == &links_) pullers_->broker().on_task_pushed(wanted.task);
     port.assign(wanted.runner, {wanted.task, number, task->second.request_id, task->second.head,
                                 &task->second.body, stop_at});
 }
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "beanstalk/places.hpp"
+#include "beanstalk/tube_mapping.hpp"
 #include "beanstalk/server.hpp"
 #include "balancer.hpp"
 #include "clients/server.hpp"
@@ -41,8 +41,8 @@
     drain::DrainSettings manners;
     snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
     retry::DeduplicationSettings
-        deduplication;            // disabled: a retry of what may have run is a task like any other
-    beanstalk::Furnishing tubes;  // without an entrance it is off
+        deduplication;                // disabled: a retry of what may have run is a task like any other
+    beanstalk::ServerSettings tubes;  // without an entrance it is off
     // Settings that are watched and never acted by: their file (read again at a reload; empty: none), a turn
     // of so many, and the processor's time that a second of it may take.
     std::string watched;
@@ -51,12 +51,12 @@
 };
 
 // Throws std::runtime_error with one line where the tubes would leave too few descriptors to everybody else.
-void must_fit(const Posting& posting, const beanstalk::Furnishing& tubes);
+void must_fit(const Posting& posting, const beanstalk::ServerSettings& tubes);
 
 class Dispatcher final : public fronts::Taker,
                          public runners::Sender,
                          public control::Office,
-                         public beanstalk::House,
+                         public beanstalk::ServerCallbacks,
                          public admin::AdminHandler,
                          public handover::Party {
   public:
@@ -118,13 +118,13 @@
     void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
 
     // What the front with tubes asks; in pulling.cpp.
-    TaskId hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
-                   WorkloadId workload) override;
-    void take_back(TaskId task) override { left(task); }
-    RunnerId worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) override;
-    void worker_serves(RunnerId worker, const WorkloadSet& serves) override;
-    void worker_leaves(RunnerId worker) override;
-    void worker_room(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
+    TaskId submit_task(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
+                       WorkloadId workload) override;
+    void cancel_task(TaskId task) override { left(task); }
+    RunnerId add_worker(const beanstalk::ListenerSettings& by, const WorkloadSet& serves, bool cold) override;
+    void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) override;
+    void remove_worker(RunnerId worker) override;
+    void set_worker_slots(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
     void probe_ended(RunnerId worker) override { probe_ended(worker, net::CloseReason::done, 0, {}); }
     runners::Port& port_of(RunnerId runner);
     std::size_t unanswered() const;
@@ -195,8 +195,8 @@
     log::Log& log_;
     Posting posting_;
     clients::Directory directory_;
-    beanstalk::Furnishing tubes_;
-    beanstalk::Workloads tube_workloads_;
+    beanstalk::ServerSettings tubes_;
+    beanstalk::TubeWorkloads tube_workloads_;
     settings::WorkloadRegistry
         workload_registry_;  // of the posting's workloads, and of the tubes as workloads
     Balancer balancer_;
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -272,12 +272,12 @@
     for (const auto& [id, entry] : guests_.all())
         if (book_.name_of(id) == runner) {
             note(guests_.news(entry, holds_, book_));
-            return pullers_->exchange().remind(id);
+            return pullers_->broker().resend_capacity(id);
         }
     auto news = book_.present(runner);
     if (!news) return;
     if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
+        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.pushed_workloads;
     holds_.lay_over(*news, book_);
     for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
     note(news->for_module);
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -12,7 +12,7 @@
 using json::Value;
 
 runners::Port& Dispatcher::port_of(RunnerId runner) {
-    if (pullers_ && guests_.has(runner)) return pullers_->exchange();
+    if (pullers_ && guests_.has(runner)) return pullers_->broker();
     return links_;
 }
 
@@ -20,15 +20,15 @@
 // them: a drain leaves it there.
 std::size_t Dispatcher::unanswered() const {
     if (!pullers_) return server_.waiting();
-    const fronts::Asker* const jobs = &pullers_->exchange();
+    const fronts::Asker* const jobs = &pullers_->broker();
     return server_.waiting() +
            static_cast<std::size_t>(std::count_if(tasks_.begin(), tasks_.end(), [jobs](const auto& t) {
                return t.second.asker == jobs && t.second.out > 0;
            }));
 }
 
-TaskId Dispatcher::hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
-                           WorkloadId workload) {
+TaskId Dispatcher::submit_task(const queue::Job& job, const std::string& tube,
+                               const beanstalk::TubePlan& plan, WorkloadId workload) {
     fronts::Handed handed;
     const std::string number = std::to_string(static_cast<std::uint64_t>(job.id));
     handed.id = "job-" + posting_.name + "-" + number;
@@ -38,24 +38,24 @@
     handed.workload = workload;
     handed.customer = CustomerId{std::numeric_limits<std::uint32_t>::max()};  // nobody's allowance
     handed.patience = plan.expiry;
-    handed.pushable = plan.pushed > 0 || !plan.workload.empty();
+    handed.pushable = plan.max_pushed > 0 || !plan.workload.empty();
     net::BlockBuffer body(loop_.block_pool());
     // No buffer is left: it stays in its tube.
     if (handed.pushable && !body.append(job.body)) return TaskId{};
-    return take(pullers_->exchange(), std::move(handed), std::move(body), net::Loop::now());
+    return take(pullers_->broker(), std::move(handed), std::move(body), net::Loop::now());
 }
 
-RunnerId Dispatcher::worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) {
+RunnerId Dispatcher::add_worker(const beanstalk::ListenerSettings& by, const WorkloadSet& serves, bool cold) {
     const EndpointEntry entry = guests_.joins(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
     note(guests_.news(entry, holds_, book_));
     return entry.runner;
 }
 
-void Dispatcher::worker_serves(RunnerId worker, const WorkloadSet& serves) {
+void Dispatcher::set_worker_workloads(RunnerId worker, const WorkloadSet& serves) {
     note(guests_.news(guests_.serves(worker, serves), holds_, book_));
 }
 
-void Dispatcher::worker_leaves(RunnerId worker) {
+void Dispatcher::remove_worker(RunnerId worker) {
     note(guests_.news(guests_.leaves(worker), holds_, book_));
     // Against a stranger held for its name: the next one to come may be given it.
     const std::string& name = book_.name_of(worker);
@@ -63,22 +63,22 @@
         log_.info(net::Loop::now(), "control: released ", log::field("runner", name), ", which has gone");
 }
 
-void must_fit(const Posting& posting, const beanstalk::Furnishing& tubes) {
+void must_fit(const Posting& posting, const beanstalk::ServerSettings& tubes) {
     constexpr std::size_t kForTheRest = 32;
-    if (!tubes.entrances.empty() &&
-        tubes.connections + tubes.entrances.size() + kForTheRest > posting.sockets)
-        throw std::runtime_error("beanstalk.connections: " + std::to_string(tubes.connections) + " of " +
+    if (!tubes.listeners.empty() &&
+        tubes.max_connections + tubes.listeners.size() + kForTheRest > posting.sockets)
+        throw std::runtime_error("beanstalk.connections: " + std::to_string(tubes.max_connections) + " of " +
                                  std::to_string(posting.sockets) +
                                  " sockets leave too few for runners and other clients");
 }
 
 Object Dispatcher::tell_tubes() const {
-    const beanstalk::Exchange& x = pullers_->exchange();
+    const beanstalk::TubeBroker& x = pullers_->broker();
     const auto whole = [](auto n) { return Value(Number{std::to_string(n)}); };
     Object all;
-    all["connections"] = whole(x.sessions());
+    all["connections"] = whole(x.session_count());
     all["workers"] = whole(guests_.all().size());
-    all["in_hands"] = whole(x.tasks_out());
+    all["in_hands"] = whole(x.tasks_in_flight());
     all["jobs"] = whole(x.queue().size());
     all["bytes"] = whole(x.queue().bytes());
     json::Array tubes;
@@ -100,7 +100,7 @@
     const auto job = request.find_number("job");
     if (!job || !(*job >= 1 && *job < 1e15))
         throw control::Refused("which job? \"job\" is missing or no number");
-    if (!pullers_->exchange().kick_for_good(static_cast<std::uint64_t>(*job)))
+    if (!pullers_->broker().kick_may_have_run(static_cast<std::uint64_t>(*job)))
         throw control::Refused("no buried job has that number");
     log_.info(net::Loop::now(), "control: job ", log::field("job", static_cast<std::uint64_t>(*job)),
               " may run again, by ", log::field("by", by));
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -101,10 +101,10 @@
     const dispatcher::Posting posting = dispatcher::Posting::read_file(path);
     if (!settings.shadow.configuration.empty()) dispatcher::Posting::read_file(settings.shadow.configuration);
     if (!in_force.empty()) posting.must_state_all_of(dispatcher::Posting::read_file(in_force));
-    if (!settings.tubes.entrances.empty()) {
+    if (!settings.tubes.listeners.empty()) {
         dispatcher::must_fit(posting, settings.tubes);
         SettingsMap all = posting.orders;
-        beanstalk::add_workloads(all, settings.tubes.trade);
+        beanstalk::add_workloads(all, settings.tubes.broker);
     }
     const BalancerSettings orders(posting.orders);
     std::cout << path << " can be served: " << posting.name << " on " << posting.listen.text
--- a/src/operator_settings/operator_settings.cpp
+++ b/src/operator_settings/operator_settings.cpp
@@ -71,12 +71,12 @@
 beanstalk::TubePlan read_tube_plan(const TomlReader& table) {
     beanstalk::TubePlan plan;
     plan.effect = table.get_one_of("effect", {"side-effecting", "idempotent"}, plan.effect);
-    plan.due = get_seconds(table, "due_s", 60, 0.001, kMaxTubeSeconds);
+    plan.due_time = get_seconds(table, "due_s", 60, 0.001, kMaxTubeSeconds);
     plan.expiry = get_seconds(table, "expiry_s", 3'600, 0.01, kMaxTubeSeconds);
-    if (plan.expiry < plan.due)
+    if (plan.expiry < plan.due_time)
         table.reject("expiry_s", "is less than due_s: every job would expire before its due time");
     plan.importance = table.get_number("importance", 1, 0.001, 1e6);
-    plan.pushed = get_size(table, "pushed", 0, 0, 100'000);
+    plan.max_pushed = get_size(table, "pushed", 0, 0, 100'000);
     return plan;
 }
 
@@ -98,25 +98,25 @@
     return *address;
 }
 
-beanstalk::Furnishing read_tubes(const TomlReader& table) {
-    beanstalk::Furnishing settings;
+beanstalk::ServerSettings read_tubes(const TomlReader& table) {
+    beanstalk::ServerSettings settings;
     for (const std::string& text : table.get_strings("listen"))
-        settings.entrances.push_back({read_address(table, "listen", text), "", ""});
+        settings.listeners.push_back({read_address(table, "listen", text), "", ""});
     for (const TomlReader& listener : table.get_tables("entrance")) {
         const std::string address = listener.get_string("address", "");
         const std::string kind = listener.get_string("kind", "");
         const std::string zone = listener.get_string("zone", "");
-        settings.entrances.push_back({read_address(listener, "address", address), kind, zone});
+        settings.listeners.push_back({read_address(listener, "address", address), kind, zone});
     }
-    settings.connections = get_size(table, "connections", 64, 1, 100'000);
-    settings.trade.longest_body = get_size(table, "longest_job", 65'535, 1, 64 << 20);
-    settings.trade.bounds.max_jobs = get_size(table, "most_jobs", 1'000'000, 1, 100'000'000);
-    settings.trade.bounds.max_bytes = get_megabytes(table, "most_mb", 16, 0.01);
-    settings.trade.bounds.max_tubes = kMaxTubes;
-    settings.trade.other_tubes = get_size(table, "other_tubes", 16, 0, 200);
-    settings.trade.cold = table.get_bool("cold", true);
-    settings.trade.otherwise = read_tube_plan(table.get_table("other"));
-    for (const TomlReader& tube : table.get_tables("tube")) settings.trade.tubes.push_back(read_tube(tube));
+    settings.max_connections = get_size(table, "connections", 64, 1, 100'000);
+    settings.broker.max_body_bytes = get_size(table, "longest_job", 65'535, 1, 64 << 20);
+    settings.broker.queue_limits.max_jobs = get_size(table, "most_jobs", 1'000'000, 1, 100'000'000);
+    settings.broker.queue_limits.max_bytes = get_megabytes(table, "most_mb", 16, 0.01);
+    settings.broker.queue_limits.max_tubes = kMaxTubes;
+    settings.broker.max_other_tubes = get_size(table, "other_tubes", 16, 0, 200);
+    settings.broker.workers_start_cold = table.get_bool("cold", true);
+    settings.broker.default_plan = read_tube_plan(table.get_table("other"));
+    for (const TomlReader& tube : table.get_tables("tube")) settings.broker.tubes.push_back(read_tube(tube));
     return settings;
 }
 
--- a/src/operator_settings/operator_settings.hpp
+++ b/src/operator_settings/operator_settings.hpp
@@ -27,7 +27,7 @@
     control::Furniture control;  // empty path: no control socket
     drain::DrainSettings drain;
     retry::DeduplicationSettings deduplication;
-    beanstalk::Furnishing tubes;          // no listen address: disabled
+    beanstalk::ServerSettings tubes;      // no listen address: disabled
     snapshot::SnapshotSettings snapshot;  // empty folder: no snapshots
     ShadowSettings shadow;
 
--- a/tests/beanstalk_stories.cpp
+++ b/tests/beanstalk_stories.cpp
@@ -19,20 +19,20 @@
 
 // What a reader makes of bytes, in one line each.
 std::string told(const std::vector<std::string_view>& pieces, std::size_t longest = 32) {
-    Reader reader(longest);
+    CommandParser reader(longest);
     std::string all;
     for (std::string_view piece : pieces) {
-        for (Found found; !piece.empty() && (found = reader.read(piece)) != Found::nothing;) {
+        for (ParseResult found; !piece.empty() && (found = reader.parse(piece)) != ParseResult::incomplete;) {
             const Command& c = reader.command();
-            all += found == Found::command
+            all += found == ParseResult::command
                        ? std::string(name_of(c.verb)) + " " + std::to_string(c.id) + " " +
                              std::to_string(c.priority) + " " + std::to_string(c.delay_s) + " " +
-                             std::to_string(c.run_s) + " " + std::to_string(c.seconds) + " " +
-                             std::to_string(c.bound) + " " + c.tube + " [" + c.body + "]"
-                   : found == Found::bad_format      ? "BAD_FORMAT"
-                   : found == Found::unknown_command ? "UNKNOWN_COMMAND"
-                   : found == Found::expected_crlf   ? "EXPECTED_CRLF"
-                                                     : "JOB_TOO_BIG";
+                             std::to_string(c.time_to_run_s) + " " + std::to_string(c.seconds) + " " +
+                             std::to_string(c.count) + " " + c.tube + " [" + c.body + "]"
+                   : found == ParseResult::bad_format      ? "BAD_FORMAT"
+                   : found == ParseResult::unknown_command ? "UNKNOWN_COMMAND"
+                   : found == ParseResult::expected_crlf   ? "EXPECTED_CRLF"
+                                                           : "JOB_TOO_BIG";
             all += "\n";
         }
     }
@@ -134,8 +134,8 @@
     CHECK(hall.ask(slow, "reserve-job " + std::to_string(second)) == "NOT_FOUND\r\n");
     CHECK(hall.runs["second"] == 1);
     // An operator's explicit word, once.
-    CHECK(hall.exchange.kick_for_good(second));
-    CHECK_FALSE(hall.exchange.kick_for_good(second));
+    CHECK(hall.exchange.kick_may_have_run(second));
+    CHECK_FALSE(hall.exchange.kick_may_have_run(second));
     CHECK(hall.ask(other, "reserve-with-timeout 1").find("second") != std::string::npos);
     CHECK(hall.ask(other, "delete " + std::to_string(second)) == "DELETED\r\n");
     CHECK(hall.answers_twice + hall.answers_late == 0);
@@ -204,7 +204,7 @@
     hall.hang_up(one);
     for (int i = 6; i < 10; ++i)
         CHECK(hall.state(std::stoull(numbers[static_cast<std::size_t>(i)])) == "buried");
-    CHECK(hall.exchange.tasks_out() == 0);
+    CHECK(hall.exchange.tasks_in_flight() == 0);
 }
 
 // ---- reserves
@@ -308,10 +308,10 @@
     const auto a = std::to_string(Hall::number(hall.ask(producer, put("a", "1 0 60"))));
     const auto b = Hall::number(hall.ask(producer, put("b", "1 0 60")));
     hall.ask(one, "reserve");
-    hall.exchange.turn_away(true);
+    hall.exchange.set_rejects_puts(true);
     CHECK(hall.ask(producer, put("c")) == "DRAINING\r\n");
     CHECK(hall.ask(producer, "put 1 0 60 1\r\nd\r\nlist-tube-used") == "DRAINING\r\nUSING default\r\n");
-    hall.exchange.hand_out(false);
+    hall.exchange.set_dispatches_jobs(false);
     CHECK(hall.ask(one, "bury " + a + " 5") == "BURIED\r\n");
     hall.ask(one, "reserve");
     hall.pass(kSecond);
@@ -322,8 +322,8 @@
     // while.
     hall.balancer.apply(hall.now, DrainDeadline{});
     hall.settle();
-    hall.exchange.hand_out(true);
-    hall.exchange.turn_away(false);
+    hall.exchange.set_dispatches_jobs(true);
+    hall.exchange.set_rejects_puts(false);
     hall.settle();
     hall.pass(kSecond);
     CHECK(hall.said[one].find("b") != std::string::npos);
@@ -337,10 +337,10 @@
         const SessionId one = hall.connect();
         const auto job = Hall::number(hall.ask(one, put("x", "1 0 60")));
         hall.ask(one, "reserve");
-        hall.exchange.hand_out(false);
+        hall.exchange.set_dispatches_jobs(false);
         hall.balancer.apply(hall.now, DrainDeadline{});
         hall.settle();
-        CHECK(hall.exchange.tasks_out() == 0);
+        CHECK(hall.exchange.tasks_in_flight() == 0);
         CHECK(hall.ask(one, "bury " + std::to_string(job) + " 1") == "NOT_FOUND\r\n");
         hall.pass(2 * kSecond);
         CHECK(hall.state(job) == (harmless ? "ready" : "buried"));
@@ -349,9 +349,9 @@
 }
 
 TEST_CASE("bounds hold: jobs, bytes, tubes, and a place that is given back is used again") {
-    Trade trade = Hall::trade("idempotent");
-    trade.bounds.max_jobs = 3, trade.bounds.max_bytes = 2'000;
-    trade.other_tubes = 2;
+    BrokerSettings trade = Hall::trade("idempotent");
+    trade.queue_limits.max_jobs = 3, trade.queue_limits.max_bytes = 2'000;
+    trade.max_other_tubes = 2;
     Hall hall(trade);
     const SessionId one = hall.connect();
     for (int i = 0; i < 3; ++i) CHECK(hall.ask(one, put("x")).starts_with("INSERTED"));
@@ -413,7 +413,7 @@
         std::set<std::string> deleted;
         std::map<std::string, int> handed_back;
         std::map<std::uint64_t, std::string> body_of;
-        const auto waits = [&](SessionId s) { return hall.exchange.waits(s); };
+        const auto waits = [&](SessionId s) { return hall.exchange.is_waiting(s); };
         const auto gather = [&] {
             for (const SessionId s : all) {
                 std::string& words = hall.said[s];
@@ -465,7 +465,7 @@
         }
         for (const SessionId s : all) hall.hang_up(s);
         hall.pass(10 * kSecond);
-        CHECK(hall.exchange.tasks_out() == 0);
+        CHECK(hall.exchange.tasks_in_flight() == 0);
         for (const auto& [body, id] : put_jobs) {
             // One final state: thrown away or done, or still there in one place.
             const std::string state = hall.state(id);
@@ -553,7 +553,7 @@
     yaml("stats", "current-jobs-ready: 1\n");
     yaml("stats", "cmd-put: 2\n");
     hall.ask(a, "quit");
-    CHECK(hall.exchange.sessions() == 0);
+    CHECK(hall.exchange.session_count() == 0);
 }
 
 TEST_CASE(
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -7,48 +7,48 @@
 #include <string>
 #include <vector>
 
-#include "beanstalk/exchange.hpp"
-#include "beanstalk/places.hpp"
+#include "beanstalk/tube_broker.hpp"
+#include "beanstalk/tube_mapping.hpp"
 #include "beanstalk/replies.hpp"
 #include "helpers.hpp"
 
 namespace gannethold::beanstalk {
 
-class Hall final : public Floor {
+class Hall final : public BrokerCallbacks {
   public:
-    explicit Hall(Trade trade = {}, std::uint64_t seed = 1)
+    explicit Hall(BrokerSettings trade = {}, std::uint64_t seed = 1)
         : orders_(plain_orders()),
           trade_(std::move(trade)),
           workloads_(add_workloads(orders_, trade_)),
           balancer(orders_, seed),
-          exchange(trade_, workloads_.places, *this) {}
+          exchange(trade_, workloads_.mapping, *this) {}
 
-    static Trade trade(const std::string& effect, bool cold = false) {
-        Trade t;
-        t.cold = cold;
-        t.otherwise.effect = effect;
+    static BrokerSettings trade(const std::string& effect, bool cold = false) {
+        BrokerSettings t;
+        t.workers_start_cold = cold;
+        t.default_plan.effect = effect;
         return t;
     }
 
     SessionId connect() {
         const SessionId id{++sessions_};
         said[id];
-        exchange.opened(now, id);
+        exchange.on_session_opened(now, id);
         settle();
         return id;
     }
     void hang_up(SessionId id) {
-        exchange.closed(now, id);
+        exchange.on_session_closed(now, id);
         settle();
     }
     // What the session hears at once, or has heard since it last spoke.
     std::string ask(SessionId id, const std::string& words) {
         said[id].clear();
-        Reader reader(trade_.longest_body);
+        CommandParser reader(trade_.max_body_bytes);
         const std::string bytes = words + "\r\n";
         std::string_view left = bytes;
-        for (Found found; !left.empty() && (found = reader.read(left)) != Found::nothing;)
-            exchange.heard(now, id, found, std::move(reader.command()));
+        for (ParseResult found; !left.empty() && (found = reader.parse(left)) != ParseResult::incomplete;)
+            exchange.on_command(now, id, found, std::move(reader.command()));
         settle();
         return said[id];
     }
@@ -68,7 +68,7 @@
     }
     void settle() {
         for (int turn = 0; turn < 50; ++turn) {
-            look_at_ = exchange.pass(now);
+            look_at_ = exchange.advance(now);
             std::vector<Action> out;
             balancer.collect_actions(now, out);
             if (out.empty()) return;
@@ -96,7 +96,7 @@
     }
 
     // ---- Floor ----
-    void say(SessionId to, std::string&& words) override {
+    void send(SessionId to, std::string&& words) override {
         if (words.starts_with("RESERVED ")) {
             // By what the worker is told, and not by what the exchange holds: the body names the job for
             // good.
@@ -106,9 +106,9 @@
         }
         said[to] += words;
     }
-    void close(SessionId session) override { exchange.closed(now, session); }
-    TaskId hand_in(const queue::Job& job, const std::string&, const TubePlan& plan,
-                   WorkloadId workload) override {
+    void close(SessionId session) override { exchange.on_session_closed(now, session); }
+    TaskId submit_task(const queue::Job& job, const std::string&, const TubePlan& plan,
+                       WorkloadId workload) override {
         TaskArrived a;
         a.task = TaskId{++tasks_};
         a.workload = workload, a.customer = CustomerId{UINT32_MAX}, a.expiry = now + plan.expiry;
@@ -116,29 +116,29 @@
         balancer.apply(now, a);
         return a.task;
     }
-    void take_back(TaskId task) override {
+    void cancel_task(TaskId task) override {
         if (!tasks[task].waits) return;
         tasks[task].waits = false;
         balancer.apply(now, ClientDisconnected{task});
     }
-    RunnerId worker_joins(SessionId, const WorkloadSet& serves, bool cold) override {
+    RunnerId add_worker(SessionId, const WorkloadSet& serves, bool cold) override {
         EndpointEntry e;
         e.runner = RunnerId{++workers_}, e.workloads = serves, e.pulls = true, e.started_at = cold ? now : 0;
         entries[e.runner] = e;
         balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {e}});
         return e.runner;
     }
-    void worker_serves(RunnerId worker, const WorkloadSet& serves) override {
+    void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) override {
         entries[worker].workloads = serves;
         balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {entries[worker]}});
     }
-    void worker_leaves(RunnerId worker) override { state_of(worker, RunnerState::gone); }
+    void remove_worker(RunnerId worker) override { state_of(worker, RunnerState::gone); }
     void state_of(RunnerId worker, RunnerState state) {
         entries[worker].state = state;
         balancer.apply(now, MembershipUpdate{UpdateScope::dynamic_workers, 0, {entries[worker]}});
-        exchange.remind(worker);
+        exchange.resend_capacity(worker);
     }
-    void worker_room(RunnerId worker, double slots) override {
+    void set_worker_slots(RunnerId worker, double slots) override {
         balancer.apply(now, CapacityReported{worker, slots});
     }
     void errand_ended(runners::ErrandEnded&& e) override {
@@ -188,8 +188,8 @@
     }
 
     SettingsMap orders_;
-    Trade trade_;
-    Workloads workloads_;
+    BrokerSettings trade_;
+    TubeWorkloads workloads_;
     std::multiset<Micros> wakes_;
     Micros look_at_ = 0;
     std::uint64_t sessions_ = 0, tasks_ = 0;
@@ -198,7 +198,7 @@
 
   public:
     Balancer balancer;
-    Exchange exchange;
+    TubeBroker exchange;
 };
 
 }  // namespace gannethold::beanstalk
--- a/tests/recorded/stable_formats_test.cpp
+++ b/tests/recorded/stable_formats_test.cpp
@@ -173,8 +173,8 @@
     CHECK(settings.control.path == "/run/gannethold/control.sock");
     CHECK(settings.warnings.empty());
     CHECK(settings.snapshot.folder == "/var/lib/gannethold");
-    CHECK(settings.tubes.entrances.size() == 1);
-    CHECK(settings.tubes.trade.tubes.size() == 1);
+    CHECK(settings.tubes.listeners.size() == 1);
+    CHECK(settings.tubes.broker.tubes.size() == 1);
     CHECK(settings.shadow.configuration == "/etc/gannethold/next.json");
 }
 
--- a/tests/tube_stories.cpp
+++ b/tests/tube_stories.cpp
@@ -11,13 +11,13 @@
 dispatcher::Extras with_tubes(std::size_t pushed = 0, const std::string& shares = "",
                               std::size_t connections = 64) {
     dispatcher::Extras extras;
-    extras.tubes.entrances.push_back(
+    extras.tubes.listeners.push_back(
         {*net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
-    extras.tubes.connections = connections;
-    extras.tubes.trade.cold = false;
+    extras.tubes.max_connections = connections;
+    extras.tubes.broker.workers_start_cold = false;
     beanstalk::TubePlan plan;
-    plan.name = "render", plan.workload = shares, plan.pushed = pushed;
-    extras.tubes.trade.tubes.push_back(plan);
+    plan.name = "render", plan.workload = shares, plan.max_pushed = pushed;
+    extras.tubes.broker.tubes.push_back(plan);
     extras.manners.front_notice_delay = extras.manners.closing_period = 50'000;
     return extras;
 }
