--- a/rehearsal/main.cpp
+++ b/rehearsal/main.cpp
@@ -17,8 +17,8 @@
 #include "results/report.hpp"
 #include "toml/toml_reader.hpp"
 #include "sockets/lane.hpp"
-#include "tubes/bench.hpp"
-#include "tubes/mixed.hpp"
+#include "tubes/tube_benchmark.hpp"
+#include "tubes/mixed_rehearsal.hpp"
 #include "virtual/cost.hpp"
 #include "virtual/world.hpp"
 
@@ -285,17 +285,17 @@
     for (const std::size_t connections : {1, 16, 256}) {
         if (interrupted) return kInterrupted;
         const TubeFigures f = measure_tubes(connections, 4'000'000, program, workplace.path);
-        std::cout << std::setw(7) << f.connections << std::setw(11) << f.rounds_a_second << std::setw(9)
-                  << f.cpu_us_a_round << std::setw(9) << f.p50 << std::setw(9) << f.p99 << std::setw(10)
+        std::cout << std::setw(7) << f.connections << std::setw(11) << f.rounds_per_second << std::setw(9)
+                  << f.cpu_us_per_round << std::setw(9) << f.p50 << std::setw(9) << f.p99 << std::setw(10)
                   << f.p999 << std::setw(6) << f.memory_mb << '\n'
                   << std::flush;
     }
     std::cout << "   jobs waiting   bytes a job   put us   due us a job   longest turn us\n";
     for (const std::size_t jobs : {100'000, 1'000'000}) {
         const QueueFigures q = measure_queue(jobs);
-        std::cout << std::setw(15) << q.jobs << std::setw(14) << q.bytes_a_job << std::setprecision(2)
+        std::cout << std::setw(15) << q.jobs << std::setw(14) << q.bytes_per_job << std::setprecision(2)
                   << std::setw(9) << q.put_us << std::setw(15) << q.due_us << std::setprecision(1)
-                  << std::setw(18) << q.longest_turn_us << '\n'
+                  << std::setw(18) << q.max_turn_us << '\n'
                   << std::flush;
     }
     return kGood;
@@ -314,19 +314,20 @@
         MixedPlan plan;
         plan.seed = seed;
         const MixedResult r =
-            play_mixed(plan, wishes.program.empty() ? beside_us("gannethold") : wishes.program,
-                       workplace.path, [] { return interrupted != 0; });
+            run_mixed_rehearsal(plan, wishes.program.empty() ? beside_us("gannethold") : wishes.program,
+                                workplace.path, [] { return interrupted != 0; });
         std::cout << std::setw(6) << seed << std::setw(5) << r.put << std::setw(9) << r.put_refused
                   << std::setw(7) << r.jobs_done << std::setw(7) << r.jobs_buried << std::setw(6)
-                  << r.jobs_left << std::setw(7) << r.handed_out << std::setw(6) << r.released << std::setw(6)
-                  << r.late_words << std::setw(9) << r.worker_crashes << std::setw(6) << r.worker_hangs
-                  << std::setw(7) << r.runner_breaks << std::setw(8) << r.tasks << std::setw(6)
-                  << r.answered[0] << std::setw(6) << r.answered[1] << std::setw(6) << r.answered[2]
-                  << std::setw(12) << r.tasks_by_workers << std::setw(8) << r.broken.size() << '\n'
+                  << r.jobs_left << std::setw(7) << r.jobs_reserved << std::setw(6) << r.jobs_released
+                  << std::setw(6) << r.late_commands << std::setw(9) << r.worker_crashes << std::setw(6)
+                  << r.worker_hangs << std::setw(7) << r.runner_breaks << std::setw(8) << r.tasks
+                  << std::setw(6) << r.answered[0] << std::setw(6) << r.answered[1] << std::setw(6)
+                  << r.answered[2] << std::setw(12) << r.tasks_by_workers << std::setw(8)
+                  << r.violations.size() << '\n'
                   << std::flush;
-        for (const std::string& b : r.broken) std::cout << "    " << b << '\n';
-        if (!r.trouble.empty()) std::cout << "    no verdict: " << r.trouble << '\n';
-        good = good && r.broken.empty() && r.trouble.empty();
+        for (const std::string& b : r.violations) std::cout << "    " << b << '\n';
+        if (!r.error.empty()) std::cout << "    no verdict: " << r.error << '\n';
+        good = good && r.violations.empty() && r.error.empty();
         if (interrupted) return kInterrupted;
     }
     return good ? kGood : kBad;
--- a/rehearsal/tests/mixed_stories.cpp
+++ b/rehearsal/tests/mixed_stories.cpp
@@ -4,7 +4,7 @@
 
 #include <filesystem>
 
-#include "tubes/mixed.hpp"
+#include "tubes/mixed_rehearsal.hpp"
 
 using namespace gannethold::rehearsal;
 
@@ -15,12 +15,13 @@
         std::filesystem::temp_directory_path() / ("gannethold-mixed-" + std::to_string(getpid()));
     std::filesystem::create_directories(folder);
     MixedPlan plan;
-    plan.length = 5'000'000;
-    plan.jobs_a_second = 60, plan.tasks_a_second = 40;
-    const MixedResult r = play_mixed(plan, DISPATCHER_PROGRAM, folder.string(), [] { return false; });
+    plan.duration = 5'000'000;
+    plan.jobs_per_second = 60, plan.tasks_per_second = 40;
+    const MixedResult r =
+        run_mixed_rehearsal(plan, DISPATCHER_PROGRAM, folder.string(), [] { return false; });
     std::filesystem::remove_all(folder);
-    CHECK(r.trouble == "");
-    for (const std::string& b : r.broken) CHECK_MESSAGE(false, b);
+    CHECK(r.error == "");
+    for (const std::string& b : r.violations) CHECK_MESSAGE(false, b);
     // Whatever it is that was counted, there was some of it.
     CHECK(r.put > 100);
     CHECK(r.jobs_done > 50);
