--- a/rehearsal/sockets/lane.cpp
+++ b/rehearsal/sockets/lane.cpp
@@ -12,8 +12,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "control/caller.hpp"
-#include "control/desk.hpp"
+#include "control/control_client.hpp"
+#include "control/control_server.hpp"
 #include "snapshot/snapshot_format.hpp"
 #include "snapshot/snapshot_store.hpp"
 #include "model/poison.hpp"
@@ -393,7 +393,7 @@
     void order(std::size_t d, json::Object what) {
         if (!dispatchers_[d].child) return;
         try {
-            control::Caller(path(d, ".sock")).ask(std::move(what));
+            control::ControlClient(path(d, ".sock")).ask(std::move(what));
         } catch (const std::exception& e) {
             crashes_.push_back("d-" + std::to_string(d + 1) + " did not take an order: " + e.what());
         }
--- a/rehearsal/tubes/mixed.cpp
+++ b/rehearsal/tubes/mixed.cpp
@@ -16,7 +16,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "control/caller.hpp"
+#include "control/control_client.hpp"
 #include "json/json.hpp"
 #include "net/connection.hpp"
 #include "net/listener.hpp"
@@ -435,7 +435,7 @@
         tick_.set(net::Loop::now() + kTick);
     }
     void order(const std::string& what) {
-        control::Caller caller(folder_ + "/d.sock");
+        control::ControlClient caller(folder_ + "/d.sock");
         json::Object o;
         o["do"] = json::Value(what);
         o["by"] = json::Value(std::string("the day"));
--- a/src/beanstalk/exchange.cpp
+++ b/src/beanstalk/exchange.cpp
@@ -393,7 +393,7 @@
     }
 }
 
-void Exchange::assign(RunnerId runner, runners::Errand&& errand) {
+void Exchange::assign(RunnerId runner, runners::PendingCall&& errand) {
     const auto worker = workers_.find(runner);
     Session* const s = worker == workers_.end() ? nullptr : &sessions_.at(worker->second);
     // Against an assignment that crosses the end of a reserve: it was never told of the job.
@@ -642,7 +642,7 @@
     return true;
 }
 
-void Exchange::answer(TaskId task, fronts::Answer answer, std::string_view, Micros stay_away) {
+void Exchange::answer(TaskId task, frontend::Answer answer, std::string_view, Micros stay_away) {
     const auto known = jobs_of_.find(task);
     if (known == jobs_of_.end()) return;
     const JobId id = known->second;
@@ -654,14 +654,14 @@
     if (pushed_.erase(id) > 0) --of(tube).pushed;
     stir(tube);
     switch (answer) {
-        case fronts::Answer::finished:
+        case frontend::Answer::finished:
             drop_job(*job);
             break;  // its tube may be gone with it
-        case fronts::Answer::bounced:
+        case frontend::Answer::bounced:
             queue_.delay(*job, now_, std::clamp<Micros>(stay_away, 1'000, kLongestAway));
             due(job->due_at);
             break;
-        case fronts::Answer::abandoned:
+        case frontend::Answer::abandoned:
             // Never a second run by itself: it lies here until an operator says so.
             job->may_have_run = !of(tube).plan->harmless();
             queue_.bury(*job);
--- a/src/beanstalk/exchange.hpp
+++ b/src/beanstalk/exchange.hpp
@@ -22,9 +22,9 @@
 #include <vector>
 
 #include "beanstalk/reader.hpp"
-#include "fronts/front.hpp"
+#include "frontend/task_sink.hpp"
 #include "queue/job_queue.hpp"
-#include "runners/port.hpp"
+#include "runners/transport.hpp"
 #include "types.hpp"
 
 namespace gannethold::beanstalk {
@@ -67,14 +67,14 @@
     virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;  // what it holds and what it waits for
-    virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
+    virtual void errand_ended(runners::CallEnded&& ended) = 0;
     virtual void probe_ended(RunnerId worker) = 0;
 
   protected:
     ~Floor() = default;
 };
 
-class Exchange final : public fronts::Asker, public runners::Port {
+class Exchange final : public frontend::TaskSource, public runners::Transport {
   public:
     // places: which workload a tube has. Those of `otherwise` are handed out as tubes come up.
     struct Places {
@@ -112,9 +112,9 @@
     const queue::JobQueue& queue() const { return queue_; }
 
     // ---- Asker: how a task that was a job ended ----
-    void answer(TaskId task, fronts::Answer answer, std::string_view result, Micros stay_away) override;
+    void answer(TaskId task, frontend::Answer answer, std::string_view result, Micros stay_away) override;
     // ---- Port: what the module gives to workers ----
-    void assign(RunnerId runner, runners::Errand&& errand) override;
+    void assign(RunnerId runner, runners::PendingCall&& errand) override;
     void withdraw(TaskId task, int number) override;
     void probe(RunnerId runner) override { floor_.probe_ended(runner); }
     void close_idle(RunnerId) override {}
@@ -124,7 +124,7 @@
     // A job in a worker's hands.
     struct Held {
         SessionId session{};
-        runners::Errand errand;
+        runners::PendingCall errand;
         RunnerId worker{};
         Micros since = 0, run = 0, limit = 0;  // limit: when its time is over
         bool of_queue = false;                 // else handed in by another front
--- a/src/beanstalk/server.hpp
+++ b/src/beanstalk/server.hpp
@@ -38,7 +38,7 @@
     virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;
-    virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
+    virtual void errand_ended(runners::CallEnded&& ended) = 0;
     virtual void probe_ended(RunnerId worker) = 0;
 
   protected:
@@ -89,7 +89,7 @@
     }
     void worker_leaves(RunnerId worker) override { house_.worker_leaves(worker); }
     void worker_room(RunnerId worker, double slots) override { house_.worker_room(worker, slots); }
-    void errand_ended(runners::ErrandEnded&& ended) override { house_.errand_ended(std::move(ended)); }
+    void errand_ended(runners::CallEnded&& ended) override { house_.errand_ended(std::move(ended)); }
     void probe_ended(RunnerId worker) override { house_.probe_ended(worker); }
 
     net::Loop& loop_;
--- a/src/clients/request.hpp
+++ b/src/clients/request.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "fronts/front.hpp"
+#include "frontend/task_sink.hpp"
 #include "http/reader.hpp"
 #include "net/block_pool.hpp"
 #include "types.hpp"
@@ -26,7 +26,7 @@
     explicit Directory(const SettingsMap& orders, const std::vector<WorkloadId>& places = {});
 };
 
-using Request = fronts::Handed;
+using Request = frontend::SubmittedTask;
 
 struct Refused {
     int status;
--- a/src/clients/server.cpp
+++ b/src/clients/server.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, Taker& taker,
+Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& taker,
                Room room, log::Log& log)
     : loop_(loop),
       directory_(directory),
--- a/src/clients/server.hpp
+++ b/src/clients/server.hpp
@@ -15,8 +15,8 @@
 
 class Session;
 
-using fronts::Answer;
-using fronts::Taker;
+using frontend::Answer;
+using frontend::TaskSink;
 
 // How much the server may have open, and for how long it sends away who comes beyond that.
 struct Room {
@@ -33,7 +33,7 @@
 
 class Server {
   public:
-    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, Taker& taker,
+    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& taker,
            Room room, log::Log& log);
     ~Server();
 
@@ -67,7 +67,7 @@
 
     net::Loop& loop_;
     const Directory& directory_;
-    Taker& taker_;
+    TaskSink& taker_;
     Room room_;
     log::Log& log_;
     std::size_t waiting_ = 0;  // tasks that a client waits for
@@ -80,7 +80,7 @@
 };
 
 // One client's connection. It carries one request at a time.
-class Session final : public net::Connection::Owner, public fronts::Asker {
+class Session final : public net::Connection::Owner, public frontend::TaskSource {
   public:
     Session(Server& server, evutil_socket_t socket);
 
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -8,8 +8,8 @@
 
 #include <unistd.h>
 
-#include "control/caller.hpp"
-#include "control/desk.hpp"
+#include "control/control_client.hpp"
+#include "control/control_server.hpp"
 #include "control/tables.hpp"
 
 namespace gannethold::control {
@@ -28,7 +28,7 @@
     return json::Value(json::Number{text});
 }
 
-json::Object request_of(const Errand& e) {
+json::Object request_of(const Command& e) {
     json::Object o;
     o["do"] = json::Value(e.command);
     if (!e.by.empty()) o["by"] = json::Value(e.by);
@@ -42,14 +42,14 @@
 }
 
 // Until it is drained. Whoever stops waiting stops nothing else: the drain lives in the dispatcher.
-int wait_for_drain(Caller& caller, bool json) {
+int wait_for_drain(ControlClient& caller, bool json) {
     const bool terminal = isatty(STDOUT_FILENO) && !json;
     double most = 1;
     for (;;) {
         const json::Value status = caller.ask({{"do", json::Value(std::string("status"))}});
         const json::Value* const drain = status.find("drain");
         const std::string* const phase = drain ? drain->find_string("phase") : nullptr;
-        if (!phase) throw NobodyThere("the dispatcher says nothing of its drain");
+        if (!phase) throw ConnectionError("the dispatcher says nothing of its drain");
         const double left = drain->find_number("tasks_left").value_or(0);
         most = std::max(most, left);
         const bool over = *phase == "drained" || *phase == "serving";
@@ -75,7 +75,7 @@
     }
 }
 
-int follow(Caller& caller, const Errand& e) {
+int follow(ControlClient& caller, const Command& e) {
     const json::Value answer = caller.ask(request_of(e));
     const json::Value* const missed = answer.find("missed");
     const bool all = missed && missed->get<bool>() && *missed->get<bool>();
@@ -100,7 +100,7 @@
     return std::find(std::begin(kCommands), std::end(kCommands), name) != std::end(kCommands);
 }
 
-int run(const Errand& e) {
+int run(const Command& e) {
     const auto note = [](int) { interrupted = 1; };
     std::signal(SIGINT, note);
     std::signal(SIGTERM, note);
@@ -119,7 +119,7 @@
             std::cerr << "gannethold: drain needs --deadline SECONDS\n";
             return kUsage;
         }
-        Caller caller(e.socket);
+        ControlClient caller(e.socket);
         if (e.command == "follow") return follow(caller, e);
         const json::Value answer = caller.ask(request_of(e));
         if (e.command == "drain" && e.wait) {
@@ -145,9 +145,9 @@
     } catch (const Refused& refused) {
         std::cerr << "gannethold: refused: " << refused.what() << '\n';
         return kRefused;
-    } catch (const NobodyThere& nobody) {
+    } catch (const ConnectionError& nobody) {
         std::cerr << "gannethold: " << nobody.what() << '\n';
-        return kNobody;
+        return kUnreachable;
     }
 }
 
--- a/src/control/caller.cpp
+++ b/src/control/control_client.cpp
@@ -1,4 +1,4 @@
-#include "control/caller.hpp"
+#include "control/control_client.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -9,40 +9,40 @@
 #include <chrono>
 #include <cstring>
 
-#include "control/desk.hpp"
+#include "control/control_server.hpp"
 
 namespace gannethold::control {
 namespace {
 constexpr int kAnswerWithin = 5'000;  // milliseconds
 }
 
-Caller::Caller(const std::string& path) {
+ControlClient::ControlClient(const std::string& path) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
     if (path.empty())
-        throw NobodyThere(
+        throw ConnectionError(
             "which dispatcher? give --socket PATH, or --operator FILE with control.socket in it");
-    if (path.size() >= sizeof at.sun_path) throw NobodyThere(path + " is too long for a socket");
+    if (path.size() >= sizeof at.sun_path) throw ConnectionError(path + " is too long for a socket");
     std::memcpy(at.sun_path, path.data(), path.size());
     socket_ = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(socket_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return;
     const int why = errno;
     close(socket_);
     if (why == ENOENT)
-        throw NobodyThere("there is no socket " + path +
+        throw ConnectionError("there is no socket " + path +
                           ": is control.socket set, and the dispatcher started with --operator?");
     if (why == EACCES || why == EPERM)
-        throw NobodyThere("not permitted on " + path +
+        throw ConnectionError("not permitted on " + path +
                           ": ask as the user that the dispatcher runs as, or as root");
     if (why == ECONNREFUSED)
-        throw NobodyThere("nobody serves on " + path +
+        throw ConnectionError("nobody serves on " + path +
                           ": the dispatcher that made it is gone; start it again");
-    throw NobodyThere("cannot speak to " + path + ": " + std::strerror(why));
+    throw ConnectionError("cannot speak to " + path + ": " + std::strerror(why));
 }
 
-Caller::~Caller() { close(socket_); }
+ControlClient::~ControlClient() { close(socket_); }
 
-std::optional<std::string> Caller::line(int milliseconds) {
+std::optional<std::string> ControlClient::line(int milliseconds) {
     using Clock = std::chrono::steady_clock;
     const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     for (;;) {
@@ -59,12 +59,12 @@
         if (ready == 0) continue;
         char space[65536];
         const ssize_t n = recv(socket_, space, sizeof space, 0);
-        if (n <= 0) throw NobodyThere("the dispatcher has ended the conversation");
+        if (n <= 0) throw ConnectionError("the dispatcher has ended the conversation");
         got_.append(space, static_cast<std::size_t>(n));
     }
 }
 
-json::Value Caller::ask(json::Object request) {
+json::Value ControlClient::ask(json::Object request) {
     request["v"] = json::Value(json::Number{std::to_string(kVersion)});
     const std::string text = json::serialize(json::Value(std::move(request))) + "\n";
     for (std::size_t done = 0; done < text.size();) {
@@ -73,7 +73,7 @@
         done += static_cast<std::size_t>(n);
     }
     const auto said = line(kAnswerWithin);
-    if (!said) throw NobodyThere("the dispatcher does not answer");
+    if (!said) throw ConnectionError("the dispatcher does not answer");
     const json::Value answer = json::parse(*said);
     const json::Value* const ok = answer.find("ok");
     if (ok && ok->get<bool>() && *ok->get<bool>()) return answer;
@@ -81,7 +81,7 @@
     throw Refused(why ? *why : "refused");
 }
 
-std::optional<json::Value> Caller::next(int milliseconds) {
+std::optional<json::Value> ControlClient::next(int milliseconds) {
     const auto said = line(milliseconds);
     if (!said) return std::nullopt;
     return json::parse(*said);
--- a/src/control/caller.hpp
+++ b/src/control/control_client.hpp
@@ -10,22 +10,22 @@
 namespace gannethold::control {
 
 // Nobody to speak to; the text names the cure.
-class NobodyThere : public std::runtime_error {
+class ConnectionError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-class Caller {
+class ControlClient {
   public:
-    // Throws NobodyThere: no socket, not permitted, nobody serving.
-    explicit Caller(const std::string& path);
-    ~Caller();
-    Caller(const Caller&) = delete;
-    Caller& operator=(const Caller&) = delete;
+    // Throws ConnectionError: no socket, not permitted, nobody serving.
+    explicit ControlClient(const std::string& path);
+    ~ControlClient();
+    ControlClient(const ControlClient&) = delete;
+    ControlClient& operator=(const ControlClient&) = delete;
 
-    // Throws Refused with the dispatcher's word, NobodyThere where the connection ends or no answer comes.
+    // Throws Refused with the dispatcher's word, ConnectionError where the connection ends or no answer comes.
     json::Value ask(json::Object request);
-    // The next line of a follower; none within that time. Throws NobodyThere once the connection has ended.
+    // The next line of a follower; none within that time. Throws ConnectionError once the connection has ended.
     std::optional<json::Value> next(int milliseconds);
 
   private:
--- a/src/control/desk.cpp
+++ b/src/control/control_server.cpp
@@ -1,4 +1,4 @@
-#include "control/desk.hpp"
+#include "control/control_server.hpp"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -55,9 +55,9 @@
 
 }  // namespace
 
-class Desk::Session {
+class ControlServer::Session {
   public:
-    Session(Desk& desk, evutil_socket_t socket, std::string by)
+    Session(ControlServer& desk, evutil_socket_t socket, std::string by)
         : desk_(desk),
           by_(std::move(by)),
           limit_(desk.loop_, [this] { end(); }),
@@ -167,14 +167,14 @@
         bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
     }
 
-    Desk& desk_;
+    ControlServer& desk_;
     const std::string by_;
     net::Timer limit_;
     std::unique_ptr<bufferevent, decltype(&bufferevent_free)> stream_;
     bool closing_ = false;
 };
 
-Desk::Desk(net::Loop& loop, const Furniture& furniture, Office& office, log::Log& log)
+ControlServer::ControlServer(net::Loop& loop, const ControlOptions& furniture, RequestHandler& office, log::Log& log)
     : loop_(loop), furniture_(furniture), office_(office), log_(log) {
     const sockaddr_un at = address(furniture_.path);
     const int door = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -202,17 +202,17 @@
     door_.reset(evconnlistener_new(
         loop.base(),
         [](evconnlistener*, evutil_socket_t s, sockaddr*, int, void* self) {
-            static_cast<Desk*>(self)->accept(s);
+            static_cast<ControlServer*>(self)->accept(s);
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, door));
     if (!door_) throw std::runtime_error("cannot listen on " + furniture_.path);
 }
 
-Desk::~Desk() {
+ControlServer::~ControlServer() {
     if (door_) unlink(furniture_.path.c_str());
 }
 
-void Desk::accept(evutil_socket_t socket) {
+void ControlServer::accept(evutil_socket_t socket) {
     ucred who{};
     socklen_t length = sizeof who;
     const bool known = getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &who, &length) == 0;
@@ -232,7 +232,7 @@
     sessions_.push_back(std::make_unique<Session>(*this, socket, name_of(who.uid)));
 }
 
-void Desk::publish(json::Object change) {
+void ControlServer::publish(json::Object change) {
     change["seq"] = number(++published_);
     changes_.emplace_back(published_, json::serialize(json::Value(std::move(change))) + "\n");
     if (changes_.size() > furniture_.remembered) changes_.pop_front();
@@ -240,7 +240,7 @@
         if (s->follows) s->say(changes_.back().second);
 }
 
-void Desk::sweep() {
+void ControlServer::sweep() {
     std::erase_if(sessions_, [](const auto& s) { return s->over; });
 }
 
--- a/src/control/desk.hpp
+++ b/src/control/control_server.hpp
@@ -34,17 +34,17 @@
 };
 
 // Who answers. A request is an object; what is asked for stands in "do". Throws Refused.
-class Office {
+class RequestHandler {
   public:
     virtual json::Object answer(const std::string& what, const json::Value& request,
                                 const std::string& by) = 0;
 
   protected:
-    ~Office() = default;
+    ~RequestHandler() = default;
 };
 
 // What a desk is furnished with.
-struct Furniture {
+struct ControlOptions {
     std::string path;
     std::size_t clients = 8;
     std::size_t longest_line = 64 * 1024;
@@ -53,14 +53,14 @@
     std::size_t remembered = 1'000;  // changes, for a follower that comes back
 };
 
-class Desk {
+class ControlServer {
   public:
     // Throws std::runtime_error where another process serves on that path or it cannot be made. A file left
     // by a dead process is taken over.
-    Desk(net::Loop& loop, const Furniture& furniture, Office& office, log::Log& log);
-    ~Desk();
-    Desk(const Desk&) = delete;
-    Desk& operator=(const Desk&) = delete;
+    ControlServer(net::Loop& loop, const ControlOptions& furniture, RequestHandler& office, log::Log& log);
+    ~ControlServer();
+    ControlServer(const ControlServer&) = delete;
+    ControlServer& operator=(const ControlServer&) = delete;
 
     // Goes to all who follow, and is remembered for those who come back.
     void publish(json::Object change);
@@ -73,8 +73,8 @@
     void accept(evutil_socket_t socket);
 
     net::Loop& loop_;
-    const Furniture furniture_;
-    Office& office_;
+    const ControlOptions furniture_;
+    RequestHandler& office_;
     log::Log& log_;
     std::list<std::unique_ptr<Session>> sessions_;
     std::deque<std::pair<std::uint64_t, std::string>> changes_;
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -40,9 +40,9 @@
     return r;
 }
 
-runners::Upkeep upkeep(const Posting& posting, std::size_t sockets) {
+runners::PoolOptions upkeep(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
-    runners::Upkeep u;
+    runners::PoolOptions u;
     u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
     // A margin for a runner that counts from before its answer reached us.
     u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
@@ -85,7 +85,7 @@
             !SettingsReader(posting_.orders).get_bool("rules.only_draining_binds")),
       follower_(
           loop, posting_.discovery, log,
-          [this](const roster::Listing& l) {
+          [this](const membership::EndpointList& l) {
               list_is_own_ = true;
               return heard(l, l.full ? UpdateScope::complete : UpdateScope::delta);
           },
@@ -93,7 +93,7 @@
               if (follows_by_itself_) wakes_.emplace(net::Loop::now() + kFollowAgain, TimerId{1}), set_wake();
               note(MembershipUpdate{UpdateScope::failed, book_.version(), {}});
           }),
-      links_(loop, *this, runners::Reports(posting_.report_names),
+      links_(loop, *this, runners::ReportDecoder(posting_.report_names),
              upkeep(posting_, sockets_left(posting_, tubes_, posting_.sockets))),
       post_(loop, posting_.neighbours,
             [this](PeerId from, std::string_view words) {
@@ -115,7 +115,7 @@
     if (!tubes_.entrances.empty())
         pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
                                                        tubes_.trade, tube_workloads_.places, *this, log);
-    if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
+    if (extras.desk) desk_ = std::make_unique<control::ControlServer>(loop, *extras.desk, *this, log);
     if (posting_.window)
         admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
@@ -290,7 +290,7 @@
     noted_ = true;
 }
 
-bool Dispatcher::heard(const roster::Listing& listing, UpdateScope scope) {
+bool Dispatcher::heard(const membership::EndpointList& listing, UpdateScope scope) {
     auto news = book_.take(listing, scope, net::Loop::now());
     if (!news) return false;
     holds_.lay_over(*news, book_);
@@ -300,11 +300,11 @@
     guests_.lay_over(news->for_module, holds_, book_);
     note(news->for_module);
     if (passage_ && passage_->has_heirs())
-        passage_->tell({handover::Kind::list, roster::spell(book_.held())});
+        passage_->tell({handover::Kind::list, membership::format_endpoint_list(book_.held())});
     return true;
 }
 
-TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::BlockBuffer&& body,
+TaskId Dispatcher::take(frontend::TaskSource& asker, frontend::SubmittedTask&& request, net::BlockBuffer&& body,
                         Micros came_at) {
     const TaskId id{++tasks_taken_};
     if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
@@ -358,7 +358,7 @@
     forget_if_over(task);
 }
 
-void Dispatcher::errand_ended(runners::ErrandEnded&& ended) {
+void Dispatcher::errand_ended(runners::CallEnded&& ended) {
     const auto task = tasks_.find(ended.task);
     if (task == tasks_.end()) return;
     --task->second.out;
@@ -467,7 +467,7 @@
         errand_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
         return;
     }
-    runners::Port& port = port_of(wanted.runner);
+    runners::Transport& port = port_of(wanted.runner);
     if (pullers_ && &port == &links_) pullers_->exchange().went_elsewhere(wanted.task);
     port.assign(wanted.runner, {wanted.task, number, task->second.request_id, task->second.head,
                                 &task->second.body, stop_at});
@@ -476,7 +476,7 @@
 void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros stay_away) {
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || !task->second.asker) return;
-    fronts::Asker* const asker = task->second.asker;
+    frontend::TaskSource* const asker = task->second.asker;
     counters_.on_answered(workload_name(task->second.workload), answer);
     note_end(id, task->second, answer, result);
     end_asking(task);
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -16,7 +16,7 @@
 #include "beanstalk/server.hpp"
 #include "balancer.hpp"
 #include "clients/server.hpp"
-#include "control/desk.hpp"
+#include "control/control_server.hpp"
 #include "dispatcher/posting.hpp"
 #include "drain/drain.hpp"
 #include "metrics/counters.hpp"
@@ -24,11 +24,11 @@
 #include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
 #include "settings/workload_registry.hpp"
-#include "roster/book.hpp"
-#include "roster/follower.hpp"
-#include "roster/guests.hpp"
-#include "roster/holds.hpp"
-#include "runners/links.hpp"
+#include "membership/endpoint_table.hpp"
+#include "membership/discovery_client.hpp"
+#include "membership/dynamic_workers.hpp"
+#include "membership/operator_overrides.hpp"
+#include "runners/connection_pool.hpp"
 #include "shadow/shadow.hpp"
 #include "retry/execution_log.hpp"
 #include "admin/admin_server.hpp"
@@ -37,7 +37,7 @@
 
 // What operators add beyond the platform's configuration.
 struct Extras {
-    std::optional<control::Furniture> desk;  // none: no control socket
+    std::optional<control::ControlOptions> desk;  // none: no control socket
     drain::DrainSettings manners;
     snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
     retry::DeduplicationSettings
@@ -53,9 +53,9 @@
 // Throws std::runtime_error with one line where the tubes would leave too few descriptors to everybody else.
 void must_fit(const Posting& posting, const beanstalk::Furnishing& tubes);
 
-class Dispatcher final : public fronts::Taker,
-                         public runners::Sender,
-                         public control::Office,
+class Dispatcher final : public frontend::TaskSink,
+                         public runners::TransportObserver,
+                         public control::RequestHandler,
                          public beanstalk::House,
                          public admin::AdminHandler,
                          public handover::Party {
@@ -78,7 +78,7 @@
 
   private:
     struct Task {
-        fronts::Asker* asker = nullptr;  // none once answered, or whoever asked has left
+        frontend::TaskSource* asker = nullptr;  // none once answered, or whoever asked has left
         std::string request_id, head;
         net::BlockBuffer body;
         Micros expiry = 0;
@@ -90,7 +90,7 @@
     };
     // A retry that waits for the end of the task that it repeats.
     struct Joined {
-        fronts::Asker* asker = nullptr;
+        frontend::TaskSource* asker = nullptr;
         TaskId first{};
         Micros expiry = 0;
         std::string request_id;
@@ -104,15 +104,15 @@
     };
     using Tasks = std::unordered_map<TaskId, Task>;
 
-    TaskId take(fronts::Asker& asker, fronts::Handed&& handed, net::BlockBuffer&& body,
+    TaskId take(frontend::TaskSource& asker, frontend::SubmittedTask&& handed, net::BlockBuffer&& body,
                 Micros came_at) override;
     void left(TaskId task) override;
     bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
     bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
     void turned_away(WorkloadId workload) override {
-        counters_.on_answered(workload_name(workload), fronts::Answer::bounced);
+        counters_.on_answered(workload_name(workload), frontend::Answer::bounced);
     }
-    void errand_ended(runners::ErrandEnded&& ended) override;
+    void errand_ended(runners::CallEnded&& ended) override;
     void written_whole() override { counters_.on_assignment_written(); }
     void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
     void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
@@ -126,12 +126,12 @@
     void worker_leaves(RunnerId worker) override;
     void worker_room(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
     void probe_ended(RunnerId worker) override { probe_ended(worker, net::CloseReason::done, 0, {}); }
-    runners::Port& port_of(RunnerId runner);
+    runners::Transport& port_of(RunnerId runner);
     std::size_t unanswered() const;
     json::Object tell_tubes() const;
     json::Object kick(const json::Value& request, const std::string& by);
 
-    bool heard(const roster::Listing& listing, UpdateScope scope);
+    bool heard(const membership::EndpointList& listing, UpdateScope scope);
     void note(const Event& event);
     void carry_out(const Action& action);
     void assign(const Assign& wanted);
@@ -147,12 +147,12 @@
     void share_out();
 
     // Retries of what may have run; in repeating.cpp.
-    std::string sign_of(const fronts::Handed& handed) const;
-    bool take_as_repeat(TaskId id, fronts::Asker& asker, const fronts::Handed& handed, Micros expiry);
+    std::string sign_of(const frontend::SubmittedTask& handed) const;
+    bool take_as_repeat(TaskId id, frontend::TaskSource& asker, const frontend::SubmittedTask& handed, Micros expiry);
     bool left_joined(TaskId id);
     bool pass_on(Tasks::iterator task);
-    void answer_joined(TaskId first, fronts::Answer answer, std::string_view result, Micros stay_away);
-    void note_end(TaskId id, const Task& task, fronts::Answer answer, std::string_view result);
+    void answer_joined(TaskId first, frontend::Answer answer, std::string_view result, Micros stay_away);
+    void note_end(TaskId id, const Task& task, frontend::Answer answer, std::string_view result);
     void answer_owed();
     json::Object tell_repeats() const;
 
@@ -187,7 +187,7 @@
     void watch_turn(const Event& event);
     void watch_settled();
     json::Object tell_watched() const;
-    void keep_failure(const Task& task, const runners::ErrandEnded& ended);
+    void keep_failure(const Task& task, const runners::CallEnded& ended);
     const std::string& workload_name(WorkloadId id) const;
     void publish(const char* what, json::Object more);
 
@@ -200,9 +200,9 @@
     settings::WorkloadRegistry
         workload_registry_;  // of the posting's workloads, and of the tubes as workloads
     Balancer balancer_;
-    roster::Book book_;
-    roster::Follower follower_;
-    runners::Links links_;
+    membership::EndpointTable book_;
+    membership::DiscoveryClient follower_;
+    runners::ConnectionPool links_;
     peers::Post post_;
     clients::Server server_;
     Tasks tasks_;
@@ -213,8 +213,8 @@
     std::vector<Action> actions_;
     std::uint64_t tasks_taken_ = 0;
     drain::Drain drain_;
-    roster::Holds holds_;
-    roster::Guests guests_;
+    membership::OperatorOverrides holds_;
+    membership::DynamicWorkers guests_;
     std::deque<Failure> failures_;  // the newest last
     std::uint64_t failed_ = 0;
     metrics::Counters counters_;
@@ -227,7 +227,7 @@
     std::unordered_map<TaskId, std::vector<TaskId>> joined_to_;
     std::unordered_map<TaskId, TaskId>
         stands_for_;  // a retry that has taken the place of whoever asked first
-    std::vector<std::tuple<TaskId, fronts::Answer, std::string>> owed_;
+    std::vector<std::tuple<TaskId, frontend::Answer, std::string>> owed_;
     std::set<std::pair<Micros, TaskId>> joined_until_;
     std::uint64_t joins_ = 0, told_ends_ = 0;
     net::Timer joined_timer_;
@@ -236,7 +236,7 @@
     bool list_is_own_ = false;  // discovery has spoken to this one itself
     handover::Troubles troubles_;
     std::unique_ptr<handover::Passage> passage_;
-    std::unique_ptr<control::Desk> desk_;
+    std::unique_ptr<control::ControlServer> desk_;
     std::unique_ptr<admin::AdminServer> admin_server_;
     std::unique_ptr<beanstalk::Server> pullers_;
     std::unique_ptr<snapshot::SnapshotScheduler> snapshot_scheduler_;
--- a/src/dispatcher/handing_over.cpp
+++ b/src/dispatcher/handing_over.cpp
@@ -11,7 +11,7 @@
     for (const RunnerEstimates& r : balancer_.learned_state().runners)
         if (r.ejected_for > 0 || r.warming_for >= 0)
             troubles[book_.name_of(r.runner)] = {r.ejected_for, r.warming_for};
-    return {{handover::Kind::list, roster::spell(book_.held())},
+    return {{handover::Kind::list, membership::format_endpoint_list(book_.held())},
             {handover::Kind::troubles, handover::spell(troubles)},
             {handover::Kind::learned,
              snapshot::encode(collect_snapshot(0, static_cast<std::size_t>(-1)).snapshot)}};
@@ -24,9 +24,9 @@
             // Against a discovery that is slow or down: the old one may know of drains that this one does
             // not. What discovery has said to this one itself is newer.
             if (list_is_own_) return;
-            std::optional<roster::Listing> listing;
+            std::optional<membership::EndpointList> listing;
             try {
-                listing = roster::read_listing(json::parse(word.body));
+                listing = membership::parse_endpoint_list(json::parse(word.body));
             } catch (const json::ParseError&) {
             }
             if (!listing) return log_.warning(now, "handover: the list cannot be read");
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -63,7 +63,7 @@
     desk_->publish(std::move(more));
 }
 
-void Dispatcher::keep_failure(const Task& task, const runners::ErrandEnded& ended) {
+void Dispatcher::keep_failure(const Task& task, const runners::CallEnded& ended) {
     ++failed_;
     failures_.push_back({net::Loop::now(), task.request_id, book_.name_of(ended.runner),
                          workload_name(task.workload), ended.ending, ended.elapsed});
--- a/src/dispatcher/posting.cpp
+++ b/src/dispatcher/posting.cpp
@@ -211,7 +211,7 @@
     p.memory_mb = limit(all, "memory_mb", p.memory_mb);
     p.sockets = limit(all, "sockets", p.sockets);
     if (const auto* known = all.find("known")) {
-        const auto listing = roster::read_listing(*known);
+        const auto listing = membership::parse_endpoint_list(*known);
         if (!listing) throw std::runtime_error("the known list of runners cannot be read");
         p.known = *listing;
     }
--- a/src/dispatcher/posting.hpp
+++ b/src/dispatcher/posting.hpp
@@ -10,7 +10,7 @@
 
 #include "net/address.hpp"
 #include "peers/post.hpp"
-#include "roster/listing.hpp"
+#include "membership/endpoint_list.hpp"
 #include "types.hpp"
 
 namespace gannethold::dispatcher {
@@ -24,7 +24,7 @@
     peers::Neighbours neighbours;
     std::uint64_t seed = 0;
     std::size_t memory_mb = 256, sockets = 1024;
-    roster::Listing known;
+    membership::EndpointList known;
     SettingsMap orders;
     std::vector<std::string> report_names;  // as runners spell them
     std::set<std::string>
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -11,7 +11,7 @@
 using json::Object;
 using json::Value;
 
-runners::Port& Dispatcher::port_of(RunnerId runner) {
+runners::Transport& Dispatcher::port_of(RunnerId runner) {
     if (pullers_ && guests_.has(runner)) return pullers_->exchange();
     return links_;
 }
@@ -20,7 +20,7 @@
 // them: a drain leaves it there.
 std::size_t Dispatcher::unanswered() const {
     if (!pullers_) return server_.waiting();
-    const fronts::Asker* const jobs = &pullers_->exchange();
+    const frontend::TaskSource* const jobs = &pullers_->exchange();
     return server_.waiting() +
            static_cast<std::size_t>(std::count_if(tasks_.begin(), tasks_.end(), [jobs](const auto& t) {
                return t.second.asker == jobs && t.second.out > 0;
@@ -29,7 +29,7 @@
 
 TaskId Dispatcher::hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
                            WorkloadId workload) {
-    fronts::Handed handed;
+    frontend::SubmittedTask handed;
     const std::string number = std::to_string(static_cast<std::uint64_t>(job.id));
     handed.id = "job-" + posting_.name + "-" + number;
     handed.method = "POST";
--- a/src/dispatcher/remembering.cpp
+++ b/src/dispatcher/remembering.cpp
@@ -35,7 +35,7 @@
     saved.typical_cost_us = lore.typical_cost;
     for (const RunnerEstimates& r : lore.runners) {
         const std::string& name = book_.name_of(r.runner);
-        const roster::Entry* const entry = book_.entry(name);
+        const membership::Endpoint* const entry = book_.entry(name);
         if (!entry) continue;
         saved.runners.push_back({name, entry->kind, entry->zone, entry->address ? entry->address->text : "",
                                  entry->started_ms, bins_of(r.latency), r.min_latency, r.slots, r.fraction});
@@ -93,7 +93,7 @@
     const double weight = snapshot::weight_by_age(saved.written_ms, wall, policy);
     LearnedState lore;
     for (const snapshot::SavedRunner& runner : saved.runners) {
-        const roster::Entry* const entry = book_.entry(runner.name);
+        const membership::Endpoint* const entry = book_.entry(runner.name);
         const auto number = book_.number_of(runner.name);
         if (!entry || !number) continue;
         const double part = snapshot::weight_of_runner(
--- a/src/dispatcher/repeating.cpp
+++ b/src/dispatcher/repeating.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 // Empty: a retry of it could not be told from another task, or would do no harm.
-std::string Dispatcher::sign_of(const fronts::Handed& handed) const {
+std::string Dispatcher::sign_of(const frontend::SubmittedTask& handed) const {
     const std::string at =
         "workloads." + std::to_string(static_cast<std::uint32_t>(handed.workload)) + ".effect";
     if (const auto effect = workload_registry_.settings().find(at);
@@ -25,7 +25,7 @@
     return deduplication_.matches_by_path && handed.key != 0 ? whose + "p" + std::to_string(handed.key) : "";
 }
 
-bool Dispatcher::take_as_repeat(TaskId id, fronts::Asker& asker, const fronts::Handed& handed,
+bool Dispatcher::take_as_repeat(TaskId id, frontend::TaskSource& asker, const frontend::SubmittedTask& handed,
                                 Micros expiry) {
     // By its path alone a first try is no repeat: two of them may be meant.
     if (handed.fingerprint.empty() && !handed.repeat) return false;
@@ -43,7 +43,7 @@
     } else {
         ++told_ends_;
         const bool has_result = known->state == retry::ExecutionState::finished && known->result;
-        owed_.emplace_back(id, has_result ? fronts::Answer::finished : fronts::Answer::abandoned,
+        owed_.emplace_back(id, has_result ? frontend::Answer::finished : frontend::Answer::abandoned,
                            has_result ? *known->result : "");
         one.first = TaskId{};
         noted_ = true;
@@ -81,26 +81,26 @@
     return true;
 }
 
-void Dispatcher::note_end(TaskId id, const Task& task, fronts::Answer answer, std::string_view result) {
+void Dispatcher::note_end(TaskId id, const Task& task, frontend::Answer answer, std::string_view result) {
     if (task.sign.empty()) return;
     const Micros now = net::Loop::now();
     switch (answer) {
-        case fronts::Answer::finished:
+        case frontend::Answer::finished:
             return execution_log_.on_finished(now, task.sign, id, result);
-        case fronts::Answer::abandoned:
+        case frontend::Answer::abandoned:
             return execution_log_.on_may_have_run(now, task.sign, id);
-        case fronts::Answer::bounced:
+        case frontend::Answer::bounced:
             return execution_log_.on_never_ran(task.sign, id);
     }
 }
 
-void Dispatcher::answer_joined(TaskId first, fronts::Answer answer, std::string_view result,
+void Dispatcher::answer_joined(TaskId first, frontend::Answer answer, std::string_view result,
                                Micros stay_away) {
     std::erase_if(stands_for_, [first](const auto& s) { return s.second == first; });
     const auto others = joined_to_.find(first);
     if (others == joined_to_.end()) return;
     for (const TaskId id : std::vector<TaskId>(others->second)) {
-        fronts::Asker* const asker = joined_.at(id).asker;
+        frontend::TaskSource* const asker = joined_.at(id).asker;
         const WorkloadId workload = joined_.at(id).workload;
         left_joined(id);
         counters_.on_answered(workload_name(workload), answer);
@@ -112,12 +112,12 @@
 void Dispatcher::answer_owed() {
     const Micros now = net::Loop::now();
     while (!joined_until_.empty() && joined_until_.begin()->first <= now)
-        owed_.emplace_back(joined_until_.begin()->second, fronts::Answer::abandoned, ""),
+        owed_.emplace_back(joined_until_.begin()->second, frontend::Answer::abandoned, ""),
             joined_until_.erase(joined_until_.begin());
     for (auto& [id, answer, result] : std::exchange(owed_, {})) {
         const auto one = joined_.find(id);
         if (one == joined_.end()) continue;
-        fronts::Asker* const asker = one->second.asker;
+        frontend::TaskSource* const asker = one->second.asker;
         const WorkloadId workload = one->second.workload;
         left_joined(id);
         counters_.on_answered(workload_name(workload), answer);
--- a/src/fronts/front.hpp
+++ b/src/frontend/task_sink.hpp
@@ -8,13 +8,13 @@
 #include "net/block_pool.hpp"
 #include "types.hpp"
 
-namespace gannethold::fronts {
+namespace gannethold::frontend {
 
 // The one type for a task's final answer.
 enum class Answer { finished, bounced, abandoned };
 
 // A task as it is handed in.
-struct Handed {
+struct SubmittedTask {
     std::string id, fingerprint, method, target, content_type;
     WorkloadId workload{};
     CustomerId customer{};
@@ -27,20 +27,20 @@
         true;  // whether a runner that is spoken to over HTTP may get it: it needs a head and a body then
 };
 
-// Who handed tasks in and hears how they end. Called once for each, also from inside a call to the Taker.
-class Asker {
+// Who handed tasks in and hears how they end. Called once for each, also from inside a call to the TaskSink.
+class TaskSource {
   public:
     // stay_away: after a bounce, when to come back; 0 where nothing is said.
     virtual void answer(TaskId task, Answer answer, std::string_view result, Micros stay_away) = 0;
 
   protected:
-    ~Asker() = default;
+    ~TaskSource() = default;
 };
 
 // Who takes the tasks.
-class Taker {
+class TaskSink {
   public:
-    virtual TaskId take(Asker& asker, Handed&& handed, net::BlockBuffer&& body, Micros came_at) = 0;
+    virtual TaskId take(TaskSource& asker, SubmittedTask&& handed, net::BlockBuffer&& body, Micros came_at) = 0;
     virtual void left(TaskId task) = 0;  // nobody waits for it any more
     virtual bool knows(const std::string& request_id) const = 0;
     virtual bool ready() const = 0;
@@ -48,7 +48,7 @@
     virtual void turned_away(WorkloadId workload) = 0;
 
   protected:
-    ~Taker() = default;
+    ~TaskSink() = default;
 };
 
-}  // namespace gannethold::fronts
+}  // namespace gannethold::frontend
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -138,7 +138,7 @@
 
     std::string command, operators_path, in_force,
         path = std::getenv("RELAY_CONFIG") ? std::getenv("RELAY_CONFIG") : "", level = "info";
-    control::Errand errand;
+    control::Command errand;
     options::options_description shown("Options");
     shown.add_options()("help,h", "say this")("configuration,c", options::value(&path),
                                               "the configuration, as JSON (default: $RELAY_CONFIG)")(
--- a/src/roster/follower.cpp
+++ b/src/membership/discovery_client.cpp
@@ -1,10 +1,10 @@
-#include "roster/follower.hpp"
+#include "membership/discovery_client.hpp"
 
 #include <utility>
 
 #include "http/writer.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 namespace {
 
 constexpr Micros kConnectLimit = 1'000'000;
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Call::Call(net::Loop& loop, Hearer& hearer, const net::Address& discovery, Kind kind, std::uint32_t since)
+DiscoveryRequest::DiscoveryRequest(net::Loop& loop, RequestObserver& hearer, const net::Address& discovery, Kind kind, std::uint32_t since)
     : loop_(loop),
       hearer_(hearer),
       kind_(kind),
@@ -28,22 +28,22 @@
     limit_.set(net::Loop::now() + kAnswerLimit);
 }
 
-void Call::close() {
+void DiscoveryRequest::close() {
     over_ = true;
     limit_.cancel();
     connection_.close();
     reader_.restart();
 }
 
-void Call::give_up(const char* why) {
+void DiscoveryRequest::give_up(const char* why) {
     if (over_) return;
     close();
     hearer_.call_ended(kind_, why);
 }
 
-void Call::on_connected() { connection_.write(request_); }
+void DiscoveryRequest::on_connected() { connection_.write(request_); }
 
-void Call::on_closed(net::CloseReason ending) {
+void DiscoveryRequest::on_closed(net::CloseReason ending) {
     // A list that goes on until the connection closes ends properly by that.
     const bool proper =
         kind_ == Kind::list && ending == net::CloseReason::ended_early && reader_.is_complete_at_close();
@@ -51,7 +51,7 @@
     give_up(proper && heard_ ? nullptr : net::name_of(ending));
 }
 
-void Call::on_bytes(std::string_view bytes) {
+void DiscoveryRequest::on_bytes(std::string_view bytes) {
     // Against a discovery, or a network, that goes silent with the connection open.
     if (kind_ == Kind::watch) limit_.set(net::Loop::now() + (heard_ ? kSilence : kAnswerLimit));
     while (!over_) {
@@ -82,11 +82,11 @@
     }
 }
 
-bool Call::heed_line(std::string_view text) {
+bool DiscoveryRequest::heed_line(std::string_view text) {
     if (text.find_first_not_of(" \t\r") == std::string_view::npos) return true;
-    std::optional<Listing> listing;
+    std::optional<EndpointList> listing;
     try {
-        listing = read_listing(json::parse(text));
+        listing = parse_endpoint_list(json::parse(text));
     } catch (const json::ParseError&) {
     }
     // What the line would have told is missed, so the call must be made again.
@@ -96,42 +96,42 @@
     return !over_;
 }
 
-Follower::Follower(net::Loop& loop, const net::Address& discovery, log::Log& log, Heard heard, Failed failed)
+DiscoveryClient::DiscoveryClient(net::Loop& loop, const net::Address& discovery, log::Log& log, OnList heard, OnFailure failed)
     : loop_(loop), discovery_(discovery), log_(log), heard_(std::move(heard)), failed_(std::move(failed)) {}
 
-void Follower::begin(Call::Kind kind, std::uint32_t since) {
+void DiscoveryClient::begin(DiscoveryRequest::Kind kind, std::uint32_t since) {
     drop(kind);
-    call(kind) = std::make_unique<Call>(loop_, *this, discovery_, kind, since);
+    call(kind) = std::make_unique<DiscoveryRequest>(loop_, *this, discovery_, kind, since);
 }
 
-void Follower::drop(Call::Kind kind) {
+void DiscoveryClient::drop(DiscoveryRequest::Kind kind) {
     if (!call(kind)) return;
     call(kind)->close();
     ended_.push_back(std::move(call(kind)));
 }
 
-void Follower::move(const net::Address& discovery) {
-    drop(Call::Kind::watch);
-    drop(Call::Kind::list);
+void DiscoveryClient::move(const net::Address& discovery) {
+    drop(DiscoveryRequest::Kind::watch);
+    drop(DiscoveryRequest::Kind::list);
     discovery_ = discovery;
 }
 
-void Follower::follow(std::uint32_t since) { begin(Call::Kind::watch, since); }
-void Follower::stop_following() { drop(Call::Kind::watch); }
-void Follower::ask() { begin(Call::Kind::list, 0); }
+void DiscoveryClient::follow(std::uint32_t since) { begin(DiscoveryRequest::Kind::watch, since); }
+void DiscoveryClient::stop_following() { drop(DiscoveryRequest::Kind::watch); }
+void DiscoveryClient::ask() { begin(DiscoveryRequest::Kind::list, 0); }
 
-void Follower::heard(Call::Kind kind, const Listing& listing) {
+void DiscoveryClient::heard(DiscoveryRequest::Kind kind, const EndpointList& listing) {
     if (heard_(listing)) return;
     drop(kind);
     failed_();
 }
 
-void Follower::call_ended(Call::Kind kind, const char* why) {
+void DiscoveryClient::call_ended(DiscoveryRequest::Kind kind, const char* why) {
     drop(kind);
     if (!why) return;
-    log_.warning(net::Loop::now(), "roster: ", kind == Call::Kind::watch ? "the watch" : "the list",
+    log_.warning(net::Loop::now(), "roster: ", kind == DiscoveryRequest::Kind::watch ? "the watch" : "the list",
                  " failed: ", why);
     failed_();
 }
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/follower.hpp
+++ b/src/membership/discovery_client.hpp
@@ -10,24 +10,24 @@
 #include "http/reader.hpp"
 #include "log/log.hpp"
 #include "net/connection.hpp"
-#include "roster/listing.hpp"
+#include "membership/endpoint_list.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 
 // One call to discovery: the whole list once, or a watch.
-class Call final : public net::Connection::Owner {
+class DiscoveryRequest final : public net::Connection::Owner {
   public:
     enum class Kind { list, watch };
-    class Hearer {
+    class RequestObserver {
       public:
-        virtual void heard(Kind kind, const Listing& listing) = 0;
+        virtual void heard(Kind kind, const EndpointList& listing) = 0;
         virtual void call_ended(Kind kind, const char* why) = 0;  // nullptr: a list that came whole
 
       protected:
-        ~Hearer() = default;
+        ~RequestObserver() = default;
     };
 
-    Call(net::Loop& loop, Hearer& hearer, const net::Address& discovery, Kind kind, std::uint32_t since);
+    DiscoveryRequest(net::Loop& loop, RequestObserver& hearer, const net::Address& discovery, Kind kind, std::uint32_t since);
     void close();
 
   private:
@@ -38,7 +38,7 @@
     void give_up(const char* why);
 
     net::Loop& loop_;
-    Hearer& hearer_;
+    RequestObserver& hearer_;
     const Kind kind_;
     std::string request_;
     bool over_ = false, heard_ = false;
@@ -48,12 +48,12 @@
     net::Connection connection_;
 };
 
-class Follower final : public Call::Hearer {
+class DiscoveryClient final : public DiscoveryRequest::RequestObserver {
   public:
-    using Heard = std::function<bool(const Listing&)>;  // false: it does not follow from what is held
-    using Failed = std::function<void()>;
+    using OnList = std::function<bool(const EndpointList&)>;  // false: it does not follow from what is held
+    using OnFailure = std::function<void()>;
 
-    Follower(net::Loop& loop, const net::Address& discovery, log::Log& log, Heard heard, Failed failed);
+    DiscoveryClient(net::Loop& loop, const net::Address& discovery, log::Log& log, OnList heard, OnFailure failed);
 
     // From now on discovery is there. What the old one has not yet said, or how it ends, is not heard.
     void move(const net::Address& discovery);
@@ -63,19 +63,19 @@
     void sweep() { ended_.clear(); }
 
   private:
-    void heard(Call::Kind kind, const Listing& listing) override;
-    void call_ended(Call::Kind kind, const char* why) override;
-    std::unique_ptr<Call>& call(Call::Kind kind) { return kind == Call::Kind::watch ? watch_ : list_; }
-    void begin(Call::Kind kind, std::uint32_t since);
-    void drop(Call::Kind kind);
+    void heard(DiscoveryRequest::Kind kind, const EndpointList& listing) override;
+    void call_ended(DiscoveryRequest::Kind kind, const char* why) override;
+    std::unique_ptr<DiscoveryRequest>& call(DiscoveryRequest::Kind kind) { return kind == DiscoveryRequest::Kind::watch ? watch_ : list_; }
+    void begin(DiscoveryRequest::Kind kind, std::uint32_t since);
+    void drop(DiscoveryRequest::Kind kind);
 
     net::Loop& loop_;
     net::Address discovery_;
     log::Log& log_;
-    Heard heard_;
-    Failed failed_;
-    std::unique_ptr<Call> watch_, list_;
-    std::vector<std::unique_ptr<Call>> ended_;
+    OnList heard_;
+    OnFailure failed_;
+    std::unique_ptr<DiscoveryRequest> watch_, list_;
+    std::vector<std::unique_ptr<DiscoveryRequest>> ended_;
 };
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/guests.hpp
+++ b/src/membership/dynamic_workers.hpp
@@ -5,15 +5,15 @@
 #include <map>
 #include <string>
 
-#include "roster/book.hpp"
-#include "roster/holds.hpp"
+#include "membership/endpoint_table.hpp"
+#include "membership/operator_overrides.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 
-class Guests {
+class DynamicWorkers {
   public:
     // Who has just come; its entry for the module.
-    EndpointEntry joins(Book& book, const std::string& kind, const std::string& zone,
+    EndpointEntry joins(EndpointTable& book, const std::string& kind, const std::string& zone,
                         const WorkloadSet& serves, Micros started_at) {
         std::size_t n = 1;
         while (numbers_.contains(n)) ++n;
@@ -40,13 +40,13 @@
     const std::map<RunnerId, EndpointEntry>& all() const { return entries_; }
 
     // As the module is to hear it: a held one drains.
-    MembershipUpdate news(EndpointEntry entry, const Holds& holds, const Book& book) const {
+    MembershipUpdate news(EndpointEntry entry, const OperatorOverrides& holds, const EndpointTable& book) const {
         if (entry.state == RunnerState::ready && holds.has(book.name_of(entry.runner)))
             entry.state = RunnerState::draining;
         return {UpdateScope::dynamic_workers, book.version(), {entry}};
     }
     // A list that says all says nothing of guests: they stay.
-    void lay_over(MembershipUpdate& news, const Holds& holds, const Book& book) const {
+    void lay_over(MembershipUpdate& news, const OperatorOverrides& holds, const EndpointTable& book) const {
         if (news.scope == UpdateScope::delta) return;
         for (const auto& [id, entry] : entries_)
             news.entries.push_back(this->news(entry, holds, book).entries.front());
@@ -57,4 +57,4 @@
     std::map<std::size_t, RunnerId> numbers_;
 };
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/listing.cpp
+++ b/src/membership/endpoint_list.cpp
@@ -1,6 +1,6 @@
-#include "roster/listing.hpp"
+#include "membership/endpoint_list.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 namespace {
 
 std::optional<RunnerState> state_of(const std::string* word) {
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-std::string spell(const Listing& listing) {
+std::string format_endpoint_list(const EndpointList& listing) {
     const auto whole = [](auto n) { return json::Value(json::Number{std::to_string(n)}); };
     json::Array servers;
-    for (const Entry& e : listing.entries) {
+    for (const Endpoint& e : listing.entries) {
         json::Object o;
         o["id"] = json::Value(e.id), o["addr"] = json::Value(e.address ? e.address->text : "");
         o["zone"] = json::Value(e.zone), o["kind"] = json::Value(e.kind), o["cell"] = whole(e.group);
@@ -51,8 +51,8 @@
     return json::serialize(json::Value(std::move(all)));
 }
 
-std::optional<Listing> read_listing(const json::Value& said) {
-    Listing listing;
+std::optional<EndpointList> parse_endpoint_list(const json::Value& said) {
+    EndpointList listing;
     const json::Value* const servers = said.find("servers");
     const json::Array* const list = servers ? servers->get<json::Array>() : nullptr;
     const json::Value* const full = said.find("full");
@@ -61,7 +61,7 @@
     listing.version = static_cast<std::uint32_t>(*version);
     listing.full = full && full->get<bool>() && *full->get<bool>();
     for (const json::Value& one : *list) {
-        Entry e;
+        Endpoint e;
         e.id = word(one, "id");
         // Without a name nothing can be told of it, not even that it is to be passed over.
         if (e.id.empty()) return std::nullopt;
@@ -77,4 +77,4 @@
     return listing;
 }
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/listing.hpp
+++ b/src/membership/endpoint_list.hpp
@@ -11,9 +11,9 @@
 #include "net/address.hpp"
 #include "types.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 
-struct Entry {
+struct Endpoint {
     std::string id;
     std::optional<net::Address> address;  // none with an address that cannot be read
     std::string zone, kind;
@@ -25,14 +25,14 @@
     bool sound() const { return state && (address || *state == RunnerState::gone); }
 };
 
-struct Listing {
+struct EndpointList {
     std::uint32_t version = 0;
     bool full = false;
-    std::vector<Entry> entries;
+    std::vector<Endpoint> entries;
 };
 
 // In discovery's own form, for another dispatcher.
-std::string spell(const Listing& listing);
-std::optional<Listing> read_listing(const json::Value& said);
+std::string format_endpoint_list(const EndpointList& listing);
+std::optional<EndpointList> parse_endpoint_list(const json::Value& said);
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/book.cpp
+++ b/src/membership/endpoint_table.cpp
@@ -1,10 +1,10 @@
-#include "roster/book.hpp"
+#include "membership/endpoint_table.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <set>
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 namespace {
 
 // A place in the list that the operators state; what they do not name shares the place behind the last.
@@ -23,7 +23,7 @@
 }  // namespace
 
 // The same at every dispatcher, since the module draws lots and circles from it.
-RunnerId Book::number_for(const std::string& id) {
+RunnerId EndpointTable::number_for(const std::string& id) {
     std::uint32_t hash = 2166136261U;
     for (const char c : id) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
     while (names_.contains(RunnerId{hash})) ++hash;
@@ -31,7 +31,7 @@
     return RunnerId{hash};
 }
 
-EndpointEntry Book::guest(const std::string& name, const std::string& kind, const std::string& zone) {
+EndpointEntry EndpointTable::guest(const std::string& name, const std::string& kind, const std::string& zone) {
     EndpointEntry e;
     const auto known =
         std::find_if(names_.begin(), names_.end(), [&](const auto& one) { return one.second == name; });
@@ -40,19 +40,19 @@
     return e;
 }
 
-const std::string& Book::name_of(RunnerId runner) const {
+const std::string& EndpointTable::name_of(RunnerId runner) const {
     static const std::string unknown = "unknown";
     const auto found = names_.find(runner);
     return found == names_.end() ? unknown : found->second;
 }
 
-std::optional<Book::News> Book::present(const std::string& id) const {
+std::optional<EndpointTable::Changes> EndpointTable::present(const std::string& id) const {
     const auto found = held_.find(id);
     if (found == held_.end()) return std::nullopt;
-    const Held& held = found->second;
-    const Entry& e = held.entry;
+    const KnownEndpoint& held = found->second;
+    const Endpoint& e = held.entry;
     const RunnerState state = e.state.value_or(RunnerState::gone);
-    News news{{UpdateScope::delta, version_, {}}, {}};
+    Changes news{{UpdateScope::delta, version_, {}}, {}};
     news.for_module.entries.push_back({held.runner, place_in<ZoneId>(zones_, e.zone),
                                        place_in<InstanceTypeId>(kinds_, e.kind), GroupId{e.group}, state,
                                        e.share, held.started_at});
@@ -60,7 +60,7 @@
     return news;
 }
 
-std::optional<Book::News> Book::take(const Listing& listing, UpdateScope scope, Micros now) {
+std::optional<EndpointTable::Changes> EndpointTable::take(const EndpointList& listing, UpdateScope scope, Micros now) {
     // A whole list counts whatever its version: a discovery that has restarted counts from the beginning.
     if (scope == UpdateScope::delta && listing.version < version_) {
         log_.warning(now, "roster: passed over changes of version ", log::field("version", listing.version),
@@ -70,17 +70,17 @@
     }
     version_ = listing.version;
     apart_ = false;
-    News news{{scope, version_, {}}, {}};
+    Changes news{{scope, version_, {}}, {}};
     std::set<std::string> listed;
-    for (const Entry& said : listing.entries) {
+    for (const Endpoint& said : listing.entries) {
         const auto known = held_.find(said.id);
         if (!said.sound()) {
             log_.warning(now, "roster: passed over the entry of ", log::field("runner", said.id), ", its ",
                          said.state ? "address" : "state", " cannot be read");
             if (known == held_.end()) continue;
         }
-        const Entry& e = said.sound() ? said : known->second.entry;
-        Held& held = known == held_.end() ? held_[e.id] : known->second;
+        const Endpoint& e = said.sound() ? said : known->second.entry;
+        KnownEndpoint& held = known == held_.end() ? held_[e.id] : known->second;
         if (held.entry.id.empty()) held.runner = number_for(e.id);
         // Reckoned once for each start: reckoned again it could differ a little, and look like another start.
         const bool restarted = !held.entry.id.empty() && held.entry.started_ms != e.started_ms;
@@ -105,4 +105,4 @@
     return news;
 }
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/book.hpp
+++ b/src/membership/endpoint_table.hpp
@@ -6,33 +6,33 @@
 #include <vector>
 
 #include "log/log.hpp"
-#include "roster/listing.hpp"
+#include "membership/endpoint_list.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 
-class Book {
+class EndpointTable {
   public:
     // gone_binds: whether connections to a runner that is called gone, or left out, are given up. Where they
     // are not, the module goes on by the runner's own answers.
-    Book(std::vector<std::string> zones, std::vector<std::string> kinds, log::Log& log,
+    EndpointTable(std::vector<std::string> zones, std::vector<std::string> kinds, log::Log& log,
          bool gone_binds = true)
         : zones_(std::move(zones)), kinds_(std::move(kinds)), log_(log), gone_binds_(gone_binds) {}
 
-    struct Seat {
+    struct ConnectionTarget {
         RunnerId runner{};
         net::Address address;
         bool open = false;
         bool restarted = false;
     };
-    struct News {
+    struct Changes {
         MembershipUpdate for_module;
-        std::vector<Seat> seats;  // for the connections
+        std::vector<ConnectionTarget> seats;  // for the connections
     };
 
     // nothing: older than what is held
-    std::optional<News> take(const Listing& listing, UpdateScope scope, Micros now);
+    std::optional<Changes> take(const EndpointList& listing, UpdateScope scope, Micros now);
     // What is held of that one, as a change; none: it was never in a list.
-    std::optional<News> present(const std::string& id) const;
+    std::optional<Changes> present(const std::string& id) const;
     std::uint32_t version() const { return version_; }
     // From where to follow: from the beginning once discovery and this book have come apart.
     std::uint32_t since() const { return apart_ ? 0 : version_; }
@@ -41,14 +41,14 @@
     void count_anew() { version_ = 0, apart_ = false; }
     bool empty() const { return held_.empty(); }
     // All that is held, for another dispatcher.
-    Listing held() const {
-        Listing all{version_, true, {}};
+    EndpointList held() const {
+        EndpointList all{version_, true, {}};
         for (const auto& [id, one] : held_)
             if (one.entry.state != RunnerState::gone) all.entries.push_back(one.entry);
         return all;
     }
     // What was last said of that one; none: it was never in a list.
-    const Entry* entry(const std::string& id) const {
+    const Endpoint* entry(const std::string& id) const {
         const auto found = held_.find(id);
         return found == held_.end() ? nullptr : &found->second.entry;
     }
@@ -69,9 +69,9 @@
     EndpointEntry guest(const std::string& name, const std::string& kind, const std::string& zone);
 
   private:
-    struct Held {
+    struct KnownEndpoint {
         RunnerId runner{};
-        Entry entry;
+        Endpoint entry;
         Micros started_at = 0;
     };
     RunnerId number_for(const std::string& id);
@@ -79,10 +79,10 @@
     const std::vector<std::string> zones_, kinds_;
     log::Log& log_;
     const bool gone_binds_;
-    std::map<std::string, Held> held_;  // once in a list, a runner stays known
+    std::map<std::string, KnownEndpoint> held_;  // once in a list, a runner stays known
     std::map<RunnerId, std::string> names_;
     std::uint32_t version_ = 0;
     bool apart_ = false;
 };
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/roster/holds.hpp
+++ b/src/membership/operator_overrides.hpp
@@ -5,11 +5,11 @@
 #include <map>
 #include <string>
 
-#include "roster/book.hpp"
+#include "membership/endpoint_table.hpp"
 
-namespace gannethold::roster {
+namespace gannethold::membership {
 
-class Holds {
+class OperatorOverrides {
   public:
     struct Hold {
         Micros since = 0;
@@ -23,15 +23,15 @@
     bool has(const std::string& runner) const { return held_.contains(runner); }
 
     // What discovery says, as the rest of the program is to hear it.
-    void lay_over(Book::News& news, const Book& book) const {
+    void lay_over(EndpointTable::Changes& news, const EndpointTable& book) const {
         if (held_.empty()) return;
         for (EndpointEntry& e : news.for_module.entries)
             if (e.state == RunnerState::ready && has(book.name_of(e.runner))) e.state = RunnerState::draining;
-        for (Book::Seat& s : news.seats) s.open = s.open && !has(book.name_of(s.runner));
+        for (EndpointTable::ConnectionTarget& s : news.seats) s.open = s.open && !has(book.name_of(s.runner));
     }
 
   private:
     std::map<std::string, Hold> held_;
 };
 
-}  // namespace gannethold::roster
+}  // namespace gannethold::membership
--- a/src/metrics/counters.cpp
+++ b/src/metrics/counters.cpp
@@ -2,16 +2,16 @@
 
 namespace gannethold::metrics {
 
-void Counters::on_answered(const std::string& workload, fronts::Answer answer) {
+void Counters::on_answered(const std::string& workload, frontend::Answer answer) {
     AnswerCounts& counts = answers_[workload];
     switch (answer) {
-        case fronts::Answer::finished:
+        case frontend::Answer::finished:
             ++counts.finished;
             return;
-        case fronts::Answer::bounced:
+        case frontend::Answer::bounced:
             ++counts.rejected;
             return;
-        case fronts::Answer::abandoned:
+        case frontend::Answer::abandoned:
             ++counts.abandoned;
             return;
     }
--- a/src/metrics/counters.hpp
+++ b/src/metrics/counters.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "fronts/front.hpp"
+#include "frontend/task_sink.hpp"
 
 namespace gannethold::metrics {
 
@@ -24,7 +24,7 @@
     // Lists the workload from now on, with zeros until its first answer.
     void add_workload(const std::string& workload) { answers_[workload]; }
     // A task's final answer. A task whose client has disconnected gets none, and is not counted.
-    void on_answered(const std::string& workload, fronts::Answer answer);
+    void on_answered(const std::string& workload, frontend::Answer answer);
     // The last byte of an assignment was passed to the operating system.
     void on_assignment_written() { ++assignments_written_; }
     void on_reload_applied() { ++reloads_applied_; }
--- a/src/operator_settings/operator_settings.hpp
+++ b/src/operator_settings/operator_settings.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "beanstalk/server.hpp"
-#include "control/desk.hpp"
+#include "control/control_server.hpp"
 #include "drain/drain.hpp"
 #include "log/log.hpp"
 #include "retry/execution_log.hpp"
@@ -24,7 +24,7 @@
 
 struct OperatorSettings {
     log::Format log_form = log::Format::plain;
-    control::Furniture control;  // empty path: no control socket
+    control::ControlOptions control;  // empty path: no control socket
     drain::DrainSettings drain;
     retry::DeduplicationSettings deduplication;
     beanstalk::Furnishing tubes;          // no listen address: disabled
--- a/src/runners/words.cpp
+++ b/src/runners/codec.cpp
@@ -1,4 +1,4 @@
-#include "runners/words.hpp"
+#include "runners/codec.hpp"
 
 #include <algorithm>
 #include <array>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Reports::Reports(std::vector<std::string> names) {
+ReportDecoder::ReportDecoder(std::vector<std::string> names) {
     for (std::string& name : names) {
         std::vector<std::string> spellings{name};
         for (const auto& [one, other] : kOtherSpellings) {
@@ -38,7 +38,7 @@
     }
 }
 
-Report Reports::in_order(const std::map<std::string, double, std::less<>>& values) const {
+Report ReportDecoder::in_order(const std::map<std::string, double, std::less<>>& values) const {
     Report report;
     for (const auto& spellings : names_) {
         const auto found = std::find_if(spellings.begin(), spellings.end(),
@@ -49,7 +49,7 @@
     return report;
 }
 
-Report Reports::read_pairs(std::string_view text) const {
+Report ReportDecoder::read_pairs(std::string_view text) const {
     std::map<std::string, double, std::less<>> values;
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
@@ -68,7 +68,7 @@
 
 namespace {
 
-Report read_load(const json::Value& load, const Reports& reports) {
+Report read_load(const json::Value& load, const ReportDecoder& reports) {
     if (const auto* text = load.get<std::string>()) return reports.read_pairs(*text);
     const auto* object = load.get<json::Object>();
     if (!object) return {};
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-Report Reports::read_object(std::string_view text) const {
+Report ReportDecoder::read_object(std::string_view text) const {
     while (!text.empty() && (text.back() == '\n' || text.back() == '\r')) text.remove_suffix(1);
     if (text.empty() || text.front() != '{') return read_pairs(text);
     try {
@@ -92,8 +92,8 @@
     }
 }
 
-Line read_line(std::string_view text, std::string_view request_id, const Reports& reports) {
-    Line line;
+TaskUpdate parse_task_update(std::string_view text, std::string_view request_id, const ReportDecoder& reports) {
+    TaskUpdate line;
     json::Value said;
     try {
         said = json::parse(text);
@@ -104,19 +104,19 @@
     const std::string* const state = said.find_string("state");
     if (!id || *id != request_id || !state) return line;
     if (*state == "started") {
-        line.state = Line::State::started;
+        line.state = TaskUpdate::State::started;
     } else if (*state == "running") {
         line.share = said.find_number("share").value_or(-1);
-        if (line.share >= 0 && line.share <= 1) line.state = Line::State::running;
+        if (line.share >= 0 && line.share <= 1) line.state = TaskUpdate::State::running;
     }
     for (const auto& [name, ending] : kLastStates)
-        if (*state == name) line.state = Line::State::last, line.ending = ending;
+        if (*state == name) line.state = TaskUpdate::State::last, line.ending = ending;
     if (const auto* load = said.find("load")) line.report = read_load(*load, reports);
     if (line.ending == net::CloseReason::done) {
         const json::Value* const result = said.find("result");
         const std::string* const words = result ? result->get<std::string>() : nullptr;
         if (!result)
-            line.state = Line::State::unreadable, line.ending = net::CloseReason::malformed;
+            line.state = TaskUpdate::State::unreadable, line.ending = net::CloseReason::malformed;
         else
             line.result = words ? *words : json::serialize(*result);
     }
--- a/src/runners/words.hpp
+++ b/src/runners/codec.hpp
@@ -13,9 +13,9 @@
 namespace gannethold::runners {
 
 // Reads load reports in the order of the names that the operators give their values.
-class Reports {
+class ReportDecoder {
   public:
-    explicit Reports(std::vector<std::string> names);
+    explicit ReportDecoder(std::vector<std::string> names);
 
     bool wanted() const { return !names_.empty(); }
     Report read_pairs(std::string_view text) const;   // a=1,b=2
@@ -27,7 +27,7 @@
 };
 
 // One line of a runner's answer.
-struct Line {
+struct TaskUpdate {
     enum class State { started, running, last, unreadable };
     State state = State::unreadable;
     net::CloseReason ending = net::CloseReason::malformed;  // of a last line
@@ -36,6 +36,6 @@
     std::string result;
 };
 
-Line read_line(std::string_view text, std::string_view request_id, const Reports& reports);
+TaskUpdate parse_task_update(std::string_view text, std::string_view request_id, const ReportDecoder& reports);
 
 }  // namespace gannethold::runners
--- a/src/runners/links.cpp
+++ b/src/runners/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "runners/links.hpp"
+#include "runners/connection_pool.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-Links::Links(net::Loop& loop, Sender& sender, Reports reports, Upkeep upkeep)
+ConnectionPool::ConnectionPool(net::Loop& loop, TransportObserver& sender, ReportDecoder reports, PoolOptions upkeep)
     : loop_(loop), sender_(sender), reports_(std::move(reports)), upkeep_(upkeep) {}
 
-Links::~Links() = default;
+ConnectionPool::~ConnectionPool() = default;
 
-void Links::seat(RunnerId runner, const net::Address& address, bool open, bool restarted) {
-    Place& place = places_[runner];
+void ConnectionPool::seat(RunnerId runner, const net::Address& address, bool open, bool restarted) {
+    Endpoint& place = places_[runner];
     const bool moved = place.address && place.address->text != address.text;
     place.address = address;
     place.open = open;
@@ -34,8 +34,8 @@
             link->stop(net::CloseReason::drained_unsent, net::CloseReason::drained_unsent);
 }
 
-void Links::assign(RunnerId runner, Errand&& errand) {
-    Link* const link = idle_or_new(runner);
+void ConnectionPool::assign(RunnerId runner, PendingCall&& errand) {
+    RunnerConnection* const link = idle_or_new(runner);
     if (!link)
         return sender_.errand_ended(
             {errand.task, errand.number, runner, net::CloseReason::out_of_sockets, 0, {}, {}});
@@ -43,32 +43,32 @@
     link->carry(std::move(errand));
 }
 
-void Links::withdraw(TaskId task, int number) {
+void ConnectionPool::withdraw(TaskId task, int number) {
     const auto found = out_.find({task, number});
     if (found != out_.end())
         found->second->stop(net::CloseReason::cancelled, net::CloseReason::cancelled_unsent);
 }
 
-void Links::probe(RunnerId runner) {
-    if (Link* const link = idle_or_new(runner))
+void ConnectionPool::probe(RunnerId runner) {
+    if (RunnerConnection* const link = idle_or_new(runner))
         link->carry_probe();
     else
         sender_.probe_ended(runner, net::CloseReason::out_of_sockets, 0, {});
 }
 
-void Links::stop_all_by(Micros at) {
+void ConnectionPool::stop_all_by(Micros at) {
     for (const auto& link : links_) link->stop_by(at);
 }
 
-void Links::close_idle(RunnerId runner) {
-    for (Link* const link : std::exchange(places_[runner].idle, {})) link->close();
+void ConnectionPool::close_idle(RunnerId runner) {
+    for (RunnerConnection* const link : std::exchange(places_[runner].idle, {})) link->close();
 }
 
-Link* Links::idle_or_new(RunnerId runner) {
-    Place& place = places_[runner];
+RunnerConnection* ConnectionPool::idle_or_new(RunnerId runner) {
+    Endpoint& place = places_[runner];
     // The one used last: it is the surest to be open still, and the rest can grow old and close.
     while (!place.idle.empty()) {
-        Link* const link = place.idle.back();
+        RunnerConnection* const link = place.idle.back();
         // Against a request that crosses the runner's close: it would count as one that may have run.
         if (link->connection_.is_stale()) {
             link->close();
@@ -84,7 +84,7 @@
 }
 
 // Short of descriptors: a connection that stands idle, to whomever, goes first.
-bool Links::close_an_idle_one() {
+bool ConnectionPool::close_an_idle_one() {
     for (auto& [id, other] : places_) {
         if (other.idle.empty()) continue;
         other.idle.front()->close();
@@ -93,25 +93,25 @@
     return false;
 }
 
-void Links::restate(const Upkeep& upkeep) {
+void ConnectionPool::restate(const PoolOptions& upkeep) {
     upkeep_ = upkeep;
     while (links_.size() - ended_.size() > upkeep_.most_links && close_an_idle_one()) {
     }
 }
 
-Link* Links::open_link(RunnerId runner, Place& place) {
-    links_.push_back(std::make_unique<Link>(*this, runner, place.address.value_or(net::Address{})));
+RunnerConnection* ConnectionPool::open_link(RunnerId runner, Endpoint& place) {
+    links_.push_back(std::make_unique<RunnerConnection>(*this, runner, place.address.value_or(net::Address{})));
     links_.back()->place_ = std::prev(links_.end());
     return links_.back().get();
 }
 
-void Links::forget_idle(Link& link) { std::erase(places_[link.runner()].idle, &link); }
+void ConnectionPool::forget_idle(RunnerConnection& link) { std::erase(places_[link.runner()].idle, &link); }
 
-void Links::sweep() {
-    for (Link* const link : std::exchange(ended_, {})) links_.erase(link->place_);
+void ConnectionPool::sweep() {
+    for (RunnerConnection* const link : std::exchange(ended_, {})) links_.erase(link->place_);
 }
 
-Link::Link(Links& links, RunnerId runner, const net::Address& address)
+RunnerConnection::RunnerConnection(ConnectionPool& links, RunnerId runner, const net::Address& address)
     : links_(links),
       runner_(runner),
       address_(address.text),
@@ -126,7 +126,7 @@
              }),
       connection_(links.loop_, *this, address, links.upkeep_.connect_limit) {}
 
-void Link::carry(Errand&& errand) {
+void RunnerConnection::carry(PendingCall&& errand) {
     errand_ = std::move(errand);
     state_ = State::errand;
     since_ = net::Loop::now();
@@ -134,24 +134,24 @@
     if (up_) begin();
 }
 
-void Link::carry_probe() {
+void RunnerConnection::carry_probe() {
     state_ = State::probe;
     since_ = net::Loop::now();
     limit_.set(since_ + links_.upkeep_.connect_limit);
     if (up_) begin();
 }
 
-void Link::on_connected() {
+void RunnerConnection::on_connected() {
     up_ = true;
     if (busy()) begin();
 }
 
-void Link::on_all_written() {
+void RunnerConnection::on_all_written() {
     if (state_ != State::errand || !begun_ || std::exchange(told_written_, true)) return;
     links_.sender_.written_whole();
 }
 
-void Link::begin() {
+void RunnerConnection::begin() {
     begun_ = true;
     told_written_ = false;
     answered_ = false;
@@ -167,7 +167,7 @@
     connection_.write(std::move(out));
 }
 
-void Link::on_bytes(std::string_view bytes) {
+void RunnerConnection::on_bytes(std::string_view bytes) {
     // Bytes that nobody asked for: whatever answer they belong to, it is not the next one's.
     if (state_ == State::idle) return close();
     answered_ = true;
@@ -192,7 +192,7 @@
     }
 }
 
-bool Link::heed_head() {
+bool RunnerConnection::heed_head() {
     report_ = links_.reports_.read_pairs(reader_.head().field("X-Server-Load"));
     // An answer that comes before the request is out belongs to no request of ours.
     if (state_ != State::errand || !connection_.has_unsent_bytes()) return true;
@@ -201,7 +201,7 @@
     return false;
 }
 
-net::CloseReason Link::by_status() const {
+net::CloseReason RunnerConnection::by_status() const {
     const http::Head& head = reader_.head();
     const bool never_ran = head.field("X-Not-Processed") == "1";
     if ((head.status == 503 || head.status == 504) && never_ran) return net::CloseReason::returned;
@@ -210,7 +210,7 @@
     return net::CloseReason::malformed;
 }
 
-bool Link::heed_piece() {
+bool RunnerConnection::heed_piece() {
     const auto give_up = [this] {
         settle(net::CloseReason::malformed);
         close();
@@ -234,22 +234,22 @@
     return true;
 }
 
-bool Link::heed_line(std::string_view text) {
+bool RunnerConnection::heed_line(std::string_view text) {
     if (text.find_first_not_of(" \t\r") == std::string_view::npos) return true;
-    Line line;
-    if (state_ == State::errand) line = read_line(text, errand_.request_id, links_.reports_);
+    TaskUpdate line;
+    if (state_ == State::errand) line = parse_task_update(text, errand_.request_id, links_.reports_);
     switch (line.state) {
-        case Line::State::started:
+        case TaskUpdate::State::started:
             links_.sender_.progressed(errand_.task, errand_.number, runner_, Stage::begun, 0);
             return true;
-        case Line::State::running:
+        case TaskUpdate::State::running:
             links_.sender_.progressed(errand_.task, errand_.number, runner_, Stage::progress, line.share);
             return true;
-        case Line::State::last:
+        case TaskUpdate::State::last:
             if (line.report.empty()) line.report = std::move(report_);
             settle(line.ending, std::move(line.report), std::move(line.result));
             return true;
-        case Line::State::unreadable:
+        case TaskUpdate::State::unreadable:
             // Also a line after the last one: a runner that goes on talking is not to be followed.
             settle(net::CloseReason::malformed);
             close();
@@ -258,7 +258,7 @@
     return true;
 }
 
-void Link::heed_end() {
+void RunnerConnection::heed_end() {
     if (state_ == State::probe) {
         Report report = links_.reports_.read_object(line_.to_string());
         if (report.empty()) report = std::move(report_);
@@ -285,8 +285,8 @@
         close();
 }
 
-void Link::keep() {
-    Links::Place& place = links_.places_[runner_];
+void RunnerConnection::keep() {
+    ConnectionPool::Endpoint& place = links_.places_[runner_];
     if (!place.open || place.address->text != address_) return close();
     state_ = State::idle;
     begun_ = false;
@@ -297,7 +297,7 @@
 }
 
 // The one end of an errand or probe; what still comes on the connection is only read to its end.
-void Link::settle(net::CloseReason ending, Report&& report, std::string&& result) {
+void RunnerConnection::settle(net::CloseReason ending, Report&& report, std::string&& result) {
     if (!busy()) return;
     if (net::is_request_written(ending)) on_all_written();  // where its end is read before the loop says so
     const bool probe = state_ == State::probe;
@@ -310,20 +310,20 @@
         {errand_.task, errand_.number, runner_, ending, elapsed, std::move(report), std::move(result)});
 }
 
-void Link::stop(net::CloseReason sent, net::CloseReason unsent) {
+void RunnerConnection::stop(net::CloseReason sent, net::CloseReason unsent) {
     if (!busy()) return;
     const bool all_out = begun_ && !connection_.has_unsent_bytes();
     settle(all_out ? sent : unsent);
     close();
 }
 
-void Link::stop_by(Micros at) {
+void RunnerConnection::stop_by(Micros at) {
     if (state_ != State::errand || errand_.stop_at <= at) return;
     errand_.stop_at = at;
     limit_.set(at);
 }
 
-void Link::close() {
+void RunnerConnection::close() {
     if (state_ == State::over) return;
     if (state_ == State::idle) links_.forget_idle(*this);
     settle(net::CloseReason::closed);
@@ -335,7 +335,7 @@
     links_.ended_.push_back(this);
 }
 
-void Link::on_closed(net::CloseReason ending) {
+void RunnerConnection::on_closed(net::CloseReason ending) {
     if (!begun_ && busy() && up_) ending = net::CloseReason::broken_unsent;
     // An answer that goes on until the connection closes ends properly by that.
     if (ending == net::CloseReason::ended_early && state_ == State::errand &&
--- a/src/runners/port.hpp
+++ b/src/runners/transport.hpp
@@ -11,7 +11,7 @@
 namespace gannethold::runners {
 
 // One assignment on its way to a runner.
-struct Errand {
+struct PendingCall {
     TaskId task{};
     int number = 0;
     std::string request_id;
@@ -20,7 +20,7 @@
     Micros stop_at = 0;
 };
 
-struct ErrandEnded {
+struct CallEnded {
     TaskId task{};
     int number = 0;
     RunnerId runner{};
@@ -31,27 +31,27 @@
 };
 
 // Who hears of it; also from inside a call to a port, so it must only take note.
-class Sender {
+class TransportObserver {
   public:
-    virtual void errand_ended(ErrandEnded&& ended) = 0;
+    virtual void errand_ended(CallEnded&& ended) = 0;
     virtual void written_whole() = 0;  // the last byte of an assignment was given to the system
     virtual void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) = 0;
     virtual void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) = 0;
 
   protected:
-    ~Sender() = default;
+    ~TransportObserver() = default;
 };
 
-class Port {
+class Transport {
   public:
-    virtual void assign(RunnerId runner, Errand&& errand) = 0;
+    virtual void assign(RunnerId runner, PendingCall&& errand) = 0;
     virtual void withdraw(TaskId task, int number) = 0;  // nothing where it is not out by this port
     virtual void probe(RunnerId runner) = 0;
     virtual void close_idle(RunnerId runner) = 0;
     virtual void stop_all_by(Micros at) = 0;  // no assignment that is out now may be out longer
 
   protected:
-    ~Port() = default;
+    ~Transport() = default;
 };
 
 }  // namespace gannethold::runners
--- a/src/simhost/host.cpp
+++ b/src/sim_host/host.cpp
@@ -1,20 +1,20 @@
-#include "simhost/host.hpp"
+#include "sim_host/host.hpp"
 
 #include <exception>
 #include <istream>
 #include <ostream>
 #include <set>
 
-namespace gannethold::simhost {
+namespace gannethold::sim_host {
 
-using simwire::BadFrame;
-using simwire::InstanceId;
+using sim_protocol::BadFrame;
+using sim_protocol::InstanceId;
 
-std::string Host::answer(const simwire::Batch& batch) {
+std::string Host::answer(const sim_protocol::Batch& batch) {
     std::set<InstanceId> spoken_to;
     std::map<InstanceId, std::string> failures;
     for (const auto& record : batch.records) {
-        if (std::holds_alternative<simwire::Killed>(record.what)) {
+        if (std::holds_alternative<sim_protocol::Killed>(record.what)) {
             if (!instances_.erase(record.instance)) throw BadFrame("kill of an unknown instance", record.at);
             spoken_to.erase(record.instance);
             failures.erase(record.instance);
@@ -22,7 +22,7 @@
         }
         if (failures.contains(record.instance)) continue;
         try {
-            if (const auto* created = std::get_if<simwire::Created>(&record.what)) {
+            if (const auto* created = std::get_if<sim_protocol::Created>(&record.what)) {
                 instances_[record.instance].reset();
                 instances_[record.instance] = std::make_unique<Balancer>(created->orders, created->seed);
             } else {
@@ -38,7 +38,7 @@
         }
         spoken_to.insert(record.instance);
     }
-    simwire::ReplyWriter reply;
+    sim_protocol::ReplyWriter reply;
     std::vector<Action> actions;
     for (const InstanceId who : spoken_to) {
         actions.clear();
@@ -67,17 +67,17 @@
     std::string bytes;
     try {
         for (;;) {
-            bytes.resize(simwire::kHeaderBytes);
+            bytes.resize(sim_protocol::kHeaderBytes);
             in.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
             if (in.gcount() == 0) return 0;
             bytes.resize(static_cast<std::size_t>(in.gcount()));
-            const simwire::Header header = simwire::read_header(bytes, at);
+            const sim_protocol::Header header = sim_protocol::read_header(bytes, at);
             at += bytes.size();
             bytes.resize(header.length);
             in.read(bytes.data(), header.length);
             if (in.gcount() != static_cast<std::streamsize>(header.length))
                 throw BadFrame("input ends inside a frame", at + static_cast<std::size_t>(in.gcount()));
-            const std::string reply = host.answer(simwire::read_batch(header, bytes, at));
+            const std::string reply = host.answer(sim_protocol::read_batch(header, bytes, at));
             at += bytes.size();
             out.write(reply.data(), static_cast<std::streamsize>(reply.size())).flush();
         }
@@ -87,4 +87,4 @@
     }
 }
 
-}  // namespace gannethold::simhost
+}  // namespace gannethold::sim_host
--- a/src/simhost/host.hpp
+++ b/src/sim_host/host.hpp
@@ -7,19 +7,19 @@
 #include <string>
 
 #include "balancer.hpp"
-#include "simwire/wire.hpp"
+#include "sim_protocol/sim_protocol.hpp"
 
-namespace gannethold::simhost {
+namespace gannethold::sim_host {
 
 class Host {
   public:
-    std::string answer(const simwire::Batch& batch);
+    std::string answer(const sim_protocol::Batch& batch);
 
   private:
-    std::map<simwire::InstanceId, std::unique_ptr<Balancer>> instances_;
+    std::map<sim_protocol::InstanceId, std::unique_ptr<Balancer>> instances_;
 };
 
 // Plays frames until the input ends; returns the exit status.
 int serve(std::istream& in, std::ostream& out, std::ostream& complaints);
 
-}  // namespace gannethold::simhost
+}  // namespace gannethold::sim_host
--- a/src/simwire/wire.cpp
+++ b/src/sim_protocol/sim_protocol.cpp
@@ -1,4 +1,4 @@
-#include "simwire/wire.hpp"
+#include "sim_protocol/sim_protocol.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -6,7 +6,7 @@
 
 #include "settings/settings_format.hpp"
 
-namespace gannethold::simwire {
+namespace gannethold::sim_protocol {
 namespace {
 
 class Cursor {
@@ -307,4 +307,4 @@
     return framed + body_;
 }
 
-}  // namespace gannethold::simwire
+}  // namespace gannethold::sim_protocol
--- a/src/simwire/wire.hpp
+++ b/src/sim_protocol/sim_protocol.hpp
@@ -8,7 +8,7 @@
 
 #include "types.hpp"
 
-namespace gannethold::simwire {
+namespace gannethold::sim_protocol {
 
 enum class InstanceId : std::uint16_t {};
 
@@ -54,4 +54,4 @@
     std::string body_;
 };
 
-}  // namespace gannethold::simwire
+}  // namespace gannethold::sim_protocol
--- a/tests/admin/admin_requests_test.cpp
+++ b/tests/admin/admin_requests_test.cpp
@@ -10,8 +10,8 @@
     "counts") {
     metrics::Counters counters;
     counters.add_workload("a\"b\\c\nd");
-    counters.on_answered("gone", fronts::Answer::abandoned);
-    counters.on_answered("gone", fronts::Answer::finished);
+    counters.on_answered("gone", frontend::Answer::abandoned);
+    counters.on_answered("gone", frontend::Answer::finished);
     const std::string all = admin::format_metrics(counters, {3, 2, 1});
     CHECK(all.find("app_succeeded_total{service=\"a\\\"b\\\\c\\nd\"} 0\n") != std::string::npos);
     CHECK(all.find("app_aborted_total{service=\"gone\"} 1\n") != std::string::npos);
--- a/tests/control_stories.cpp
+++ b/tests/control_test.cpp
@@ -4,7 +4,7 @@
 #include <sys/stat.h>
 #include <sys/un.h>
 
-#include "control/desk.hpp"
+#include "control/control_server.hpp"
 #include "control/tables.hpp"
 
 using namespace gannethold;
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -208,7 +208,7 @@
 
 TEST_CASE("orders at the admin address and on the control socket are one drain, and a signal ends both") {
     DispatcherFixture fixture = make_fixture();
-    auto& office = static_cast<control::Office&>(*fixture.dispatcher);
+    auto& office = static_cast<control::RequestHandler&>(*fixture.dispatcher);
     json::Object order;
     order["deadline_s"] = json::Value(json::Number{"60"});
     office.answer("drain", json::Value(order), "ada");
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -76,8 +76,8 @@
                 if (const auto* w = std::get_if<WakeAt>(&a)) wakes_.insert(w->at);
                 if (const auto* s = std::get_if<Assign>(&a)) assign(*s);
                 if (const auto* b = std::get_if<Bounce>(&a))
-                    answer(b->task, fronts::Answer::bounced, b->retry_after);
-                if (const auto* b = std::get_if<Abandon>(&a)) answer(b->task, fronts::Answer::abandoned, 0);
+                    answer(b->task, frontend::Answer::bounced, b->retry_after);
+                if (const auto* b = std::get_if<Abandon>(&a)) answer(b->task, frontend::Answer::abandoned, 0);
                 if (const auto* w = std::get_if<Withdraw>(&a)) exchange.withdraw(w->task, w->assignment);
                 if (const auto* p = std::get_if<Probe>(&a)) exchange.probe(p->runner);
             }
@@ -141,9 +141,9 @@
     void worker_room(RunnerId worker, double slots) override {
         balancer.apply(now, CapacityReported{worker, slots});
     }
-    void errand_ended(runners::ErrandEnded&& e) override {
+    void errand_ended(runners::CallEnded&& e) override {
         const bool finished = e.ending == net::CloseReason::done;
-        if (finished) answer(e.task, fronts::Answer::finished, 0);
+        if (finished) answer(e.task, frontend::Answer::finished, 0);
         const Outcome outcome = finished                                         ? Outcome::finished
                                 : e.ending == net::CloseReason::returned         ? Outcome::full
                                 : e.ending == net::CloseReason::timed_out_unsent ? Outcome::not_started
@@ -179,7 +179,7 @@
                         {wanted.task, t.assignments++, "", "", nullptr,
                          wanted.deadline > 0 ? std::min(wanted.deadline, t.expiry) : t.expiry});
     }
-    void answer(TaskId task, fronts::Answer answer, Micros stay_away) {
+    void answer(TaskId task, frontend::Answer answer, Micros stay_away) {
         Task& t = tasks[task];
         answers_twice += !t.waits;
         answers_late += now > t.expiry;
--- a/tests/metrics/counters_test.cpp
+++ b/tests/metrics/counters_test.cpp
@@ -8,10 +8,10 @@
 TEST_CASE("answers are counted by workload and in total, and a workload added again keeps its counts") {
     Counters counters;
     counters.add_workload("idle");
-    counters.on_answered("a", fronts::Answer::finished);
-    counters.on_answered("a", fronts::Answer::bounced);
-    counters.on_answered("b", fronts::Answer::finished);
-    counters.on_answered("b", fronts::Answer::abandoned);
+    counters.on_answered("a", frontend::Answer::finished);
+    counters.on_answered("a", frontend::Answer::bounced);
+    counters.on_answered("b", frontend::Answer::finished);
+    counters.on_answered("b", frontend::Answer::abandoned);
     counters.add_workload("a");
     REQUIRE(counters.answers_by_workload().size() == 3);
     CHECK(counters.answers_by_workload().at("idle").finished == 0);
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -2,8 +2,8 @@
 #include "helpers.hpp"
 #include "http/writer.hpp"
 #include "json/json.hpp"
-#include "roster/book.hpp"
-#include "runners/words.hpp"
+#include "membership/endpoint_table.hpp"
+#include "runners/codec.hpp"
 
 using namespace gannethold;
 
@@ -151,10 +151,10 @@
 }
 
 TEST_CASE("a runner's lines and load reports are read; what cannot be is one that may have run") {
-    const runners::Reports reports({"x0", "q", "rif"});
-    using State = runners::Line::State;
+    const runners::ReportDecoder reports({"x0", "q", "rif"});
+    using State = runners::TaskUpdate::State;
     const auto read = [&](const std::string& rest) {
-        return runners::read_line("{\"id\":\"7\"," + rest + "}", "7", reports);
+        return runners::parse_task_update("{\"id\":\"7\"," + rest + "}", "7", reports);
     };
     const auto done = read(R"("state":"done","result":"a\nb","load":{"inflight":7,"queue":2,"x0":1})");
     CHECK(done.state == State::last);
@@ -169,7 +169,7 @@
     for (const std::string bad : {R"("state":"running","share":1.5)", R"("state":"running")",
                                   R"("state":"odd")", R"("state":"done")", R"("state":1)", R"("state")"})
         CHECK(read(bad).state == State::unreadable);
-    CHECK(runners::read_line(R"({"id":"8","state":"done","result":""})", "7", reports).state ==
+    CHECK(runners::parse_task_update(R"({"id":"8","state":"done","result":""})", "7", reports).state ==
           State::unreadable);
     CHECK(reports.read_pairs("rif=7,q=2, x0=0.5") == Report{0.5, 2, 7});
     CHECK(reports.read_pairs("rif=7,q=2").empty());
@@ -212,9 +212,9 @@
 TEST_CASE("the roster keeps its last good entries and numbers, and passes over what is older") {
     std::ostringstream said;
     log::Log log(said, log::Level::info);
-    roster::Book book({"a"}, {"m"}, log);
+    membership::EndpointTable book({"a"}, {"m"}, log);
     const auto take = [&](const std::string& text, UpdateScope scope) {
-        const auto listing = roster::read_listing(json::parse(text));
+        const auto listing = membership::parse_endpoint_list(json::parse(text));
         REQUIRE(listing);
         return book.take(*listing, scope, 100'000'000);
     };
@@ -251,7 +251,7 @@
     CHECK_FALSE(nobody->seats.at(0).open);
     for (const std::string bad : {"{}", "{\"version\":1,\"servers\":{}}", "{\"version\":-1,\"servers\":[]}",
                                   "{\"version\":1,\"servers\":[{}]}"})
-        CHECK_FALSE(roster::read_listing(json::parse(bad)));
+        CHECK_FALSE(membership::parse_endpoint_list(json::parse(bad)));
 }
 
 TEST_CASE("a configuration that cannot be served says why in one line") {
--- a/tests/wire_stories.cpp
+++ b/tests/sim_protocol_test.cpp
@@ -4,10 +4,10 @@
 #include <sstream>
 
 #include "settings/settings_format.hpp"
-#include "simhost/host.hpp"
+#include "sim_host/host.hpp"
 
 using namespace gannethold;
-using namespace gannethold::simwire;
+using namespace gannethold::sim_protocol;
 
 namespace {
 
@@ -39,7 +39,7 @@
 Played play(const std::string& bytes) {
     std::istringstream in(bytes);
     std::ostringstream out, complaints;
-    const int status = simhost::serve(in, out, complaints);
+    const int status = sim_host::serve(in, out, complaints);
     return {status, out.str(), complaints.str()};
 }
 
--- a/tests/socket_stories.cpp
+++ b/tests/socket_stories.cpp
@@ -1,6 +1,6 @@
 #include "dispatcher/outcomes.hpp"
 #include "helpers.hpp"
-#include "runners/links.hpp"
+#include "runners/connection_pool.hpp"
 
 using namespace gannethold;
 using net::CloseReason;
@@ -14,9 +14,9 @@
 }
 
 // Connections to one runner, and what their sender hears.
-struct Street : runners::Sender {
-    Street() : links(loop, *this, runners::Reports({"rif"}), {100'000, 200'000, 4}) { seat(true); }
-    void errand_ended(runners::ErrandEnded&& e) override { ended.push_back(std::move(e)); }
+struct Street : runners::TransportObserver {
+    Street() : links(loop, *this, runners::ReportDecoder({"rif"}), {100'000, 200'000, 4}) { seat(true); }
+    void errand_ended(runners::CallEnded&& e) override { ended.push_back(std::move(e)); }
     void written_whole() override { ++written; }
     void progressed(TaskId, int, RunnerId, Stage, double share) override { shares.push_back(share); }
     void probe_ended(RunnerId, CloseReason ending, Micros, Report&& report) override {
@@ -59,8 +59,8 @@
     int written = 0;
     net::Loop loop{256};
     TestListener listener;
-    runners::Links links;
-    std::vector<runners::ErrandEnded> ended;
+    runners::ConnectionPool links;
+    std::vector<runners::CallEnded> ended;
     std::vector<double> shares;
     std::vector<std::pair<CloseReason, Report>> probes;
     std::uint64_t sent = 0;
@@ -648,9 +648,9 @@
     log::Log log(said, log::Level::debug);
     std::vector<std::uint32_t> versions;
     int failures = 0;
-    roster::Follower follower(
+    membership::DiscoveryClient follower(
         loop, *net::Address::parse(discovery.address()), log,
-        [&](const roster::Listing& listing) { return versions.push_back(listing.version), true; },
+        [&](const membership::EndpointList& listing) { return versions.push_back(listing.version), true; },
         [&] { ++failures; });
     const auto told = [&](const std::string& answer, bool hangs_up) {
         const std::size_t before = discovery.connections().size();
