--- a/src/beanstalk/exchange.cpp
+++ b/src/beanstalk/exchange.cpp
@@ -397,15 +397,15 @@
     const auto worker = workers_.find(runner);
     Session* const s = worker == workers_.end() ? nullptr : &sessions_.at(worker->second);
     // Against an assignment that crosses the end of a reserve: it was never told of the job.
-    if (!s || !s->waiting || errand.stop_at <= now_)
-        return floor_.errand_ended(
+    if (!s || !s->waiting || errand.deadline <= now_)
+        return floor_.on_call_ended(
             {errand.task, errand.number, runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
     const auto known = jobs_of_.find(errand.task);
     const bool of_queue = known != jobs_of_.end();
     const JobId id = of_queue ? known->second : queue_.next_id();
     Held held;
     held.session = s->id, held.worker = runner, held.since = now_, held.of_queue = of_queue;
-    held.run = of_queue ? queue_.find(id)->time_to_run : errand.stop_at - now_;
+    held.run = of_queue ? queue_.find(id)->time_to_run : errand.deadline - now_;
     held.errand = std::move(errand);
     held_of_[held.errand.task].push_back({id, s->id});
     const auto place = held_.emplace(Grip{id, s->id}, std::move(held)).first;
@@ -435,7 +435,7 @@
     auto& [grip, held] = *place;
     limits_.erase({held.limit, grip});
     nearly_.erase({held.limit - trade_.margin, grip});
-    held.limit = std::min(limit, held.errand.stop_at);
+    held.limit = std::min(limit, held.errand.deadline);
     limits_.emplace(held.limit, grip);
     nearly_.emplace(held.limit - trade_.margin, grip);
 }
@@ -454,7 +454,7 @@
     Session& s = sessions_.at(session);
     --s.held;
     tell_room(s);
-    floor_.errand_ended(
+    floor_.on_call_ended(
         {held.errand.task, held.errand.number, held.worker, ending, now_ - held.since, {}, {}});
     // A harmless job whose worker is lost or late lies in its tube again, and goes to whoever asks next, also
     // to the same one. Of any other the module says what becomes of it.
@@ -475,9 +475,9 @@
     }
 }
 
-void Exchange::stop_all_by(Micros at) {
+void Exchange::limit_deadlines(Micros at) {
     for (auto held = held_.begin(); held != held_.end(); ++held) {
-        held->second.errand.stop_at = std::min(held->second.errand.stop_at, at);
+        held->second.errand.deadline = std::min(held->second.errand.deadline, at);
         set_limit(held, held->second.limit);
     }
 }
@@ -642,7 +642,7 @@
     return true;
 }
 
-void Exchange::answer(TaskId task, frontend::Answer answer, std::string_view, Micros stay_away) {
+void Exchange::on_answer(TaskId task, frontend::Answer answer, std::string_view, Micros retry_after) {
     const auto known = jobs_of_.find(task);
     if (known == jobs_of_.end()) return;
     const JobId id = known->second;
@@ -658,7 +658,7 @@
             drop_job(*job);
             break;  // its tube may be gone with it
         case frontend::Answer::bounced:
-            queue_.delay(*job, now_, std::clamp<Micros>(stay_away, 1'000, kLongestAway));
+            queue_.delay(*job, now_, std::clamp<Micros>(retry_after, 1'000, kLongestAway));
             due(job->due_at);
             break;
         case frontend::Answer::abandoned:
--- a/src/beanstalk/exchange.hpp
+++ b/src/beanstalk/exchange.hpp
@@ -67,8 +67,8 @@
     virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;  // what it holds and what it waits for
-    virtual void errand_ended(runners::CallEnded&& ended) = 0;
-    virtual void probe_ended(RunnerId worker) = 0;
+    virtual void on_call_ended(runners::CallEnded&& ended) = 0;
+    virtual void on_probe_ended(RunnerId worker) = 0;
 
   protected:
     ~Floor() = default;
@@ -112,13 +112,14 @@
     const queue::JobQueue& queue() const { return queue_; }
 
     // ---- Asker: how a task that was a job ended ----
-    void answer(TaskId task, frontend::Answer answer, std::string_view result, Micros stay_away) override;
+    void on_answer(TaskId task, frontend::Answer answer, std::string_view result,
+                   Micros retry_after) override;
     // ---- Port: what the module gives to workers ----
     void assign(RunnerId runner, runners::PendingCall&& errand) override;
     void withdraw(TaskId task, int number) override;
-    void probe(RunnerId runner) override { floor_.probe_ended(runner); }
+    void probe(RunnerId runner) override { floor_.on_probe_ended(runner); }
     void close_idle(RunnerId) override {}
-    void stop_all_by(Micros at) override;
+    void limit_deadlines(Micros at) override;
 
   private:
     // A job in a worker's hands.
--- a/src/beanstalk/server.hpp
+++ b/src/beanstalk/server.hpp
@@ -38,8 +38,8 @@
     virtual void worker_serves(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void worker_leaves(RunnerId worker) = 0;
     virtual void worker_room(RunnerId worker, double slots) = 0;
-    virtual void errand_ended(runners::CallEnded&& ended) = 0;
-    virtual void probe_ended(RunnerId worker) = 0;
+    virtual void on_call_ended(runners::CallEnded&& ended) = 0;
+    virtual void on_probe_ended(RunnerId worker) = 0;
 
   protected:
     ~House() = default;
@@ -89,8 +89,8 @@
     }
     void worker_leaves(RunnerId worker) override { house_.worker_leaves(worker); }
     void worker_room(RunnerId worker, double slots) override { house_.worker_room(worker, slots); }
-    void errand_ended(runners::CallEnded&& ended) override { house_.errand_ended(std::move(ended)); }
-    void probe_ended(RunnerId worker) override { house_.probe_ended(worker); }
+    void on_call_ended(runners::CallEnded&& ended) override { house_.on_call_ended(std::move(ended)); }
+    void on_probe_ended(RunnerId worker) override { house_.on_probe_ended(worker); }
 
     net::Loop& loop_;
     House& house_;
--- a/src/clients/request.cpp
+++ b/src/clients/request.cpp
@@ -9,11 +9,11 @@
 namespace gannethold::clients {
 namespace {
 
-constexpr std::size_t kLongestId = 128;
+constexpr std::size_t kMaxIdBytes = 128;
 // What two readers could take differently if it came twice.
 constexpr std::array kSingle = {"Host",    "X-Request-ID", "X-Timeout",   "X-Tenant-Id", "Idempotency-Key",
                                 "X-Attrs", "X-Retried",    "Content-Type"};
-constexpr Micros kLongestPatience = 24 * 3'600'000'000LL;  // a day; more is taken for a mistake
+constexpr Micros kMaxTimeout = 24 * 3'600'000'000LL;  // a day; more is taken for a mistake
 
 std::optional<double> number(std::string_view text) {
     double value = 0;
@@ -28,7 +28,7 @@
     if (text.empty() || (text.back() != 'm' && text.back() != 'u')) return std::nullopt;
     const auto value = number(text.substr(0, text.size() - 1));
     const double micros = value.value_or(-1) * (text.back() == 'm' ? 1000 : 1);
-    if (!(micros >= 1) || micros > static_cast<double>(kLongestPatience)) return std::nullopt;
+    if (!(micros >= 1) || micros > static_cast<double>(kMaxTimeout)) return std::nullopt;
     return static_cast<Micros>(micros);
 }
 
@@ -41,7 +41,7 @@
 
 // Goes on to runners as it is: visible letters only, and no more than anybody needs.
 bool is_name(std::string_view text) {
-    return text.size() <= kLongestId &&
+    return text.size() <= kMaxIdBytes &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -86,8 +86,8 @@
         const auto expiry = orders.find(at + "expiry_us");
         if (expiry == orders.end()) return;
         const auto micros = number(expiry->second);
-        if (micros && *micros > 0 && *micros < kLongestPatience)
-            longest[id] = static_cast<Micros>(*micros) * 64;
+        if (micros && *micros > 0 && *micros < kMaxTimeout)
+            max_timeouts[id] = static_cast<Micros>(*micros) * 64;
     });
     read(
         "customers", customers, [](unsigned i) { return i; }, [](CustomerId, const std::string&) {});
@@ -112,20 +112,20 @@
         if (customer == directory.customers.end()) return Refused{400, "no such tenant"};
         r.customer = customer->second;
     }
-    const auto patience = span(head.field("X-Timeout"));
-    if (!patience) return Refused{400, "X-Timeout is missing or no time span"};
+    const auto timeout = span(head.field("X-Timeout"));
+    if (!timeout) return Refused{400, "X-Timeout is missing or no time span"};
     // Against a time that nobody means: the task would be held, or out at a runner that hangs, as long.
-    const auto longest = directory.longest.find(r.workload);
-    if (longest != directory.longest.end() && *patience > longest->second)
+    const auto max_timeouts = directory.max_timeouts.find(r.workload);
+    if (max_timeouts != directory.max_timeouts.end() && *timeout > max_timeouts->second)
         return Refused{400, "X-Timeout is far beyond what this class waits"};
-    r.patience = *patience;
+    r.timeout = *timeout;
     r.fingerprint = head.field("Idempotency-Key");
     if (!is_name(r.fingerprint)) return Refused{400, "Idempotency-Key is no key"};
     // Without it a runner could not drop a repeat, so a further assignment might have its effect twice.
     if (r.fingerprint.empty() && directory.fingerprinted.contains(r.workload))
         return Refused{400, "this class needs an Idempotency-Key"};
     if (!read_figures(head.field("X-Attrs"), r)) return Refused{400, "X-Attrs cannot be read"};
-    r.repeat = head.field("X-Retried") == "1";
+    r.is_retry = head.field("X-Retried") == "1";
     r.method = head.method;
     r.target = head.target;
     r.content_type = head.field("Content-Type");
--- a/src/clients/request.hpp
+++ b/src/clients/request.hpp
@@ -20,7 +20,7 @@
     std::map<std::string, WorkloadId, std::less<>> workloads;
     std::map<std::string, CustomerId, std::less<>> customers;
     std::set<WorkloadId> fingerprinted;
-    std::map<WorkloadId, Micros> longest;  // that a client of this workload can mean to wait
+    std::map<WorkloadId, Micros> max_timeouts;  // that a client of this workload can mean to wait
 
     // places: where the workloads stand in the module, in the orders' order; none: as they stand there.
     explicit Directory(const SettingsMap& orders, const std::vector<WorkloadId>& places = {});
--- a/src/clients/server.cpp
+++ b/src/clients/server.cpp
@@ -10,12 +10,12 @@
 namespace gannethold::clients {
 namespace {
 
-constexpr std::size_t kMostBody = 64 * 1024;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
 // For a request to come whole, counted from the connect or, on a kept connection, from its first byte: bytes
 // that drip in win no time. At a restart a stalled one holds up the exit no longer than the second.
-constexpr Micros kPatience = 2'000'000, kPatienceLeaving = 300'000;
-constexpr Micros kLookForStalled = 100'000;
-constexpr Micros kHalfCome = 100'000;  // what has come in part for longer may go when room is short
+constexpr Micros kRequestTimeout = 2'000'000, kRequestTimeoutInShutdown = 300'000;
+constexpr Micros kStalledCheckInterval = 100'000;
+constexpr Micros kIncompleteGrace = 100'000;  // what has come in part for longer may go when room is short
 
 int status_of(http::ReadError fault) {
     switch (fault) {
@@ -38,17 +38,17 @@
 
 }  // namespace
 
-Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& taker,
-               Room room, log::Log& log)
+Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory,
+               TaskSink& task_sink, Room room, log::Log& log)
     : loop_(loop),
       directory_(directory),
-      taker_(taker),
+      task_sink_(task_sink),
       room_(room),
       log_(log),
       listener_(
           loop, door, [this](evutil_socket_t socket) { accept(socket); }, [this] { make_room(); }),
-      stalled_(loop, [this] { check_stalled(); }) {
-    stalled_.set(net::Loop::now() + kLookForStalled);
+      stalled_timer_(loop, [this] { close_stalled(); }) {
+    stalled_timer_.set(net::Loop::now() + kStalledCheckInterval);
 }
 
 Server::~Server() = default;
@@ -65,19 +65,19 @@
 void Server::make_room() {
     using State = Session::State;
     const Micros now = net::Loop::now();
-    const auto told = [](const Session& s) {
+    const auto answered = [](const Session& s) {
         return s.state_ == State::closing && !s.connection_.has_unsent_bytes();
     };
-    const auto silent = [](const Session& s) { return s.state_ == State::idle && !s.served_; };
-    const auto half_said = [now](const Session& s) {
-        return s.state_ == State::reading && !s.served_ && now - s.since_ > kHalfCome;
+    const auto silent = [](const Session& s) { return s.state_ == State::idle && !s.has_submitted_; };
+    const auto incomplete = [now](const Session& s) {
+        return s.state_ == State::reading && !s.has_submitted_ && now - s.started_at_ > kIncompleteGrace;
     };
     const auto idle = [](const Session& s) { return s.state_ == State::idle; };
-    for (const std::function<bool(const Session&)>& goes :
-         {std::function<bool(const Session&)>(told), {silent}, {half_said}, {idle}}) {
+    for (const std::function<bool(const Session&)>& may_close :
+         {std::function<bool(const Session&)>(answered), {silent}, {incomplete}, {idle}}) {
         for (const auto& session : sessions_) {
             // Against closing one whose request is here but was not read yet.
-            if (!goes(*session) || (session->state_ == State::idle && session->connection_.is_stale()))
+            if (!may_close(*session) || (session->state_ == State::idle && session->connection_.is_stale()))
                 continue;
             session->connection_.close();
             return session->on_closed(net::CloseReason::closed);
@@ -93,20 +93,20 @@
 
 // What comes beyond the room is turned away before the module sees it: never sent, so harmless to try again.
 // Against a backlog of tasks that are lost because no descriptor is left to take them.
-bool Server::full() const { return waiting_ >= room_.tasks || live() > room_.sessions; }
+bool Server::is_full() const { return waiting_ >= room_.tasks || live() > room_.sessions; }
 
 // Against clients that say nothing, or begin a request and never end it: each would hold a descriptor and a
 // block for ever. One that has been served before may stand idle.
-void Server::check_stalled() {
+void Server::close_stalled() {
     const Micros now = net::Loop::now();
     for (const auto& session : sessions_) {
-        if (now - session->since_ <= (leaving_ ? kPatienceLeaving : kPatience)) continue;
+        if (now - session->started_at_ <= (leaving_ ? kRequestTimeoutInShutdown : kRequestTimeout)) continue;
         if (session->state_ == Session::State::reading)
             session->refuse(408, "the request came no further");
-        else if (session->state_ == Session::State::idle && (leaving_ || !session->spoke_))
+        else if (session->state_ == Session::State::idle && (leaving_ || !session->has_begun_))
             session->state_ = Session::State::closing, session->connection_.finish();
     }
-    stalled_.set(now + kLookForStalled);
+    stalled_timer_.set(now + kStalledCheckInterval);
 }
 
 void Server::leave() {
@@ -129,9 +129,10 @@
 }
 
 std::size_t Server::idle() const {
-    return static_cast<std::size_t>(std::count_if(
-        sessions_.begin(), sessions_.end(),
-        [](const auto& session) { return session->state_ == Session::State::idle && session->served_; }));
+    return static_cast<std::size_t>(
+        std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
+            return session->state_ == Session::State::idle && session->has_submitted_;
+        }));
 }
 
 void Server::keep_idle(std::size_t most) {
@@ -139,7 +140,8 @@
     for (const auto& session : sessions_) {
         if (open <= most) return;
         // Against closing one whose request is here but was not read yet.
-        if (session->state_ != Session::State::idle || !session->served_ || session->connection_.is_stale())
+        if (session->state_ != Session::State::idle || !session->has_submitted_ ||
+            session->connection_.is_stale())
             continue;
         session->state_ = Session::State::closing;
         session->connection_.finish();
@@ -156,7 +158,7 @@
       connection_(server.loop_, *this, socket),
       reader_(http::MessageKind::request, server.loop_.block_pool()),
       body_(server.loop_.block_pool()),
-      since_(net::Loop::now()) {}
+      started_at_(net::Loop::now()) {}
 
 void Session::touch() {
     last_byte_at_ = net::Loop::now();
@@ -179,10 +181,10 @@
                 return;
             case http::ReadResult::head:
                 if (waits) begin();
-                if (!heed_head()) return;
+                if (!on_head()) return;
                 break;
             case http::ReadResult::body:
-                if (body_.size() + reader_.body_piece().size() > kMostBody)
+                if (body_.size() + reader_.body_piece().size() > kMaxBodyBytes)
                     return refuse(413, "body too large");
                 if (server_.loop_.block_pool().is_scarce() || !body_.append(reader_.body_piece()))
                     return refuse(503, "no buffer left");
@@ -192,7 +194,7 @@
                 // request hides in another. A client sends one at a time here.
                 if (request_ && (!bytes.empty() || connection_.is_stale()))
                     return refuse(400, "more than the request is long");
-                heed_end();
+                on_request_end();
                 break;
             case http::ReadResult::error:
                 return refuse(status_of(reader_.error()), "malformed request");
@@ -201,20 +203,20 @@
     // The same once the task is out already. It was never what the client meant, so it is not served.
     if (state_ == State::waiting && !bytes.empty()) {
         set_waiting(false);
-        server_.taker_.left(task_);
+        server_.task_sink_.on_client_disconnected(task_);
         refuse(400, "more than the request is long");
     }
 }
 
 void Session::begin() {
     state_ = State::reading;
-    if (spoke_) since_ = net::Loop::now();
-    spoke_ = true;
+    if (has_begun_) started_at_ = net::Loop::now();
+    has_begun_ = true;
 }
 
-bool Session::heed_head() {
+bool Session::on_head() {
     const http::Head& head = reader_.head();
-    last_answer_ = !head.is_keep_alive;
+    closes_after_answer_ = !head.is_keep_alive;
     request_.reset();
     if (head.method == "GET" && head.path() == "/healthz") return true;
     auto read = read_request(head, server_.directory_);
@@ -224,11 +226,11 @@
     }
     request_ = std::move(std::get<Request>(read));
     // Said before the body has come: nobody is to send in vain what will not be taken.
-    if (reader_.body_length() > kMostBody) {
+    if (reader_.body_length() > kMaxBodyBytes) {
         refuse(413, "body too large");
         return false;
     }
-    if (server_.taker_.knows(request_->id)) {
+    if (server_.task_sink_.is_known_request(request_->id)) {
         refuse(409, "a request with this id is under way");
         return false;
     }
@@ -237,56 +239,57 @@
     return true;
 }
 
-void Session::heed_end() {
+void Session::on_request_end() {
     reader_.restart();
     if (!request_) {
         body_.clear();
         state_ = State::idle;
-        const bool ready = server_.taker_.ready() && server_.bearing_.healthy;
-        return say(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
+        const bool ready = server_.task_sink_.is_ready() && server_.bearing_.healthy;
+        return respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
     }
     // One id twice at once would look like a second copy at the runners; another may have come meanwhile.
-    if (server_.taker_.knows(request_->id)) return refuse(409, "a request with this id is under way");
+    if (server_.task_sink_.is_known_request(request_->id))
+        return refuse(409, "a request with this id is under way");
     if (server_.bearing_.turns_away) {
-        return turn_away("drained\n");
+        return reject("drained\n");
     }
-    if (server_.full()) {
+    if (server_.is_full()) {
         server_.log_.warning(last_byte_at_, "clients: no room, turned away ",
                              log::field("request", request_->id), "; ", server_.waiting_, " tasks wait on ",
                              server_.sessions_.size(), " connections");
-        return turn_away("no room\n");
+        return reject("no room\n");
     }
-    served_ = true;
+    has_submitted_ = true;
     set_waiting(true);
-    task_ = server_.taker_.take(*this, std::move(*request_), std::move(body_), last_byte_at_);
+    task_ = server_.task_sink_.submit(*this, std::move(*request_), std::move(body_), last_byte_at_);
 }
 
-void Session::turn_away(std::string_view why) {
-    last_answer_ = true;
+void Session::reject(std::string_view why) {
+    closes_after_answer_ = true;
     body_.clear();
-    server_.taker_.turned_away(request_->workload);
-    say(503, why, server_.room_.stay_away);
+    server_.task_sink_.on_rejected(request_->workload);
+    respond(503, why, server_.room_.retry_after);
 }
 
-void Session::answer(TaskId, Answer answer, std::string_view result, Micros stay_away) {
+void Session::on_answer(TaskId, Answer answer, std::string_view result, Micros retry_after) {
     if (state_ != State::waiting) return;
     set_waiting(false);
     switch (answer) {
         case Answer::finished:
-            return say(200, result);
+            return respond(200, result);
         case Answer::bounced:
-            return say(503, "try again\n", stay_away);
+            return respond(503, "try again\n", retry_after);
         case Answer::abandoned:
-            return say(502, "given up\n");
+            return respond(502, "given up\n");
     }
 }
 
-void Session::say(int status, std::string_view body, Micros stay_away) {
+void Session::respond(int status, std::string_view body, Micros retry_after) {
     auto head = http::Writer::response(status);
     head.content_length(body.size());
-    if (stay_away > 0) head.field("Retry-After", seconds(stay_away));
-    if (server_.bearing_.last_answers) last_answer_ = true;
-    if (last_answer_) head.field("Connection", "close");
+    if (retry_after > 0) head.field("Retry-After", seconds(retry_after));
+    if (server_.bearing_.last_answers) closes_after_answer_ = true;
+    if (closes_after_answer_) head.field("Connection", "close");
     net::BlockBuffer out(server_.loop_.block_pool());
     if (!out.append(head.head()) || !out.append(body)) {
         // No buffer for the answer: a connection that ends is all that can still be said.
@@ -294,7 +297,7 @@
         return on_closed(net::CloseReason::closed);
     }
     connection_.write(std::move(out));
-    if (last_answer_) {
+    if (closes_after_answer_) {
         state_ = State::closing;
         connection_.finish();
     }
@@ -307,10 +310,10 @@
 
 void Session::refuse(int status, std::string_view why) {
     server_.log_.debug(net::Loop::now(), "clients: refused with ", log::field("status", status), ": ", why);
-    last_answer_ = true;
+    closes_after_answer_ = true;
     reader_.restart();
     body_.clear();
-    say(status, std::string(why) + "\n", status == 503 ? server_.room_.stay_away : 0);
+    respond(status, std::string(why) + "\n", status == 503 ? server_.room_.retry_after : 0);
 }
 
 void Session::on_closed(net::CloseReason) {
@@ -319,7 +322,7 @@
     set_waiting(false);
     state_ = State::over;
     server_.ended_.push_back(this);
-    if (waited) server_.taker_.left(task_);
+    if (waited) server_.task_sink_.on_client_disconnected(task_);
 }
 
 }  // namespace gannethold::clients
--- a/src/clients/server.hpp
+++ b/src/clients/server.hpp
@@ -21,7 +21,7 @@
 // How much the server may have open, and for how long it sends away who comes beyond that.
 struct Room {
     std::size_t sessions = 64, tasks = 64;
-    Micros stay_away = 0;
+    Micros retry_after = 0;
 };
 
 // What the dispatcher wants of the front while it drains or leaves.
@@ -33,7 +33,7 @@
 
 class Server {
   public:
-    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& taker,
+    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& task_sink,
            Room room, log::Log& log);
     ~Server();
 
@@ -62,12 +62,12 @@
     void accept(evutil_socket_t socket);
     void make_room();
     std::size_t live() const { return sessions_.size() - ended_.size(); }
-    bool full() const;
-    void check_stalled();
+    bool is_full() const;
+    void close_stalled();
 
     net::Loop& loop_;
     const Directory& directory_;
-    TaskSink& taker_;
+    TaskSink& task_sink_;
     Room room_;
     log::Log& log_;
     std::size_t waiting_ = 0;  // tasks that a client waits for
@@ -76,7 +76,7 @@
     Sessions sessions_;  // the one that was used longest ago stands first
     std::vector<Session*> ended_;
     net::Listener listener_;
-    net::Timer stalled_;
+    net::Timer stalled_timer_;
 };
 
 // One client's connection. It carries one request at a time.
@@ -85,7 +85,7 @@
     Session(Server& server, evutil_socket_t socket);
 
     // The final answer to the task under way; stay_away goes along with a bounce.
-    void answer(TaskId task, Answer answer, std::string_view result, Micros stay_away) override;
+    void on_answer(TaskId task, Answer answer, std::string_view result, Micros retry_after) override;
 
   private:
     friend class Server;
@@ -93,11 +93,11 @@
 
     void on_bytes(std::string_view bytes) override;
     void on_closed(net::CloseReason ending) override;
-    bool heed_head();
-    void heed_end();
-    void say(int status, std::string_view body, Micros stay_away = 0);
+    bool on_head();
+    void on_request_end();
+    void respond(int status, std::string_view body, Micros retry_after = 0);
     void refuse(int status, std::string_view why);
-    void turn_away(std::string_view why);
+    void reject(std::string_view why);
     void begin();
     void set_waiting(bool waits);
     void touch();
@@ -110,9 +110,9 @@
     TaskId task_{};
     State state_ = State::idle;
     Micros last_byte_at_ = 0;
-    Micros since_;  // when it connected or, on a kept connection, when the present request began
-    bool last_answer_ = false;
-    bool spoke_ = false, served_ = false;  // a request has begun on it; a task of it was taken
+    Micros started_at_;  // when it connected or, on a kept connection, when the present request began
+    bool closes_after_answer_ = false;
+    bool has_begun_ = false, has_submitted_ = false;  // a request has begun on it; a task of it was taken
     Server::Sessions::iterator place_;
 };
 
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -17,8 +17,8 @@
 
 constexpr const char* kCommands[] = {"status",  "runners", "tasks",   "failures", "drain",
                                      "undrain", "hold",    "release", "kick",     "follow"};
-constexpr int kLookEvery = 200'000;  // microseconds
-constexpr int kBar = 30;
+constexpr int kPollIntervalMicros = 200'000;  // microseconds
+constexpr int kBarWidth = 30;
 
 volatile std::sig_atomic_t interrupted = 0;
 
@@ -28,25 +28,25 @@
     return json::Value(json::Number{text});
 }
 
-json::Object request_of(const Command& e) {
+json::Object request_of(const Command& command) {
     json::Object o;
-    o["do"] = json::Value(e.command);
-    if (!e.by.empty()) o["by"] = json::Value(e.by);
-    if (!e.why.empty()) o["why"] = json::Value(e.why);
-    if (e.deadline_s) o["deadline_s"] = number(*e.deadline_s);
-    if (e.ticket) o["ticket"] = json::Value(json::Number{std::to_string(*e.ticket)});
-    if (e.after) o["after"] = json::Value(json::Number{std::to_string(*e.after)});
-    if (e.command == "kick") o["job"] = json::Value(json::Number{e.argument});
-    if (e.command == "hold" || e.command == "release") o["runner"] = json::Value(e.argument);
+    o["do"] = json::Value(command.name);
+    if (!command.by.empty()) o["by"] = json::Value(command.by);
+    if (!command.why.empty()) o["why"] = json::Value(command.why);
+    if (command.deadline_s) o["deadline_s"] = number(*command.deadline_s);
+    if (command.ticket) o["ticket"] = json::Value(json::Number{std::to_string(*command.ticket)});
+    if (command.after) o["after"] = json::Value(json::Number{std::to_string(*command.after)});
+    if (command.name == "kick") o["job"] = json::Value(json::Number{command.argument});
+    if (command.name == "hold" || command.name == "release") o["runner"] = json::Value(command.argument);
     return o;
 }
 
 // Until it is drained. Whoever stops waiting stops nothing else: the drain lives in the dispatcher.
-int wait_for_drain(ControlClient& caller, bool json) {
+int wait_for_drain(ControlClient& client, bool json) {
     const bool terminal = isatty(STDOUT_FILENO) && !json;
     double most = 1;
     for (;;) {
-        const json::Value status = caller.ask({{"do", json::Value(std::string("status"))}});
+        const json::Value status = client.call({{"do", json::Value(std::string("status"))}});
         const json::Value* const drain = status.find("drain");
         const std::string* const phase = drain ? drain->find_string("phase") : nullptr;
         if (!phase) throw ConnectionError("the dispatcher says nothing of its drain");
@@ -54,9 +54,9 @@
         most = std::max(most, left);
         const bool over = *phase == "drained" || *phase == "serving";
         if (terminal) {
-            const int full = static_cast<int>(kBar * (1 - left / most));
+            const int full = static_cast<int>(kBarWidth * (1 - left / most));
             std::string line = "[" + std::string(static_cast<std::size_t>(full), '#') +
-                               std::string(static_cast<std::size_t>(kBar - full), '.') + "] " +
+                               std::string(static_cast<std::size_t>(kBarWidth - full), '.') + "] " +
                                drain_line(*drain);
             std::cout << '\r' << line.substr(0, terminal_width() - 1) << "\033[K" << std::flush;
         }
@@ -71,25 +71,26 @@
                              "back)\n";
             return *phase == "drained" ? kDone : over ? kUndone : kInterrupted;
         }
-        usleep(kLookEvery);
+        usleep(kPollIntervalMicros);
     }
 }
 
-int follow(ControlClient& caller, const Command& e) {
-    const json::Value answer = caller.ask(request_of(e));
+int follow(ControlClient& client, const Command& command) {
+    const json::Value answer = client.call(request_of(command));
     const json::Value* const missed = answer.find("missed");
     const bool all = missed && missed->get<bool>() && *missed->get<bool>();
     const double some = answer.find_number("missed").value_or(0);
-    if (e.json)
+    if (command.json)
         std::cout << json::serialize(answer) << '\n' << std::flush;
     else if (all)
         std::cout << "(another dispatcher's sequence: what was before is not known here)\n" << std::flush;
     else if (some > 0)
         std::cout << "(" << static_cast<long long>(some) << " changes were missed)\n" << std::flush;
     while (!interrupted) {
-        const auto change = caller.next(500);
+        const auto change = client.next(500);
         if (change)
-            std::cout << (e.json ? json::serialize(*change) : change_line(*change)) << '\n' << std::flush;
+            std::cout << (command.json ? json::serialize(*change) : change_line(*change)) << '\n'
+                      << std::flush;
     }
     return kDone;
 }
@@ -100,47 +101,47 @@
     return std::find(std::begin(kCommands), std::end(kCommands), name) != std::end(kCommands);
 }
 
-int run(const Command& e) {
+int run(const Command& command) {
     const auto note = [](int) { interrupted = 1; };
     std::signal(SIGINT, note);
     std::signal(SIGTERM, note);
     try {
-        if ((e.command == "hold" || e.command == "release") && e.argument.empty()) {
-            std::cerr << "gannethold: " << e.command
+        if ((command.name == "hold" || command.name == "release") && command.argument.empty()) {
+            std::cerr << "gannethold: " << command.name
                       << " needs the name of a runner (gannethold runners shows them)\n";
             return kUsage;
         }
-        if (e.command == "kick" &&
-            (e.argument.empty() || e.argument.find_first_not_of("0123456789") != std::string::npos)) {
+        if (command.name == "kick" && (command.argument.empty() || command.argument.find_first_not_of(
+                                                                       "0123456789") != std::string::npos)) {
             std::cerr << "gannethold: kick needs the number of a job\n";
             return kUsage;
         }
-        if (e.command == "drain" && !e.deadline_s) {
+        if (command.name == "drain" && !command.deadline_s) {
             std::cerr << "gannethold: drain needs --deadline SECONDS\n";
             return kUsage;
         }
-        ControlClient caller(e.socket);
-        if (e.command == "follow") return follow(caller, e);
-        const json::Value answer = caller.ask(request_of(e));
-        if (e.command == "drain" && e.wait) {
-            if (!e.json) std::cout << drain_line(answer) << '\n';
-            return wait_for_drain(caller, e.json);
+        ControlClient client(command.socket);
+        if (command.name == "follow") return follow(client, command);
+        const json::Value answer = client.call(request_of(command));
+        if (command.name == "drain" && command.wait) {
+            if (!command.json) std::cout << drain_line(answer) << '\n';
+            return wait_for_drain(client, command.json);
         }
         const std::size_t width = terminal_width();
-        if (e.json)
+        if (command.json)
             std::cout << json::serialize(answer) << '\n';
-        else if (e.command == "status")
+        else if (command.name == "status")
             write_status(std::cout, answer);
-        else if (e.command == "runners")
+        else if (command.name == "runners")
             write_runners(std::cout, answer, width);
-        else if (e.command == "tasks")
+        else if (command.name == "tasks")
             write_tasks(std::cout, answer, width);
-        else if (e.command == "failures")
+        else if (command.name == "failures")
             write_failures(std::cout, answer, width);
-        else if (e.command == "drain" || e.command == "undrain")
+        else if (command.name == "drain" || command.name == "undrain")
             std::cout << drain_line(answer) << '\n';
         else
-            std::cout << e.argument << (e.command == "hold" ? " is held" : " is released") << '\n';
+            std::cout << command.argument << (command.name == "hold" ? " is held" : " is released") << '\n';
         return kDone;
     } catch (const Refused& refused) {
         std::cerr << "gannethold: refused: " << refused.what() << '\n';
--- a/src/control/commands.hpp
+++ b/src/control/commands.hpp
@@ -12,7 +12,7 @@
 
 // What was given on the command line.
 struct Command {
-    std::string command, socket, argument, why, by;
+    std::string name, socket, argument, why, by;
     std::optional<double> deadline_s;
     std::optional<std::uint64_t> ticket, after;
     bool json = false, wait = false;
@@ -22,6 +22,6 @@
 
 bool is_command(const std::string& name);
 // The exit status, as above. What is printed goes to standard output, why it was not done to standard error.
-int run(const Command& errand);
+int run(const Command& command);
 
 }  // namespace gannethold::control
--- a/src/control/control_client.cpp
+++ b/src/control/control_client.cpp
@@ -13,7 +13,7 @@
 
 namespace gannethold::control {
 namespace {
-constexpr int kAnswerWithin = 5'000;  // milliseconds
+constexpr int kAnswerTimeoutMs = 5'000;  // milliseconds
 }
 
 ControlClient::ControlClient(const std::string& path) {
@@ -30,25 +30,25 @@
     close(socket_);
     if (why == ENOENT)
         throw ConnectionError("there is no socket " + path +
-                          ": is control.socket set, and the dispatcher started with --operator?");
+                              ": is control.socket set, and the dispatcher started with --operator?");
     if (why == EACCES || why == EPERM)
         throw ConnectionError("not permitted on " + path +
-                          ": ask as the user that the dispatcher runs as, or as root");
+                              ": ask as the user that the dispatcher runs as, or as root");
     if (why == ECONNREFUSED)
         throw ConnectionError("nobody serves on " + path +
-                          ": the dispatcher that made it is gone; start it again");
+                              ": the dispatcher that made it is gone; start it again");
     throw ConnectionError("cannot speak to " + path + ": " + std::strerror(why));
 }
 
 ControlClient::~ControlClient() { close(socket_); }
 
-std::optional<std::string> ControlClient::line(int milliseconds) {
+std::optional<std::string> ControlClient::read_line(int milliseconds) {
     using Clock = std::chrono::steady_clock;
     const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     for (;;) {
-        if (const auto end = got_.find('\n'); end != std::string::npos) {
-            std::string text = got_.substr(0, end);
-            got_.erase(0, end + 1);
+        if (const auto end = received_.find('\n'); end != std::string::npos) {
+            std::string text = received_.substr(0, end);
+            received_.erase(0, end + 1);
             return text;
         }
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now()).count();
@@ -60,11 +60,11 @@
         char space[65536];
         const ssize_t n = recv(socket_, space, sizeof space, 0);
         if (n <= 0) throw ConnectionError("the dispatcher has ended the conversation");
-        got_.append(space, static_cast<std::size_t>(n));
+        received_.append(space, static_cast<std::size_t>(n));
     }
 }
 
-json::Value ControlClient::ask(json::Object request) {
+json::Value ControlClient::call(json::Object request) {
     request["v"] = json::Value(json::Number{std::to_string(kVersion)});
     const std::string text = json::serialize(json::Value(std::move(request))) + "\n";
     for (std::size_t done = 0; done < text.size();) {
@@ -72,9 +72,9 @@
         if (n <= 0) break;  // its last word may still be there to be read
         done += static_cast<std::size_t>(n);
     }
-    const auto said = line(kAnswerWithin);
-    if (!said) throw ConnectionError("the dispatcher does not answer");
-    const json::Value answer = json::parse(*said);
+    const auto answer_text = read_line(kAnswerTimeoutMs);
+    if (!answer_text) throw ConnectionError("the dispatcher does not answer");
+    const json::Value answer = json::parse(*answer_text);
     const json::Value* const ok = answer.find("ok");
     if (ok && ok->get<bool>() && *ok->get<bool>()) return answer;
     const std::string* const why = answer.find_string("why");
@@ -82,9 +82,9 @@
 }
 
 std::optional<json::Value> ControlClient::next(int milliseconds) {
-    const auto said = line(milliseconds);
-    if (!said) return std::nullopt;
-    return json::parse(*said);
+    const auto answer_text = read_line(milliseconds);
+    if (!answer_text) return std::nullopt;
+    return json::parse(*answer_text);
 }
 
 }  // namespace gannethold::control
--- a/src/control/control_client.hpp
+++ b/src/control/control_client.hpp
@@ -23,16 +23,18 @@
     ControlClient(const ControlClient&) = delete;
     ControlClient& operator=(const ControlClient&) = delete;
 
-    // Throws Refused with the dispatcher's word, ConnectionError where the connection ends or no answer comes.
-    json::Value ask(json::Object request);
-    // The next line of a follower; none within that time. Throws ConnectionError once the connection has ended.
+    // Throws Refused with the dispatcher's word, ConnectionError where the connection ends or no answer
+    // comes.
+    json::Value call(json::Object request);
+    // The next line of a follower; none within that time. Throws ConnectionError once the connection has
+    // ended.
     std::optional<json::Value> next(int milliseconds);
 
   private:
-    std::optional<std::string> line(int milliseconds);
+    std::optional<std::string> read_line(int milliseconds);
 
     int socket_ = -1;
-    std::string got_;
+    std::string received_;
 };
 
 }  // namespace gannethold::control
--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -27,7 +27,7 @@
 }
 
 // Whether somebody answers there.
-bool alive(const sockaddr_un& at) {
+bool has_listener(const sockaddr_un& at) {
     const int one = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     const bool there =
         connect(one, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || errno == EAGAIN;
@@ -57,166 +57,166 @@
 
 class ControlServer::Session {
   public:
-    Session(ControlServer& desk, evutil_socket_t socket, std::string by)
-        : desk_(desk),
+    Session(ControlServer& server, evutil_socket_t socket, std::string by)
+        : server_(server),
           by_(std::move(by)),
-          limit_(desk.loop_, [this] { end(); }),
-          stream_(bufferevent_socket_new(desk.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE),
+          limit_(server.loop_, [this] { end(); }),
+          stream_(bufferevent_socket_new(server.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE),
                   &bufferevent_free) {
         bufferevent_setcb(
             stream_.get(), [](bufferevent*, void* self) { static_cast<Session*>(self)->read(); },
             [](bufferevent*, void* self) { static_cast<Session*>(self)->written(); },
             [](bufferevent*, short, void* self) { static_cast<Session*>(self)->end(); }, this);
-        bufferevent_setwatermark(stream_.get(), EV_READ, 0, desk.furniture_.longest_line + 2);
+        bufferevent_setwatermark(stream_.get(), EV_READ, 0, server.options_.max_line_bytes + 2);
         bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
         wait();
     }
 
-    void say(const std::string& line) {
-        if (over) return;
+    void send_line(const std::string& line) {
+        if (is_over) return;
         // Against a client that asks or follows and does not read: it is cut off, and finds out by the
         // sequence.
         evbuffer* const out = bufferevent_get_output(stream_.get());
-        if (evbuffer_get_length(out) + line.size() > desk_.furniture_.longest_unread) return end();
+        if (evbuffer_get_length(out) + line.size() > server_.options_.max_unsent_bytes) return end();
         evbuffer_add(out, line.data(), line.size());
     }
 
-    bool over = false, follows = false;
+    bool is_over = false, follows = false;
 
   private:
     void wait() {
         if (follows)
             limit_.cancel();
         else
-            limit_.set(net::Loop::now() + desk_.furniture_.patience);
+            limit_.set(net::Loop::now() + server_.options_.line_timeout);
     }
     void read() {
         evbuffer* const in = bufferevent_get_input(stream_.get());
-        while (!over && !closing_) {
+        while (!is_over && !closing_) {
             std::size_t length = 0;
             const evbuffer_ptr end_of_line = evbuffer_search_eol(in, nullptr, &length, EVBUFFER_EOL_LF);
             if (end_of_line.pos < 0) {
-                if (evbuffer_get_length(in) > desk_.furniture_.longest_line)
+                if (evbuffer_get_length(in) > server_.options_.max_line_bytes)
                     refuse_and_close("a line is too long");
                 return;
             }
             std::string line(static_cast<std::size_t>(end_of_line.pos), '\0');
             evbuffer_remove(in, line.data(), line.size());
             evbuffer_drain(in, length);
-            if (line.size() > desk_.furniture_.longest_line) return refuse_and_close("a line is too long");
-            heed(line);
+            if (line.size() > server_.options_.max_line_bytes) return refuse_and_close("a line is too long");
+            on_line(line);
         }
     }
-    void heed(const std::string& line) {
-        json::Value asked;
+    void on_line(const std::string& line) {
+        json::Value request;
         try {
-            asked = json::parse(line);
+            request = json::parse(line);
         } catch (const json::ParseError& e) {
             return refuse_and_close(std::string("not JSON: ") + e.what());
         }
-        const std::string* const what = asked.find_string("do");
-        const auto version = asked.find_number("v");
-        if (!version || !what) return say(refusal("a request is an object with \"v\" and \"do\""));
+        const std::string* const what = request.find_string("do");
+        const auto version = request.find_number("v");
+        if (!version || !what) return send_line(refusal("a request is an object with \"v\" and \"do\""));
         if (*version != kVersion)
-            return say(refusal("version " + std::to_string(static_cast<long>(*version)) +
-                               " is not spoken here, " + std::to_string(kVersion) + " is"));
-        if (*what == "follow") return follow(asked);
+            return send_line(refusal("version " + std::to_string(static_cast<long>(*version)) +
+                                     " is not spoken here, " + std::to_string(kVersion) + " is"));
+        if (*what == "follow") return follow(request);
         try {
-            json::Object o = desk_.office_.answer(*what, asked, by_);
+            json::Object o = server_.handler_.on_request(*what, request, by_);
             o["v"] = number(kVersion);
             o["ok"] = json::Value(true);
-            say(json::serialize(json::Value(std::move(o))) + "\n");
+            send_line(json::serialize(json::Value(std::move(o))) + "\n");
         } catch (const Refused& e) {
-            say(refusal(e.what()));
+            send_line(refusal(e.what()));
         }
-        if (!over) wait();
+        if (!is_over) wait();
     }
-    void follow(const json::Value& asked) {
-        const auto after = asked.find_number("after");
+    void follow(const json::Value& request) {
+        const auto after = request.find_number("after");
         const std::uint64_t from =
-            after && *after >= 0 ? static_cast<std::uint64_t>(*after) : desk_.published_;
+            after && *after >= 0 ? static_cast<std::uint64_t>(*after) : server_.published_;
         const std::uint64_t first =
-            desk_.changes_.empty() ? desk_.published_ + 1 : desk_.changes_.front().first;
+            server_.changes_.empty() ? server_.published_ + 1 : server_.changes_.front().first;
         json::Object o;
         o["v"] = number(kVersion);
         o["ok"] = json::Value(true);
-        o["seq"] = number(desk_.published_);
+        o["seq"] = number(server_.published_);
         // A sequence that is ahead of ours belongs to a process before this one: all of it was missed.
-        const bool other = from > desk_.published_;
+        const bool other = from > server_.published_;
         o["missed"] = other ? json::Value(true) : number(from + 1 < first ? first - from - 1 : 0);
-        say(json::serialize(json::Value(std::move(o))) + "\n");
+        send_line(json::serialize(json::Value(std::move(o))) + "\n");
         follows = true;
         wait();
-        for (const auto& [sequence, line] : desk_.changes_)
-            if (sequence > from || other) say(line);
+        for (const auto& [sequence, line] : server_.changes_)
+            if (sequence > from || other) send_line(line);
     }
     void refuse_and_close(const std::string& why) {
-        say(refusal(why));
+        send_line(refusal(why));
         closing_ = true;
         bufferevent_disable(stream_.get(), EV_READ);
         limit_.set(net::Loop::now() + 1'000'000);
-        if (!over && evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0) end();
+        if (!is_over && evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0) end();
     }
     void written() {
         if (closing_) end();
     }
     void end() {
-        if (std::exchange(over, true)) return;
+        if (std::exchange(is_over, true)) return;
         limit_.cancel();
         // Freed in the sweep: we may be inside one of its callbacks.
         bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
     }
 
-    ControlServer& desk_;
+    ControlServer& server_;
     const std::string by_;
     net::Timer limit_;
     std::unique_ptr<bufferevent, decltype(&bufferevent_free)> stream_;
     bool closing_ = false;
 };
 
-ControlServer::ControlServer(net::Loop& loop, const ControlOptions& furniture, RequestHandler& office, log::Log& log)
-    : loop_(loop), furniture_(furniture), office_(office), log_(log) {
-    const sockaddr_un at = address(furniture_.path);
-    const int door = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (door < 0) throw std::runtime_error("no descriptor for the control socket");
+ControlServer::ControlServer(net::Loop& loop, const ControlOptions& options, RequestHandler& handler,
+                             log::Log& log)
+    : loop_(loop), options_(options), handler_(handler), log_(log) {
+    const sockaddr_un at = address(options_.path);
+    const int listener = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (listener < 0) throw std::runtime_error("no descriptor for the control socket");
     struct stat before {};
-    if (lstat(furniture_.path.c_str(), &before) == 0) {
+    if (lstat(options_.path.c_str(), &before) == 0) {
         // Only a socket of a process that is dead may be replaced: never a file, and never a live one's.
-        if (!S_ISSOCK(before.st_mode) || alive(at)) {
-            close(door);
-            throw std::runtime_error(S_ISSOCK(before.st_mode)
-                                         ? "another process serves on " + furniture_.path
-                                         : furniture_.path + " is there and is no socket");
+        if (!S_ISSOCK(before.st_mode) || has_listener(at)) {
+            close(listener);
+            throw std::runtime_error(S_ISSOCK(before.st_mode) ? "another process serves on " + options_.path
+                                                              : options_.path + " is there and is no socket");
         }
-        unlink(furniture_.path.c_str());
+        unlink(options_.path.c_str());
     }
     // Made as nobody's but ours from the first moment: a change after the bind would leave a gap.
-    const mode_t usual = umask(0177);
-    const bool bound = bind(door, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
-    umask(usual);
-    if (!bound || listen(door, 16) != 0) {
+    const mode_t previous_mask = umask(0177);
+    const bool bound = bind(listener, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
+    umask(previous_mask);
+    if (!bound || listen(listener, 16) != 0) {
         const std::string why = std::strerror(errno);
-        close(door);
-        throw std::runtime_error("cannot listen on " + furniture_.path + ": " + why);
+        close(listener);
+        throw std::runtime_error("cannot listen on " + options_.path + ": " + why);
     }
-    door_.reset(evconnlistener_new(
+    listener_.reset(evconnlistener_new(
         loop.base(),
         [](evconnlistener*, evutil_socket_t s, sockaddr*, int, void* self) {
             static_cast<ControlServer*>(self)->accept(s);
         },
-        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, door));
-    if (!door_) throw std::runtime_error("cannot listen on " + furniture_.path);
+        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, listener));
+    if (!listener_) throw std::runtime_error("cannot listen on " + options_.path);
 }
 
 ControlServer::~ControlServer() {
-    if (door_) unlink(furniture_.path.c_str());
+    if (listener_) unlink(options_.path.c_str());
 }
 
 void ControlServer::accept(evutil_socket_t socket) {
     ucred who{};
     socklen_t length = sizeof who;
     const bool known = getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &who, &length) == 0;
-    const auto turn_away = [&](const std::string& why) {
+    const auto refuse = [&](const std::string& why) {
         const std::string line = refusal(why);
         (void)!send(socket, line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         close(socket);
@@ -224,24 +224,24 @@
     if (!known || (who.uid != geteuid() && who.uid != 0)) {
         log_.warning(net::Loop::now(), "control: turned away ",
                      log::field("user", known ? name_of(who.uid) : "somebody"));
-        return turn_away("only the user that the dispatcher runs as, or root, may ask");
+        return refuse("only the user that the dispatcher runs as, or root, may ask");
     }
     const auto live = static_cast<std::size_t>(
-        std::count_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->over; }));
-    if (live >= furniture_.clients) return turn_away("too many are asking at once; try again");
+        std::count_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->is_over; }));
+    if (live >= options_.max_clients) return refuse("too many are asking at once; try again");
     sessions_.push_back(std::make_unique<Session>(*this, socket, name_of(who.uid)));
 }
 
 void ControlServer::publish(json::Object change) {
     change["seq"] = number(++published_);
     changes_.emplace_back(published_, json::serialize(json::Value(std::move(change))) + "\n");
-    if (changes_.size() > furniture_.remembered) changes_.pop_front();
+    if (changes_.size() > options_.max_remembered_changes) changes_.pop_front();
     for (auto& s : sessions_)
-        if (s->follows) s->say(changes_.back().second);
+        if (s->follows) s->send_line(changes_.back().second);
 }
 
-void ControlServer::sweep() {
-    std::erase_if(sessions_, [](const auto& s) { return s->over; });
+void ControlServer::erase_ended() {
+    std::erase_if(sessions_, [](const auto& s) { return s->is_over; });
 }
 
 }  // namespace gannethold::control
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -1,6 +1,6 @@
 // An operator's way in: a Unix-domain socket in the file system, one JSON object a line each way.
 //
-//   asked:     {"v":1,"do":"status"}
+//   request:     {"v":1,"do":"status"}
 //   answered:  {"v":1,"ok":true,...}   or   {"v":1,"ok":false,"why":"..."}
 //
 // Who may: whoever the system says runs as the dispatcher's own user, or as root. Bounded in clients, in what
@@ -33,11 +33,11 @@
     using std::runtime_error::runtime_error;
 };
 
-// Who answers. A request is an object; what is asked for stands in "do". Throws Refused.
+// Who answers. A request is an object; what is request for stands in "do". Throws Refused.
 class RequestHandler {
   public:
-    virtual json::Object answer(const std::string& what, const json::Value& request,
-                                const std::string& by) = 0;
+    virtual json::Object on_request(const std::string& command, const json::Value& request,
+                                    const std::string& by) = 0;
 
   protected:
     ~RequestHandler() = default;
@@ -46,26 +46,27 @@
 // What a desk is furnished with.
 struct ControlOptions {
     std::string path;
-    std::size_t clients = 8;
-    std::size_t longest_line = 64 * 1024;
-    std::size_t longest_unread = 1024 * 1024;  // bytes that wait for one client to read them
-    Micros patience = 10'000'000;    // for a line to come whole, and for a silent client that follows nothing
-    std::size_t remembered = 1'000;  // changes, for a follower that comes back
+    std::size_t max_clients = 8;
+    std::size_t max_line_bytes = 64 * 1024;
+    std::size_t max_unsent_bytes = 1024 * 1024;  // bytes that wait for one client to read them
+    Micros line_timeout =
+        10'000'000;  // for a line to come whole, and for a silent client that follows nothing
+    std::size_t max_remembered_changes = 1'000;  // changes, for a follower that comes back
 };
 
 class ControlServer {
   public:
     // Throws std::runtime_error where another process serves on that path or it cannot be made. A file left
     // by a dead process is taken over.
-    ControlServer(net::Loop& loop, const ControlOptions& furniture, RequestHandler& office, log::Log& log);
+    ControlServer(net::Loop& loop, const ControlOptions& options, RequestHandler& handler, log::Log& log);
     ~ControlServer();
     ControlServer(const ControlServer&) = delete;
     ControlServer& operator=(const ControlServer&) = delete;
 
     // Goes to all who follow, and is remembered for those who come back.
     void publish(json::Object change);
-    void sweep();
-    std::size_t clients() const { return sessions_.size(); }
+    void erase_ended();
+    std::size_t client_count() const { return sessions_.size(); }
     std::uint64_t published() const { return published_; }
 
   private:
@@ -73,13 +74,13 @@
     void accept(evutil_socket_t socket);
 
     net::Loop& loop_;
-    const ControlOptions furniture_;
-    RequestHandler& office_;
+    const ControlOptions options_;
+    RequestHandler& handler_;
     log::Log& log_;
     std::list<std::unique_ptr<Session>> sessions_;
     std::deque<std::pair<std::uint64_t, std::string>> changes_;
     std::uint64_t published_ = 0;
-    std::unique_ptr<evconnlistener, decltype(&evconnlistener_free)> door_{nullptr, &evconnlistener_free};
+    std::unique_ptr<evconnlistener, decltype(&evconnlistener_free)> listener_{nullptr, &evconnlistener_free};
 };
 
 }  // namespace gannethold::control
--- a/src/dispatcher/calling.cpp
+++ b/src/dispatcher/calling.cpp
@@ -25,7 +25,7 @@
     const Micros now = net::Loop::now();
     switch (request) {
         case admin::AdminRequest::get_readiness: {
-            const bool takes = ready() && healthy_;
+            const bool takes = is_ready() && healthy_;
             return {takes ? 200 : 503, takes ? "ready\n" : "not ready\n"};
         }
         case admin::AdminRequest::get_metrics:
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -36,7 +36,7 @@
     clients::Room r;
     r.sessions = for_tasks(sockets) - for_runners(sockets);
     r.tasks = static_cast<std::size_t>(std::max(1.0, stated.get_number("caps.max_open", 1e6)));
-    if (stated.get_bool("caps.retry_after")) r.stay_away = stated.get_micros("caps.max_retry_after_us", 0);
+    if (stated.get_bool("caps.retry_after")) r.retry_after = stated.get_micros("caps.max_retry_after_us", 0);
     return r;
 }
 
@@ -46,7 +46,7 @@
     u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
     // A margin for a runner that counts from before its answer reached us.
     u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
-    u.most_links = for_runners(sockets);
+    u.max_connections = for_runners(sockets);
     return u;
 }
 
@@ -126,7 +126,7 @@
     if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
     follows_by_itself_ = SettingsReader(posting_.orders).get_string("roster.how", "pushed") != "on_request";
-    if (follows_by_itself_) follower_.follow(book_.since());
+    if (follows_by_itself_) follower_.follow(book_.follow_from());
     log_.info(net::Loop::now(), "serving as ", log::field("name", posting_.name), " on ",
               log::field("listen", posting_.listen.text), ", ",
               log::field("runners", posting_.known.entries.size()), " runners known");
@@ -148,8 +148,8 @@
             std::max(longest, SettingsReader(workload_registry_.settings()).get_micros(expiry, kLongestStay));
     }
     last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
-    links_.stop_all_by(last_minute_);
-    if (pullers_) pullers_->exchange().stop_all_by(last_minute_);
+    links_.limit_deadlines(last_minute_);
+    if (pullers_) pullers_->exchange().limit_deadlines(last_minute_);
     log_.info(left_at, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
     if (posting_.inherited) {
         // The socket outlives this process, and who else has it accepts. What waits in its queue is theirs to
@@ -196,9 +196,9 @@
     log_.info(now, "reload: discovery moves from ", log::field("from", posting_.discovery.text), " to ",
               log::field("to", fresh.discovery.text));
     posting_.discovery = fresh.discovery;
-    follower_.move(posting_.discovery);
-    book_.count_anew();
-    follower_.follow(book_.since());
+    follower_.set_address(posting_.discovery);
+    book_.reset_version();
+    follower_.follow(book_.follow_from());
 }
 
 bool Dispatcher::open(WorkloadId place) const {
@@ -214,7 +214,7 @@
 void Dispatcher::share_out() {
     const std::size_t sockets = sockets_left(posting_, tubes_, own_part(posting_.sockets));
     server_.restate(room(posting_, sockets));
-    links_.restate(upkeep(posting_, sockets));
+    links_.update_options(upkeep(posting_, sockets));
 }
 
 // Who is under way goes on by the old terms, whoever comes from now on by the new.
@@ -291,26 +291,26 @@
 }
 
 bool Dispatcher::heard(const membership::EndpointList& listing, UpdateScope scope) {
-    auto news = book_.take(listing, scope, net::Loop::now());
+    auto news = book_.apply(listing, scope, net::Loop::now());
     if (!news) return false;
-    holds_.lay_over(*news, book_);
-    for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
+    holds_.apply_to(*news, book_);
+    for (const auto& seat : news->targets)
+        links_.set_endpoint(seat.runner, seat.address, seat.open, seat.restarted);
     if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
-    guests_.lay_over(news->for_module, holds_, book_);
-    note(news->for_module);
+        for (EndpointEntry& e : news->update.entries) e.workloads = tube_workloads_.for_pushed;
+    guests_.apply_to(news->update, holds_, book_);
+    note(news->update);
     if (passage_ && passage_->has_heirs())
-        passage_->tell({handover::Kind::list, membership::format_endpoint_list(book_.held())});
+        passage_->tell({handover::Kind::list, membership::format_endpoint_list(book_.to_list())});
     return true;
 }
 
-TaskId Dispatcher::take(frontend::TaskSource& asker, frontend::SubmittedTask&& request, net::BlockBuffer&& body,
-                        Micros came_at) {
+TaskId Dispatcher::submit(frontend::TaskSource& asker, frontend::SubmittedTask&& request,
+                          net::BlockBuffer&& body, Micros came_at) {
     const TaskId id{++tasks_taken_};
-    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
-        return id;
+    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.timeout)) return id;
     std::string lines;
-    if (request.pushable) {
+    if (request.can_push) {
         auto head = http::Writer::request(request.method, request.target);
         head.field("Host", "runner").field("X-Request-ID", request.id);
         if (!request.fingerprint.empty()) head.field("Idempotency-Key", request.fingerprint);
@@ -325,12 +325,12 @@
     arrived.workload = request.workload;
     arrived.customer = request.customer;
     arrived.key = request.key;
-    arrived.expiry = came_at + request.patience;
+    arrived.expiry = came_at + request.timeout;
     arrived.cost_hint = request.cost_hint;
     arrived.hint_valid = request.cost_hint > 0;
     arrived.slots = request.slots;
     arrived.memory = request.memory;
-    arrived.client_retry = request.repeat;
+    arrived.client_retry = request.is_retry;
     std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
     if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
     ids_.insert(request.id);
@@ -340,12 +340,12 @@
     return id;
 }
 
-void Dispatcher::left(TaskId id) {
+void Dispatcher::on_client_disconnected(TaskId id) {
     if (left_joined(id)) return;
     if (const auto first = stands_for_.find(id); first != stands_for_.end()) {
         const TaskId stood_for = first->second;
         stands_for_.erase(first);
-        return left(stood_for);
+        return on_client_disconnected(stood_for);
     }
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || pass_on(task)) return;
@@ -358,7 +358,7 @@
     forget_if_over(task);
 }
 
-void Dispatcher::errand_ended(runners::CallEnded&& ended) {
+void Dispatcher::on_call_ended(runners::CallEnded&& ended) {
     const auto task = tasks_.find(ended.task);
     if (task == tasks_.end()) return;
     --task->second.out;
@@ -386,11 +386,11 @@
     forget_if_over(task);
 }
 
-void Dispatcher::progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) {
+void Dispatcher::on_progress(TaskId task, int number, RunnerId runner, Stage stage, double share) {
     note(Progress{task, share, runner, number, stage});
 }
 
-void Dispatcher::probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
+void Dispatcher::on_probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
     note(ProbeEnded{runner, outcome_of(ending), elapsed, std::move(report)});
 }
 
@@ -408,10 +408,10 @@
         for (const Action& action : std::exchange(actions_, {})) carry_out(action);
         if (pullers_) pullers_->look();
     }
-    links_.sweep();
+    links_.erase_ended();
     server_.sweep();
-    follower_.sweep();
-    if (desk_) desk_->sweep();
+    follower_.erase_ended();
+    if (desk_) desk_->erase_ended();
     if (admin_server_) admin_server_->erase_ended_sessions();
     if (passage_) passage_->sweep();
     if (pullers_) pullers_->sweep();
@@ -436,9 +436,9 @@
                          publish("choice", {{"text", json::Value(text)}});
                      },
                      [&](const WatchMembership& a) {
-                         a.on ? follower_.follow(book_.since()) : follower_.stop_following();
+                         a.on ? follower_.follow(book_.follow_from()) : follower_.stop_following();
                      },
-                     [&](const FetchMembership&) { follower_.ask(); }},
+                     [&](const FetchMembership&) { follower_.fetch(); }},
                action);
 }
 
@@ -464,7 +464,7 @@
     // At a restart nothing may still be out when the process is killed, whatever time its task has left.
     if (drain_.is_shutting_down()) stop_at = std::min(stop_at, last_minute_);
     if (!task->second.asker || stop_at <= net::Loop::now()) {
-        errand_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
+        on_call_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
         return;
     }
     runners::Transport& port = port_of(wanted.runner);
@@ -473,15 +473,15 @@
                                 &task->second.body, stop_at});
 }
 
-void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros stay_away) {
+void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros retry_after) {
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || !task->second.asker) return;
     frontend::TaskSource* const asker = task->second.asker;
     counters_.on_answered(workload_name(task->second.workload), answer);
     note_end(id, task->second, answer, result);
     end_asking(task);
-    asker->answer(id, answer, result, stay_away);
-    answer_joined(id, answer, result, stay_away);
+    asker->on_answer(id, answer, result, retry_after);
+    answer_joined(id, answer, result, retry_after);
     if (answer != clients::Answer::finished) forget_if_over(task);
 }
 
@@ -506,7 +506,7 @@
         if (mark == TimerId{})
             note(TimerFired{mark});
         else
-            follower_.follow(book_.since());
+            follower_.follow(book_.follow_from());
     }
     set_wake();
 }
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -104,28 +104,28 @@
     };
     using Tasks = std::unordered_map<TaskId, Task>;
 
-    TaskId take(frontend::TaskSource& asker, frontend::SubmittedTask&& handed, net::BlockBuffer&& body,
-                Micros came_at) override;
-    void left(TaskId task) override;
-    bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
-    bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
-    void turned_away(WorkloadId workload) override {
+    TaskId submit(frontend::TaskSource& asker, frontend::SubmittedTask&& handed, net::BlockBuffer&& body,
+                  Micros came_at) override;
+    void on_client_disconnected(TaskId task) override;
+    bool is_known_request(const std::string& request_id) const override { return ids_.contains(request_id); }
+    bool is_ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
+    void on_rejected(WorkloadId workload) override {
         counters_.on_answered(workload_name(workload), frontend::Answer::bounced);
     }
-    void errand_ended(runners::CallEnded&& ended) override;
-    void written_whole() override { counters_.on_assignment_written(); }
-    void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
-    void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
+    void on_call_ended(runners::CallEnded&& ended) override;
+    void on_request_written() override { counters_.on_assignment_written(); }
+    void on_progress(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
+    void on_probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
 
     // What the front with tubes asks; in pulling.cpp.
     TaskId hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
                    WorkloadId workload) override;
-    void take_back(TaskId task) override { left(task); }
+    void take_back(TaskId task) override { on_client_disconnected(task); }
     RunnerId worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) override;
     void worker_serves(RunnerId worker, const WorkloadSet& serves) override;
     void worker_leaves(RunnerId worker) override;
     void worker_room(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
-    void probe_ended(RunnerId worker) override { probe_ended(worker, net::CloseReason::done, 0, {}); }
+    void on_probe_ended(RunnerId worker) override { on_probe_ended(worker, net::CloseReason::done, 0, {}); }
     runners::Transport& port_of(RunnerId runner);
     std::size_t unanswered() const;
     json::Object tell_tubes() const;
@@ -135,7 +135,7 @@
     void note(const Event& event);
     void carry_out(const Action& action);
     void assign(const Assign& wanted);
-    void answer(TaskId task, clients::Answer answer, std::string_view result, Micros stay_away);
+    void answer(TaskId task, clients::Answer answer, std::string_view result, Micros retry_after);
     void end_asking(Tasks::iterator task);
     void forget_if_over(Tasks::iterator task);
     std::string with_names(const std::string& text) const;
@@ -148,16 +148,18 @@
 
     // Retries of what may have run; in repeating.cpp.
     std::string sign_of(const frontend::SubmittedTask& handed) const;
-    bool take_as_repeat(TaskId id, frontend::TaskSource& asker, const frontend::SubmittedTask& handed, Micros expiry);
+    bool take_as_repeat(TaskId id, frontend::TaskSource& asker, const frontend::SubmittedTask& handed,
+                        Micros expiry);
     bool left_joined(TaskId id);
     bool pass_on(Tasks::iterator task);
-    void answer_joined(TaskId first, frontend::Answer answer, std::string_view result, Micros stay_away);
+    void answer_joined(TaskId first, frontend::Answer answer, std::string_view result, Micros retry_after);
     void note_end(TaskId id, const Task& task, frontend::Answer answer, std::string_view result);
     void answer_owed();
     json::Object tell_repeats() const;
 
     // The control socket's requests; in office.cpp.
-    json::Object answer(const std::string& what, const json::Value& request, const std::string& by) override;
+    json::Object on_request(const std::string& what, const json::Value& request,
+                            const std::string& by) override;
     json::Object tell_status() const;
     json::Object tell_runners() const;
     json::Object tell_tasks() const;
--- a/src/dispatcher/handing_over.cpp
+++ b/src/dispatcher/handing_over.cpp
@@ -11,7 +11,7 @@
     for (const RunnerEstimates& r : balancer_.learned_state().runners)
         if (r.ejected_for > 0 || r.warming_for >= 0)
             troubles[book_.name_of(r.runner)] = {r.ejected_for, r.warming_for};
-    return {{handover::Kind::list, membership::format_endpoint_list(book_.held())},
+    return {{handover::Kind::list, membership::format_endpoint_list(book_.to_list())},
             {handover::Kind::troubles, handover::spell(troubles)},
             {handover::Kind::learned,
              snapshot::encode(collect_snapshot(0, static_cast<std::size_t>(-1)).snapshot)}};
--- a/src/dispatcher/office.cpp
+++ b/src/dispatcher/office.cpp
@@ -77,7 +77,7 @@
                         {"after_ms", millis(f.elapsed)}});
 }
 
-Object Dispatcher::answer(const std::string& what, const Value& request, const std::string& by) {
+Object Dispatcher::on_request(const std::string& what, const Value& request, const std::string& by) {
     if (what == "status") return tell_status();
     if (what == "runners") return tell_runners();
     if (what == "tasks") return tell_tasks();
@@ -163,8 +163,8 @@
         const bool held = holds_.has(name);
         Object o;
         o["runner"] = Value(name);
-        const auto entry = book_.present(name);
-        const bool listed = entry && entry->for_module.entries.front().state == RunnerState::ready;
+        const auto entry = book_.current(name);
+        const bool listed = entry && entry->update.entries.front().state == RunnerState::ready;
         o["state"] = Value(std::string(held                      ? "held"
                                        : !r.ready                ? (listed ? "closed" : "not ready")
                                        : now < r.ejected_until   ? "aside"
@@ -271,23 +271,24 @@
 void Dispatcher::heard_anew(const std::string& runner) {
     for (const auto& [id, entry] : guests_.all())
         if (book_.name_of(id) == runner) {
-            note(guests_.news(entry, holds_, book_));
+            note(guests_.make_update(entry, holds_, book_));
             return pullers_->exchange().remind(id);
         }
-    auto news = book_.present(runner);
+    auto news = book_.current(runner);
     if (!news) return;
     if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
-    holds_.lay_over(*news, book_);
-    for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
-    note(news->for_module);
+        for (EndpointEntry& e : news->update.entries) e.workloads = tube_workloads_.for_pushed;
+    holds_.apply_to(*news, book_);
+    for (const auto& seat : news->targets)
+        links_.set_endpoint(seat.runner, seat.address, seat.open, seat.restarted);
+    note(news->update);
 }
 
 Object Dispatcher::hold(const Value& request, const std::string& by) {
     const std::string& runner = runner_in(request);
     const bool works_here = std::any_of(guests_.all().begin(), guests_.all().end(),
                                         [&](const auto& g) { return book_.name_of(g.first) == runner; });
-    if (!works_here && !book_.present(runner))
+    if (!works_here && !book_.current(runner))
         throw control::Refused("no runner " + runner + " was ever listed");
     const std::string* const why = request.find_string("why");
     if (!holds_.add(runner, {net::Loop::now(), by, why ? why->substr(0, 200) : ""}))
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -37,26 +37,26 @@
     handed.target = "/" + (plan.workload.empty() ? tube : plan.workload) + "/" + number;
     handed.workload = workload;
     handed.customer = CustomerId{std::numeric_limits<std::uint32_t>::max()};  // nobody's allowance
-    handed.patience = plan.expiry;
-    handed.pushable = plan.pushed > 0 || !plan.workload.empty();
+    handed.timeout = plan.expiry;
+    handed.can_push = plan.pushed > 0 || !plan.workload.empty();
     net::BlockBuffer body(loop_.block_pool());
     // No buffer is left: it stays in its tube.
-    if (handed.pushable && !body.append(job.body)) return TaskId{};
-    return take(pullers_->exchange(), std::move(handed), std::move(body), net::Loop::now());
+    if (handed.can_push && !body.append(job.body)) return TaskId{};
+    return submit(pullers_->exchange(), std::move(handed), std::move(body), net::Loop::now());
 }
 
 RunnerId Dispatcher::worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) {
-    const EndpointEntry entry = guests_.joins(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
-    note(guests_.news(entry, holds_, book_));
+    const EndpointEntry entry = guests_.add(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
+    note(guests_.make_update(entry, holds_, book_));
     return entry.runner;
 }
 
 void Dispatcher::worker_serves(RunnerId worker, const WorkloadSet& serves) {
-    note(guests_.news(guests_.serves(worker, serves), holds_, book_));
+    note(guests_.make_update(guests_.set_workloads(worker, serves), holds_, book_));
 }
 
 void Dispatcher::worker_leaves(RunnerId worker) {
-    note(guests_.news(guests_.leaves(worker), holds_, book_));
+    note(guests_.make_update(guests_.remove(worker), holds_, book_));
     // Against a stranger held for its name: the next one to come may be given it.
     const std::string& name = book_.name_of(worker);
     if (holds_.remove(name))
--- a/src/dispatcher/remembering.cpp
+++ b/src/dispatcher/remembering.cpp
@@ -35,7 +35,7 @@
     saved.typical_cost_us = lore.typical_cost;
     for (const RunnerEstimates& r : lore.runners) {
         const std::string& name = book_.name_of(r.runner);
-        const membership::Endpoint* const entry = book_.entry(name);
+        const membership::Endpoint* const entry = book_.find(name);
         if (!entry) continue;
         saved.runners.push_back({name, entry->kind, entry->zone, entry->address ? entry->address->text : "",
                                  entry->started_ms, bins_of(r.latency), r.min_latency, r.slots, r.fraction});
@@ -45,7 +45,8 @@
         const auto place = static_cast<std::size_t>(k.instance_type);
         // What no list of kinds names shares the place behind the last.
         saved.instance_types.push_back(
-            {place < book_.kinds().size() ? book_.kinds()[place] : "", bins_of(k.latency), k.weight});
+            {place < book_.instance_types().size() ? book_.instance_types()[place] : "", bins_of(k.latency),
+             k.weight});
     }
     for (std::size_t i = 0; i < lore.workloads.size(); ++i) {
         const WorkloadId id{static_cast<std::uint32_t>(i)};
@@ -93,8 +94,8 @@
     const double weight = snapshot::weight_by_age(saved.written_ms, wall, policy);
     LearnedState lore;
     for (const snapshot::SavedRunner& runner : saved.runners) {
-        const membership::Endpoint* const entry = book_.entry(runner.name);
-        const auto number = book_.number_of(runner.name);
+        const membership::Endpoint* const entry = book_.find(runner.name);
+        const auto number = book_.id_of(runner.name);
         if (!entry || !number) continue;
         const double part = snapshot::weight_of_runner(
             runner, {entry->kind, entry->zone, entry->address ? entry->address->text : "", entry->started_ms},
@@ -110,8 +111,10 @@
     }
     for (const snapshot::SavedInstanceType& type : saved.instance_types) {
         const auto place =
-            std::find(book_.kinds().begin(), book_.kinds().end(), type.name) - book_.kinds().begin();
-        if (type.name.empty() && place != static_cast<std::ptrdiff_t>(book_.kinds().size())) continue;
+            std::find(book_.instance_types().begin(), book_.instance_types().end(), type.name) -
+            book_.instance_types().begin();
+        if (type.name.empty() && place != static_cast<std::ptrdiff_t>(book_.instance_types().size()))
+            continue;
         const Histogram h = histogram_of(type.latency, weight, policy.max_samples);
         if (h.weight() > 0)
             lore.instance_types.push_back({InstanceTypeId(static_cast<std::uint32_t>(place)), h, h.weight()});
--- a/src/dispatcher/repeating.cpp
+++ b/src/dispatcher/repeating.cpp
@@ -28,7 +28,7 @@
 bool Dispatcher::take_as_repeat(TaskId id, frontend::TaskSource& asker, const frontend::SubmittedTask& handed,
                                 Micros expiry) {
     // By its path alone a first try is no repeat: two of them may be meant.
-    if (handed.fingerprint.empty() && !handed.repeat) return false;
+    if (handed.fingerprint.empty() && !handed.is_retry) return false;
     const std::string sign = sign_of(handed);
     if (sign.empty()) return false;
     const auto known = execution_log_.find(net::Loop::now(), sign);
@@ -95,7 +95,7 @@
 }
 
 void Dispatcher::answer_joined(TaskId first, frontend::Answer answer, std::string_view result,
-                               Micros stay_away) {
+                               Micros retry_after) {
     std::erase_if(stands_for_, [first](const auto& s) { return s.second == first; });
     const auto others = joined_to_.find(first);
     if (others == joined_to_.end()) return;
@@ -104,7 +104,7 @@
         const WorkloadId workload = joined_.at(id).workload;
         left_joined(id);
         counters_.on_answered(workload_name(workload), answer);
-        asker->answer(id, answer, result, stay_away);
+        asker->on_answer(id, answer, result, retry_after);
     }
 }
 
@@ -121,7 +121,7 @@
         const WorkloadId workload = one->second.workload;
         left_joined(id);
         counters_.on_answered(workload_name(workload), answer);
-        asker->answer(id, answer, result, 0);
+        asker->on_answer(id, answer, result, 0);
     }
     if (!joined_until_.empty()) joined_timer_.set(joined_until_.begin()->first);
 }
--- a/src/frontend/task_sink.hpp
+++ b/src/frontend/task_sink.hpp
@@ -19,11 +19,11 @@
     WorkloadId workload{};
     CustomerId customer{};
     std::uint64_t key = 0;
-    Micros patience = 0;  // how long whoever asks waits, from when the task had come whole
+    Micros timeout = 0;  // how long whoever asks waits, from when the task had come whole
     Micros cost_hint = 0;
     double slots = 1, memory = 0;
-    bool repeat = false;
-    bool pushable =
+    bool is_retry = false;
+    bool can_push =
         true;  // whether a runner that is spoken to over HTTP may get it: it needs a head and a body then
 };
 
@@ -31,7 +31,7 @@
 class TaskSource {
   public:
     // stay_away: after a bounce, when to come back; 0 where nothing is said.
-    virtual void answer(TaskId task, Answer answer, std::string_view result, Micros stay_away) = 0;
+    virtual void on_answer(TaskId task, Answer answer, std::string_view result, Micros retry_after) = 0;
 
   protected:
     ~TaskSource() = default;
@@ -40,12 +40,13 @@
 // Who takes the tasks.
 class TaskSink {
   public:
-    virtual TaskId take(TaskSource& asker, SubmittedTask&& handed, net::BlockBuffer&& body, Micros came_at) = 0;
-    virtual void left(TaskId task) = 0;  // nobody waits for it any more
-    virtual bool knows(const std::string& request_id) const = 0;
-    virtual bool ready() const = 0;
+    virtual TaskId submit(TaskSource& source, SubmittedTask&& task, net::BlockBuffer&& body,
+                          Micros received_at) = 0;
+    virtual void on_client_disconnected(TaskId task) = 0;  // nobody waits for it any more
+    virtual bool is_known_request(const std::string& request_id) const = 0;
+    virtual bool is_ready() const = 0;
     // Who was bounced at the door, before it was taken.
-    virtual void turned_away(WorkloadId workload) = 0;
+    virtual void on_rejected(WorkloadId workload) = 0;
 
   protected:
     ~TaskSink() = default;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -138,7 +138,7 @@
 
     std::string command, operators_path, in_force,
         path = std::getenv("RELAY_CONFIG") ? std::getenv("RELAY_CONFIG") : "", level = "info";
-    control::Command errand;
+    control::Command requested;
     options::options_description shown("Options");
     shown.add_options()("help,h", "say this")("configuration,c", options::value(&path),
                                               "the configuration, as JSON (default: $RELAY_CONFIG)")(
@@ -147,18 +147,18 @@
         "check: refuse all that SIGHUP refuses where that file is in force")(
         "log-level,l", options::value(&level), "least level that is logged: debug, info, warning or error");
     options::options_description asked("To a running dispatcher");
-    asked.add_options()("socket,s", options::value(&errand.socket),
+    asked.add_options()("socket,s", options::value(&requested.socket),
                         "its control socket (default: control.socket of --operator)")(
-        "json", options::bool_switch(&errand.json), "print what it said, one JSON object a line")(
+        "json", options::bool_switch(&requested.json), "print what it said, one JSON object a line")(
         "deadline", options::value<double>(), "drain: by when all must be answered, in seconds from now")(
-        "wait", options::bool_switch(&errand.wait), "drain: until it is drained")(
+        "wait", options::bool_switch(&requested.wait), "drain: until it is drained")(
         "ticket", options::value<std::uint64_t>(), "drain, undrain: of the order that is to be changed")(
         "after", options::value<std::uint64_t>(), "follow: the last change that was seen")(
-        "why", options::value(&errand.why), "hold: a word for whoever looks")(
-        "by", options::value(&errand.by), "who asks, for whoever comes second");
+        "why", options::value(&requested.why), "hold: a word for whoever looks")(
+        "by", options::value(&requested.by), "who asks, for whoever comes second");
     options::options_description all;
     all.add(shown).add(asked).add_options()("command", options::value(&command))(
-        "argument", options::value(&errand.argument));
+        "argument", options::value(&requested.argument));
     options::positional_options_description places;
     std::string file;
     all.add_options()("file", options::value(&file));
@@ -195,30 +195,30 @@
         if (found == std::end(levels)) throw options::error("no such log level: " + level);
         if (command == "version") return std::cout << kVersion << '\n', 0;
         if (control::is_command(command)) {
-            errand.command = command;
-            if (given.contains("deadline")) errand.deadline_s = given["deadline"].as<double>();
-            if (given.contains("ticket")) errand.ticket = given["ticket"].as<std::uint64_t>();
-            if (given.contains("after")) errand.after = given["after"].as<std::uint64_t>();
-            if (errand.socket.empty())
-                errand.socket = OperatorSettings::read_file(operators_path).control.path;
-            return control::run(errand);
+            requested.name = command;
+            if (given.contains("deadline")) requested.deadline_s = given["deadline"].as<double>();
+            if (given.contains("ticket")) requested.ticket = given["ticket"].as<std::uint64_t>();
+            if (given.contains("after")) requested.after = given["after"].as<std::uint64_t>();
+            if (requested.socket.empty())
+                requested.socket = OperatorSettings::read_file(operators_path).control.path;
+            return control::run(requested);
         }
         if (command == "keepsake") {
             std::cerr << "gannethold: warning: keepsake is the old name of snapshot, and still works\n";
             command = "snapshot";
         }
         if (command == "snapshot") {
-            if ((errand.argument != "show" && errand.argument != "verify") || file.empty())
+            if ((requested.argument != "show" && requested.argument != "verify") || file.empty())
                 throw options::error("snapshot needs show or verify, and a file");
             return snapshot::print_snapshot(
                 file,
-                errand.argument == "verify" ? snapshot::PrintDetail::summary : snapshot::PrintDetail::full,
+                requested.argument == "verify" ? snapshot::PrintDetail::summary : snapshot::PrintDetail::full,
                 OperatorSettings::read_file(operators_path).snapshot.decay, std::cout, std::cerr);
         }
         if (command != "serve" && command != "check")
             throw options::error(command.empty() ? "no command given" : "no such command: " + command);
         // The path may stand behind the command, without its name.
-        if (!errand.argument.empty()) path = errand.argument;
+        if (!requested.argument.empty()) path = requested.argument;
         if (path.empty()) throw options::error("no configuration given, and RELAY_CONFIG is not set");
         if (command == "check") return check(path, operators_path, in_force);
         return serve(path, operators_path, static_cast<log::Level>(found - std::begin(levels)));
--- a/src/membership/discovery_client.hpp
+++ b/src/membership/discovery_client.hpp
@@ -20,28 +20,29 @@
     enum class Kind { list, watch };
     class RequestObserver {
       public:
-        virtual void heard(Kind kind, const EndpointList& listing) = 0;
-        virtual void call_ended(Kind kind, const char* why) = 0;  // nullptr: a list that came whole
+        virtual void on_list(Kind kind, const EndpointList& listing) = 0;
+        virtual void on_request_ended(Kind kind, const char* why) = 0;  // nullptr: a list that came whole
 
       protected:
         ~RequestObserver() = default;
     };
 
-    DiscoveryRequest(net::Loop& loop, RequestObserver& hearer, const net::Address& discovery, Kind kind, std::uint32_t since);
+    DiscoveryRequest(net::Loop& loop, RequestObserver& observer, const net::Address& discovery, Kind kind,
+                     std::uint32_t since);
     void close();
 
   private:
     void on_connected() override;
     void on_bytes(std::string_view bytes) override;
     void on_closed(net::CloseReason ending) override;
-    bool heed_line(std::string_view text);
-    void give_up(const char* why);
+    bool on_line(std::string_view text);
+    void fail(const char* why);
 
     net::Loop& loop_;
-    RequestObserver& hearer_;
+    RequestObserver& observer_;
     const Kind kind_;
     std::string request_;
-    bool over_ = false, heard_ = false;
+    bool is_over_ = false, heard_ = false;
     http::Reader reader_;
     std::string line_;  // a list may be far longer than a block, and there is only ever one
     net::Timer limit_;
@@ -53,27 +54,30 @@
     using OnList = std::function<bool(const EndpointList&)>;  // false: it does not follow from what is held
     using OnFailure = std::function<void()>;
 
-    DiscoveryClient(net::Loop& loop, const net::Address& discovery, log::Log& log, OnList heard, OnFailure failed);
+    DiscoveryClient(net::Loop& loop, const net::Address& discovery, log::Log& log, OnList on_list,
+                    OnFailure on_failure);
 
     // From now on discovery is there. What the old one has not yet said, or how it ends, is not heard.
-    void move(const net::Address& discovery);
+    void set_address(const net::Address& discovery);
     void follow(std::uint32_t since);
     void stop_following();
-    void ask();
-    void sweep() { ended_.clear(); }
+    void fetch();
+    void erase_ended() { ended_.clear(); }
 
   private:
-    void heard(DiscoveryRequest::Kind kind, const EndpointList& listing) override;
-    void call_ended(DiscoveryRequest::Kind kind, const char* why) override;
-    std::unique_ptr<DiscoveryRequest>& call(DiscoveryRequest::Kind kind) { return kind == DiscoveryRequest::Kind::watch ? watch_ : list_; }
+    void on_list(DiscoveryRequest::Kind kind, const EndpointList& listing) override;
+    void on_request_ended(DiscoveryRequest::Kind kind, const char* why) override;
+    std::unique_ptr<DiscoveryRequest>& request(DiscoveryRequest::Kind kind) {
+        return kind == DiscoveryRequest::Kind::watch ? watch_ : list_;
+    }
     void begin(DiscoveryRequest::Kind kind, std::uint32_t since);
     void drop(DiscoveryRequest::Kind kind);
 
     net::Loop& loop_;
     net::Address discovery_;
     log::Log& log_;
-    OnList heard_;
-    OnFailure failed_;
+    OnList on_list_;
+    OnFailure on_failure_;
     std::unique_ptr<DiscoveryRequest> watch_, list_;
     std::vector<std::unique_ptr<DiscoveryRequest>> ended_;
 };
--- a/src/membership/dynamic_workers.hpp
+++ b/src/membership/dynamic_workers.hpp
@@ -13,22 +13,22 @@
 class DynamicWorkers {
   public:
     // Who has just come; its entry for the module.
-    EndpointEntry joins(EndpointTable& book, const std::string& kind, const std::string& zone,
-                        const WorkloadSet& serves, Micros started_at) {
+    EndpointEntry add(EndpointTable& book, const std::string& kind, const std::string& zone,
+                      const WorkloadSet& serves, Micros started_at) {
         std::size_t n = 1;
         while (numbers_.contains(n)) ++n;
         const std::string name = "worker-" + std::to_string(n);
-        EndpointEntry e = book.guest(name, kind, zone);
+        EndpointEntry e = book.make_dynamic_worker(name, kind, zone);
         e.workloads = serves, e.started_at = started_at, e.pulls = true;
         numbers_[n] = e.runner;
         return entries_[e.runner] = e;
     }
     // What is now to be said of that one.
-    EndpointEntry serves(RunnerId runner, const WorkloadSet& serves) {
+    EndpointEntry set_workloads(RunnerId runner, const WorkloadSet& serves) {
         entries_.at(runner).workloads = serves;
         return entries_.at(runner);
     }
-    EndpointEntry leaves(RunnerId runner) {
+    EndpointEntry remove(RunnerId runner) {
         EndpointEntry e = entries_.at(runner);
         e.state = RunnerState::gone;
         entries_.erase(runner);
@@ -40,16 +40,17 @@
     const std::map<RunnerId, EndpointEntry>& all() const { return entries_; }
 
     // As the module is to hear it: a held one drains.
-    MembershipUpdate news(EndpointEntry entry, const OperatorOverrides& holds, const EndpointTable& book) const {
+    MembershipUpdate make_update(EndpointEntry entry, const OperatorOverrides& holds,
+                                 const EndpointTable& book) const {
         if (entry.state == RunnerState::ready && holds.has(book.name_of(entry.runner)))
             entry.state = RunnerState::draining;
         return {UpdateScope::dynamic_workers, book.version(), {entry}};
     }
     // A list that says all says nothing of guests: they stay.
-    void lay_over(MembershipUpdate& news, const OperatorOverrides& holds, const EndpointTable& book) const {
-        if (news.scope == UpdateScope::delta) return;
+    void apply_to(MembershipUpdate& update, const OperatorOverrides& holds, const EndpointTable& book) const {
+        if (update.scope == UpdateScope::delta) return;
         for (const auto& [id, entry] : entries_)
-            news.entries.push_back(this->news(entry, holds, book).entries.front());
+            update.entries.push_back(this->make_update(entry, holds, book).entries.front());
     }
 
   private:
--- a/src/membership/endpoint_list.hpp
+++ b/src/membership/endpoint_list.hpp
@@ -22,7 +22,7 @@
     double share = 1;
     std::int64_t started_ms = 0;  // Unix time; 0: long ago
 
-    bool sound() const { return state && (address || *state == RunnerState::gone); }
+    bool is_valid() const { return state && (address || *state == RunnerState::gone); }
 };
 
 struct EndpointList {
@@ -33,6 +33,6 @@
 
 // In discovery's own form, for another dispatcher.
 std::string format_endpoint_list(const EndpointList& listing);
-std::optional<EndpointList> parse_endpoint_list(const json::Value& said);
+std::optional<EndpointList> parse_endpoint_list(const json::Value& value);
 
 }  // namespace gannethold::membership
--- a/src/membership/operator_overrides.hpp
+++ b/src/membership/operator_overrides.hpp
@@ -23,11 +23,12 @@
     bool has(const std::string& runner) const { return held_.contains(runner); }
 
     // What discovery says, as the rest of the program is to hear it.
-    void lay_over(EndpointTable::Changes& news, const EndpointTable& book) const {
+    void apply_to(EndpointTable::Changes& changes, const EndpointTable& book) const {
         if (held_.empty()) return;
-        for (EndpointEntry& e : news.for_module.entries)
+        for (EndpointEntry& e : changes.update.entries)
             if (e.state == RunnerState::ready && has(book.name_of(e.runner))) e.state = RunnerState::draining;
-        for (EndpointTable::ConnectionTarget& s : news.seats) s.open = s.open && !has(book.name_of(s.runner));
+        for (EndpointTable::ConnectionTarget& s : changes.targets)
+            s.open = s.open && !has(book.name_of(s.runner));
     }
 
   private:
--- a/src/operator_settings/operator_settings.cpp
+++ b/src/operator_settings/operator_settings.cpp
@@ -40,8 +40,8 @@
 control::ControlOptions read_control(const TomlReader& table) {
     control::ControlOptions settings;
     settings.path = table.get_string("socket", "");
-    settings.clients = get_size(table, "clients", 8, 1, 64);
-    settings.remembered = get_size(table, "remembered_changes", 1'000, 10, 100'000);
+    settings.max_clients = get_size(table, "clients", 8, 1, 64);
+    settings.max_remembered_changes = get_size(table, "remembered_changes", 1'000, 10, 100'000);
     return settings;
 }
 
--- a/src/runners/codec.cpp
+++ b/src/runners/codec.cpp
@@ -92,7 +92,8 @@
     }
 }
 
-TaskUpdate parse_task_update(std::string_view text, std::string_view request_id, const ReportDecoder& reports) {
+TaskUpdate parse_task_update(std::string_view text, std::string_view request_id,
+                             const ReportDecoder& reports) {
     TaskUpdate line;
     json::Value said;
     try {
--- a/src/runners/codec.hpp
+++ b/src/runners/codec.hpp
@@ -36,6 +36,7 @@
     std::string result;
 };
 
-TaskUpdate parse_task_update(std::string_view text, std::string_view request_id, const ReportDecoder& reports);
+TaskUpdate parse_task_update(std::string_view text, std::string_view request_id,
+                             const ReportDecoder& reports);
 
 }  // namespace gannethold::runners
--- a/src/runners/connection_pool.cpp
+++ b/src/runners/connection_pool.cpp
@@ -6,86 +6,87 @@
 namespace gannethold::runners {
 namespace {
 
-constexpr std::size_t kLongestLine = 128 * 1024;
-constexpr Micros kFinishing = 500'000;  // for the end of an answer whose last line has come
+constexpr std::size_t kMaxLineBytes = 128 * 1024;
+constexpr Micros kFinishTimeout = 500'000;  // for the end of an answer whose last line has come
 constexpr std::string_view kProbeHead = "GET /load HTTP/1.1\r\nHost: runner\r\n\r\n";
 constexpr std::string_view kHealthHead = "GET /healthz HTTP/1.1\r\nHost: runner\r\n\r\n";
 
 }  // namespace
 
-ConnectionPool::ConnectionPool(net::Loop& loop, TransportObserver& sender, ReportDecoder reports, PoolOptions upkeep)
-    : loop_(loop), sender_(sender), reports_(std::move(reports)), upkeep_(upkeep) {}
+ConnectionPool::ConnectionPool(net::Loop& loop, TransportObserver& observer, ReportDecoder reports,
+                               PoolOptions options)
+    : loop_(loop), observer_(observer), reports_(std::move(reports)), options_(options) {}
 
 ConnectionPool::~ConnectionPool() = default;
 
-void ConnectionPool::seat(RunnerId runner, const net::Address& address, bool open, bool restarted) {
-    Endpoint& place = places_[runner];
-    const bool moved = place.address && place.address->text != address.text;
-    place.address = address;
-    place.open = open;
+void ConnectionPool::set_endpoint(RunnerId runner, const net::Address& address, bool open, bool restarted) {
+    Endpoint& endpoint = endpoints_[runner];
+    const bool moved = endpoint.address && endpoint.address->text != address.text;
+    endpoint.address = address;
+    endpoint.open = open;
     // Against connections to a machine that vanished and is back: they stand open here, and what is sent on
     // them is reset.
     if (moved || restarted || !open) close_idle(runner);
     if (open) return;
     // Against a send after the grace of a drain, also when the connect was slow: what has not begun never
     // will. What has begun goes on.
-    for (const auto& link : links_)
-        if (link->runner() == runner && link->waits_to_begin())
-            link->stop(net::CloseReason::drained_unsent, net::CloseReason::drained_unsent);
+    for (const auto& connection : connections_)
+        if (connection->runner() == runner && connection->is_waiting_to_begin())
+            connection->stop(net::CloseReason::drained_unsent, net::CloseReason::drained_unsent);
 }
 
-void ConnectionPool::assign(RunnerId runner, PendingCall&& errand) {
-    RunnerConnection* const link = idle_or_new(runner);
-    if (!link)
-        return sender_.errand_ended(
-            {errand.task, errand.number, runner, net::CloseReason::out_of_sockets, 0, {}, {}});
-    out_[{errand.task, errand.number}] = link;
-    link->carry(std::move(errand));
+void ConnectionPool::assign(RunnerId runner, PendingCall&& call) {
+    RunnerConnection* const connection = acquire(runner);
+    if (!connection)
+        return observer_.on_call_ended(
+            {call.task, call.number, runner, net::CloseReason::out_of_sockets, 0, {}, {}});
+    in_flight_[{call.task, call.number}] = connection;
+    connection->start_call(std::move(call));
 }
 
 void ConnectionPool::withdraw(TaskId task, int number) {
-    const auto found = out_.find({task, number});
-    if (found != out_.end())
+    const auto found = in_flight_.find({task, number});
+    if (found != in_flight_.end())
         found->second->stop(net::CloseReason::cancelled, net::CloseReason::cancelled_unsent);
 }
 
 void ConnectionPool::probe(RunnerId runner) {
-    if (RunnerConnection* const link = idle_or_new(runner))
-        link->carry_probe();
+    if (RunnerConnection* const connection = acquire(runner))
+        connection->start_probe();
     else
-        sender_.probe_ended(runner, net::CloseReason::out_of_sockets, 0, {});
+        observer_.on_probe_ended(runner, net::CloseReason::out_of_sockets, 0, {});
 }
 
-void ConnectionPool::stop_all_by(Micros at) {
-    for (const auto& link : links_) link->stop_by(at);
+void ConnectionPool::limit_deadlines(Micros at) {
+    for (const auto& connection : connections_) connection->limit_deadline(at);
 }
 
 void ConnectionPool::close_idle(RunnerId runner) {
-    for (RunnerConnection* const link : std::exchange(places_[runner].idle, {})) link->close();
+    for (RunnerConnection* const connection : std::exchange(endpoints_[runner].idle, {})) connection->close();
 }
 
-RunnerConnection* ConnectionPool::idle_or_new(RunnerId runner) {
-    Endpoint& place = places_[runner];
+RunnerConnection* ConnectionPool::acquire(RunnerId runner) {
+    Endpoint& endpoint = endpoints_[runner];
     // The one used last: it is the surest to be open still, and the rest can grow old and close.
-    while (!place.idle.empty()) {
-        RunnerConnection* const link = place.idle.back();
+    while (!endpoint.idle.empty()) {
+        RunnerConnection* const connection = endpoint.idle.back();
         // Against a request that crosses the runner's close: it would count as one that may have run.
-        if (link->connection_.is_stale()) {
-            link->close();
+        if (connection->connection_.is_stale()) {
+            connection->close();
             continue;
         }
-        place.idle.pop_back();
-        return link;
+        endpoint.idle.pop_back();
+        return connection;
     }
-    if (links_.size() - ended_.size() >= upkeep_.most_links) {
-        return close_an_idle_one() ? open_link(runner, place) : nullptr;
+    if (connections_.size() - ended_.size() >= options_.max_connections) {
+        return close_an_idle_one() ? open_connection(runner, endpoint) : nullptr;
     }
-    return open_link(runner, place);
+    return open_connection(runner, endpoint);
 }
 
 // Short of descriptors: a connection that stands idle, to whomever, goes first.
 bool ConnectionPool::close_an_idle_one() {
-    for (auto& [id, other] : places_) {
+    for (auto& [id, other] : endpoints_) {
         if (other.idle.empty()) continue;
         other.idle.front()->close();
         return true;
@@ -93,76 +94,80 @@
     return false;
 }
 
-void ConnectionPool::restate(const PoolOptions& upkeep) {
-    upkeep_ = upkeep;
-    while (links_.size() - ended_.size() > upkeep_.most_links && close_an_idle_one()) {
+void ConnectionPool::update_options(const PoolOptions& options) {
+    options_ = options;
+    while (connections_.size() - ended_.size() > options_.max_connections && close_an_idle_one()) {
     }
 }
 
-RunnerConnection* ConnectionPool::open_link(RunnerId runner, Endpoint& place) {
-    links_.push_back(std::make_unique<RunnerConnection>(*this, runner, place.address.value_or(net::Address{})));
-    links_.back()->place_ = std::prev(links_.end());
-    return links_.back().get();
+RunnerConnection* ConnectionPool::open_connection(RunnerId runner, Endpoint& endpoint) {
+    connections_.push_back(
+        std::make_unique<RunnerConnection>(*this, runner, endpoint.address.value_or(net::Address{})));
+    connections_.back()->position_ = std::prev(connections_.end());
+    return connections_.back().get();
 }
 
-void ConnectionPool::forget_idle(RunnerConnection& link) { std::erase(places_[link.runner()].idle, &link); }
+void ConnectionPool::forget_idle(RunnerConnection& connection) {
+    std::erase(endpoints_[connection.runner()].idle, &connection);
+}
 
-void ConnectionPool::sweep() {
-    for (RunnerConnection* const link : std::exchange(ended_, {})) links_.erase(link->place_);
+void ConnectionPool::erase_ended() {
+    for (RunnerConnection* const connection : std::exchange(ended_, {}))
+        connections_.erase(connection->position_);
 }
 
-RunnerConnection::RunnerConnection(ConnectionPool& links, RunnerId runner, const net::Address& address)
-    : links_(links),
+RunnerConnection::RunnerConnection(ConnectionPool& pool, RunnerId runner, const net::Address& address)
+    : pool_(pool),
       runner_(runner),
       address_(address.text),
-      reader_(http::MessageKind::response, links.loop_.block_pool()),
-      line_(links.loop_.block_pool()),
-      limit_(links.loop_,
+      reader_(http::MessageKind::response, pool.loop_.block_pool()),
+      line_(pool.loop_.block_pool()),
+      limit_(pool.loop_,
              [this] {
-                 if (busy())
+                 if (is_busy())
                      stop(net::CloseReason::timed_out, net::CloseReason::timed_out_unsent);
                  else
                      close();
              }),
-      connection_(links.loop_, *this, address, links.upkeep_.connect_limit) {}
-
-void RunnerConnection::carry(PendingCall&& errand) {
-    errand_ = std::move(errand);
-    state_ = State::errand;
-    since_ = net::Loop::now();
-    limit_.set(errand_.stop_at);
-    if (up_) begin();
+      connection_(pool.loop_, *this, address, pool.options_.connect_limit) {}
+
+void RunnerConnection::start_call(PendingCall&& call) {
+    call_ = std::move(call);
+    state_ = State::call;
+    started_at_ = net::Loop::now();
+    limit_.set(call_.deadline);
+    if (is_connected_) begin();
 }
 
-void RunnerConnection::carry_probe() {
+void RunnerConnection::start_probe() {
     state_ = State::probe;
-    since_ = net::Loop::now();
-    limit_.set(since_ + links_.upkeep_.connect_limit);
-    if (up_) begin();
+    started_at_ = net::Loop::now();
+    limit_.set(started_at_ + pool_.options_.connect_limit);
+    if (is_connected_) begin();
 }
 
 void RunnerConnection::on_connected() {
-    up_ = true;
-    if (busy()) begin();
+    is_connected_ = true;
+    if (is_busy()) begin();
 }
 
 void RunnerConnection::on_all_written() {
-    if (state_ != State::errand || !begun_ || std::exchange(told_written_, true)) return;
-    links_.sender_.written_whole();
+    if (state_ != State::call || !has_begun_ || std::exchange(has_reported_written_, true)) return;
+    pool_.observer_.on_request_written();
 }
 
 void RunnerConnection::begin() {
-    begun_ = true;
-    told_written_ = false;
-    answered_ = false;
+    has_begun_ = true;
+    has_reported_written_ = false;
+    has_answered_ = false;
     if (state_ == State::probe) {
-        connection_.write(links_.reports_.wanted() ? kProbeHead : kHealthHead);
+        connection_.write(pool_.reports_.wanted() ? kProbeHead : kHealthHead);
         return;
     }
-    net::BlockBuffer out(links_.loop_.block_pool());
-    const Micros left = std::max<Micros>(1, errand_.stop_at - net::Loop::now());
-    bool room = out.append(errand_.head + "X-Timeout: " + std::to_string(left) + "u\r\n\r\n");
-    if (errand_.body) room = room && out.append(errand_.body->to_string());
+    net::BlockBuffer out(pool_.loop_.block_pool());
+    const Micros left = std::max<Micros>(1, call_.deadline - net::Loop::now());
+    bool room = out.append(call_.head + "X-Timeout: " + std::to_string(left) + "u\r\n\r\n");
+    if (call_.body) room = room && out.append(call_.body->to_string());
     if (!room) return stop(net::CloseReason::out_of_sockets, net::CloseReason::out_of_sockets);
     connection_.write(std::move(out));
 }
@@ -170,38 +175,38 @@
 void RunnerConnection::on_bytes(std::string_view bytes) {
     // Bytes that nobody asked for: whatever answer they belong to, it is not the next one's.
     if (state_ == State::idle) return close();
-    answered_ = true;
+    has_answered_ = true;
     while (state_ != State::idle && state_ != State::over) {
         switch (reader_.read(bytes)) {
             case http::ReadResult::nothing:
                 return;
             case http::ReadResult::head:
-                if (!heed_head()) return;
+                if (!on_head()) return;
                 break;
             case http::ReadResult::body:
-                if (!heed_piece()) return;
+                if (!on_body_piece()) return;
                 break;
             case http::ReadResult::end:
-                heed_end();
+                on_answer_end();
                 if (state_ == State::idle && !bytes.empty()) close();
                 return;
             case http::ReadResult::error:
-                settle(net::CloseReason::malformed);
+                complete(net::CloseReason::malformed);
                 return close();
         }
     }
 }
 
-bool RunnerConnection::heed_head() {
-    report_ = links_.reports_.read_pairs(reader_.head().field("X-Server-Load"));
+bool RunnerConnection::on_head() {
+    report_ = pool_.reports_.read_pairs(reader_.head().field("X-Server-Load"));
     // An answer that comes before the request is out belongs to no request of ours.
-    if (state_ != State::errand || !connection_.has_unsent_bytes()) return true;
-    settle(by_status());
+    if (state_ != State::call || !connection_.has_unsent_bytes()) return true;
+    complete(reason_by_status());
     close();
     return false;
 }
 
-net::CloseReason RunnerConnection::by_status() const {
+net::CloseReason RunnerConnection::reason_by_status() const {
     const http::Head& head = reader_.head();
     const bool never_ran = head.field("X-Not-Processed") == "1";
     if ((head.status == 503 || head.status == 504) && never_ran) return net::CloseReason::returned;
@@ -210,69 +215,69 @@
     return net::CloseReason::malformed;
 }
 
-bool RunnerConnection::heed_piece() {
+bool RunnerConnection::on_body_piece() {
     const auto give_up = [this] {
-        settle(net::CloseReason::malformed);
+        complete(net::CloseReason::malformed);
         close();
         return false;
     };
     std::string_view piece = reader_.body_piece();
-    if (state_ == State::probe || (state_ == State::errand && reader_.head().status != 200)) {
+    if (state_ == State::probe || (state_ == State::call && reader_.head().status != 200)) {
         // Bodies that are not lines: a load report, or words on why not.
-        return line_.size() + piece.size() <= kLongestLine && line_.append(piece) ? true : give_up();
+        return line_.size() + piece.size() <= kMaxLineBytes && line_.append(piece) ? true : give_up();
     }
     while (!piece.empty()) {
         const auto end = piece.find('\n');
-        if (line_.size() + piece.size() > kLongestLine || !line_.append(piece.substr(0, end)))
+        if (line_.size() + piece.size() > kMaxLineBytes || !line_.append(piece.substr(0, end)))
             return give_up();
         if (end == std::string_view::npos) return true;
         piece.remove_prefix(end + 1);
         const std::string text = line_.to_string();
         line_.clear();
-        if (!heed_line(text)) return false;
+        if (!on_line(text)) return false;
     }
     return true;
 }
 
-bool RunnerConnection::heed_line(std::string_view text) {
+bool RunnerConnection::on_line(std::string_view text) {
     if (text.find_first_not_of(" \t\r") == std::string_view::npos) return true;
     TaskUpdate line;
-    if (state_ == State::errand) line = parse_task_update(text, errand_.request_id, links_.reports_);
+    if (state_ == State::call) line = parse_task_update(text, call_.request_id, pool_.reports_);
     switch (line.state) {
         case TaskUpdate::State::started:
-            links_.sender_.progressed(errand_.task, errand_.number, runner_, Stage::begun, 0);
+            pool_.observer_.on_progress(call_.task, call_.number, runner_, Stage::begun, 0);
             return true;
         case TaskUpdate::State::running:
-            links_.sender_.progressed(errand_.task, errand_.number, runner_, Stage::progress, line.share);
+            pool_.observer_.on_progress(call_.task, call_.number, runner_, Stage::progress, line.share);
             return true;
         case TaskUpdate::State::last:
             if (line.report.empty()) line.report = std::move(report_);
-            settle(line.ending, std::move(line.report), std::move(line.result));
+            complete(line.ending, std::move(line.report), std::move(line.result));
             return true;
         case TaskUpdate::State::unreadable:
             // Also a line after the last one: a runner that goes on talking is not to be followed.
-            settle(net::CloseReason::malformed);
+            complete(net::CloseReason::malformed);
             close();
             return false;
     }
     return true;
 }
 
-void RunnerConnection::heed_end() {
+void RunnerConnection::on_answer_end() {
     if (state_ == State::probe) {
-        Report report = links_.reports_.read_object(line_.to_string());
+        Report report = pool_.reports_.read_object(line_.to_string());
         if (report.empty()) report = std::move(report_);
-        settle(reader_.head().status == 200 ? net::CloseReason::done : net::CloseReason::returned,
-               std::move(report));
-    } else if (state_ == State::errand && reader_.head().status != 200) {
-        settle(by_status(), std::move(report_));
-    } else if (state_ == State::errand) {
+        complete(reader_.head().status == 200 ? net::CloseReason::done : net::CloseReason::returned,
+                 std::move(report));
+    } else if (state_ == State::call && reader_.head().status != 200) {
+        complete(reason_by_status(), std::move(report_));
+    } else if (state_ == State::call) {
         // The last line may lack its line end.
         const std::string text = line_.to_string();
         line_.clear();
-        if (!text.empty() && !heed_line(text)) return;
-        if (state_ == State::errand) {
-            settle(net::CloseReason::ended_early);
+        if (!text.empty() && !on_line(text)) return;
+        if (state_ == State::call) {
+            complete(net::CloseReason::ended_early);
             return close();
         }
     }
@@ -280,83 +285,82 @@
     reader_.restart();
     line_.clear();
     if (keeps && state_ != State::over)
-        keep();
+        return_to_pool();
     else
         close();
 }
 
-void RunnerConnection::keep() {
-    ConnectionPool::Endpoint& place = links_.places_[runner_];
-    if (!place.open || place.address->text != address_) return close();
+void RunnerConnection::return_to_pool() {
+    ConnectionPool::Endpoint& endpoint = pool_.endpoints_[runner_];
+    if (!endpoint.open || endpoint.address->text != address_) return close();
     state_ = State::idle;
-    begun_ = false;
-    used_ = true;
+    has_begun_ = false;
+    is_reused_ = true;
     // Closed before the runner would: a request that crosses its close counts as one that may have run.
-    limit_.set(net::Loop::now() + links_.upkeep_.keep_idle);
-    place.idle.push_back(this);
+    limit_.set(net::Loop::now() + pool_.options_.keep_idle);
+    endpoint.idle.push_back(this);
 }
 
 // The one end of an errand or probe; what still comes on the connection is only read to its end.
-void RunnerConnection::settle(net::CloseReason ending, Report&& report, std::string&& result) {
-    if (!busy()) return;
+void RunnerConnection::complete(net::CloseReason ending, Report&& report, std::string&& result) {
+    if (!is_busy()) return;
     if (net::is_request_written(ending)) on_all_written();  // where its end is read before the loop says so
     const bool probe = state_ == State::probe;
     state_ = State::finishing;
-    limit_.set(net::Loop::now() + kFinishing);
-    const Micros elapsed = net::Loop::now() - since_;
-    if (probe) return links_.sender_.probe_ended(runner_, ending, elapsed, std::move(report));
-    links_.out_.erase({errand_.task, errand_.number});
-    links_.sender_.errand_ended(
-        {errand_.task, errand_.number, runner_, ending, elapsed, std::move(report), std::move(result)});
+    limit_.set(net::Loop::now() + kFinishTimeout);
+    const Micros elapsed = net::Loop::now() - started_at_;
+    if (probe) return pool_.observer_.on_probe_ended(runner_, ending, elapsed, std::move(report));
+    pool_.in_flight_.erase({call_.task, call_.number});
+    pool_.observer_.on_call_ended(
+        {call_.task, call_.number, runner_, ending, elapsed, std::move(report), std::move(result)});
 }
 
 void RunnerConnection::stop(net::CloseReason sent, net::CloseReason unsent) {
-    if (!busy()) return;
-    const bool all_out = begun_ && !connection_.has_unsent_bytes();
-    settle(all_out ? sent : unsent);
+    if (!is_busy()) return;
+    const bool all_out = has_begun_ && !connection_.has_unsent_bytes();
+    complete(all_out ? sent : unsent);
     close();
 }
 
-void RunnerConnection::stop_by(Micros at) {
-    if (state_ != State::errand || errand_.stop_at <= at) return;
-    errand_.stop_at = at;
+void RunnerConnection::limit_deadline(Micros at) {
+    if (state_ != State::call || call_.deadline <= at) return;
+    call_.deadline = at;
     limit_.set(at);
 }
 
 void RunnerConnection::close() {
     if (state_ == State::over) return;
-    if (state_ == State::idle) links_.forget_idle(*this);
-    settle(net::CloseReason::closed);
+    if (state_ == State::idle) pool_.forget_idle(*this);
+    complete(net::CloseReason::closed);
     state_ = State::over;
     limit_.cancel();
     connection_.close();
     reader_.restart();
     line_.clear();
-    links_.ended_.push_back(this);
+    pool_.ended_.push_back(this);
 }
 
 void RunnerConnection::on_closed(net::CloseReason ending) {
-    if (!begun_ && busy() && up_) ending = net::CloseReason::broken_unsent;
+    if (!has_begun_ && is_busy() && is_connected_) ending = net::CloseReason::broken_unsent;
     // An answer that goes on until the connection closes ends properly by that.
-    if (ending == net::CloseReason::ended_early && state_ == State::errand &&
-        reader_.is_complete_at_close()) {
+    if (ending == net::CloseReason::ended_early && state_ == State::call && reader_.is_complete_at_close()) {
         const std::string text = line_.to_string();
         if (reader_.head().status != 200)
-            settle(by_status(), std::move(report_));
+            complete(reason_by_status(), std::move(report_));
         else if (!text.empty())
-            heed_line(text);
+            on_line(text);
     }
-    if ((ending == net::CloseReason::ended_early || ending == net::CloseReason::broken) && used_ &&
-        !answered_)
+    if ((ending == net::CloseReason::ended_early || ending == net::CloseReason::broken) && is_reused_ &&
+        !has_answered_)
         ending = net::CloseReason::stale_connection;
     // Where one connection broke, or none could be made, those that are kept are no surer.
-    if (busy()) links_.close_idle(runner_);
-    if (state_ == State::probe && used_ && !answered_ && links_.places_[runner_].open) {
+    if (is_busy()) pool_.close_idle(runner_);
+    if (state_ == State::probe && is_reused_ && !has_answered_ && pool_.endpoints_[runner_].open) {
         // Against a break that tells of an old connection and not of the runner: a probe does no harm twice.
         state_ = State::finishing;
-        links_.probe(runner_);
+        pool_.probe(runner_);
     }
-    settle(ending);
+    complete(ending);
     close();
 }
 
--- a/src/runners/transport.hpp
+++ b/src/runners/transport.hpp
@@ -17,7 +17,7 @@
     std::string request_id;
     std::string head;  // of the request over HTTP, without the time it has and the empty line
     const net::BlockBuffer* body = nullptr;  // kept by the sender until the errand has ended
-    Micros stop_at = 0;
+    Micros deadline = 0;
 };
 
 struct CallEnded {
@@ -33,10 +33,11 @@
 // Who hears of it; also from inside a call to a port, so it must only take note.
 class TransportObserver {
   public:
-    virtual void errand_ended(CallEnded&& ended) = 0;
-    virtual void written_whole() = 0;  // the last byte of an assignment was given to the system
-    virtual void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) = 0;
-    virtual void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) = 0;
+    virtual void on_call_ended(CallEnded&& ended) = 0;
+    virtual void on_request_written() = 0;  // the last byte of an assignment was given to the system
+    virtual void on_progress(TaskId task, int number, RunnerId runner, Stage stage, double share) = 0;
+    virtual void on_probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed,
+                                Report&& report) = 0;
 
   protected:
     ~TransportObserver() = default;
@@ -44,11 +45,11 @@
 
 class Transport {
   public:
-    virtual void assign(RunnerId runner, PendingCall&& errand) = 0;
+    virtual void assign(RunnerId runner, PendingCall&& call) = 0;
     virtual void withdraw(TaskId task, int number) = 0;  // nothing where it is not out by this port
     virtual void probe(RunnerId runner) = 0;
     virtual void close_idle(RunnerId runner) = 0;
-    virtual void stop_all_by(Micros at) = 0;  // no assignment that is out now may be out longer
+    virtual void limit_deadlines(Micros at) = 0;  // no assignment that is out now may be out longer
 
   protected:
     ~Transport() = default;
--- a/src/sim_host/host.cpp
+++ b/src/sim_host/host.cpp
@@ -11,12 +11,12 @@
 using sim_protocol::InstanceId;
 
 std::string Host::answer(const sim_protocol::Batch& batch) {
-    std::set<InstanceId> spoken_to;
+    std::set<InstanceId> addressed;
     std::map<InstanceId, std::string> failures;
     for (const auto& record : batch.records) {
         if (std::holds_alternative<sim_protocol::Killed>(record.what)) {
             if (!instances_.erase(record.instance)) throw BadFrame("kill of an unknown instance", record.at);
-            spoken_to.erase(record.instance);
+            addressed.erase(record.instance);
             failures.erase(record.instance);
             continue;
         }
@@ -24,7 +24,8 @@
         try {
             if (const auto* created = std::get_if<sim_protocol::Created>(&record.what)) {
                 instances_[record.instance].reset();
-                instances_[record.instance] = std::make_unique<Balancer>(created->orders, created->seed);
+                instances_[record.instance] =
+                    std::make_unique<Balancer>(created->settings_map, created->seed);
             } else {
                 const auto instance = instances_.find(record.instance);
                 if (instance == instances_.end())
@@ -36,22 +37,22 @@
         } catch (const std::exception& e) {
             failures[record.instance] = e.what();
         }
-        spoken_to.insert(record.instance);
+        addressed.insert(record.instance);
     }
     sim_protocol::ReplyWriter reply;
     std::vector<Action> actions;
-    for (const InstanceId who : spoken_to) {
+    for (const InstanceId instance : addressed) {
         actions.clear();
-        std::string failure = failures.contains(who) ? failures[who] : "";
+        std::string failure = failures.contains(instance) ? failures[instance] : "";
         if (failure.empty()) {
             try {
-                instances_[who]->collect_actions(batch.now, actions);
+                instances_[instance]->collect_actions(batch.now, actions);
             } catch (const std::exception& e) {
                 failure = e.what();
             }
         }
         if (actions.empty() && failure.empty()) continue;
-        reply.instance(who);
+        reply.instance(instance);
         if (failure.empty()) {
             for (const Action& action : actions) reply.action(action);
         } else {
@@ -61,7 +62,7 @@
     return reply.frame();
 }
 
-int serve(std::istream& in, std::ostream& out, std::ostream& complaints) {
+int serve(std::istream& in, std::ostream& out, std::ostream& errors) {
     Host host;
     std::size_t at = 0;
     std::string bytes;
@@ -82,7 +83,7 @@
             out.write(reply.data(), static_cast<std::streamsize>(reply.size())).flush();
         }
     } catch (const std::exception& e) {
-        complaints << "gannethold_simhost: " << e.what() << '\n';
+        errors << "gannethold_simhost: " << e.what() << '\n';
         return 1;
     }
 }
--- a/src/sim_host/host.hpp
+++ b/src/sim_host/host.hpp
@@ -20,6 +20,6 @@
 };
 
 // Plays frames until the input ends; returns the exit status.
-int serve(std::istream& in, std::ostream& out, std::ostream& complaints);
+int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
 }  // namespace gannethold::sim_host
--- a/src/sim_protocol/sim_protocol.cpp
+++ b/src/sim_protocol/sim_protocol.cpp
@@ -24,9 +24,9 @@
     double real() { return std::bit_cast<float>(static_cast<std::uint32_t>(number(4))); }
     std::string_view text(std::size_t count_width) { return take(number(count_width)); }
     std::size_t count(std::size_t count_width, std::size_t entry_width) {
-        const std::size_t begun = at();
+        const std::size_t start = at();
         const std::size_t n = number(count_width);
-        if (n * entry_width > bytes_.size() - next_) throw BadFrame("count overruns the frame", begun);
+        if (n * entry_width > bytes_.size() - next_) throw BadFrame("count overruns the frame", start);
         return n;
     }
 
@@ -56,7 +56,7 @@
 }
 
 Outcome outcome(Cursor& in) {
-    const std::size_t begun = in.at();
+    const std::size_t start = in.at();
     switch (in.number(2)) {
         case 0:
             return Outcome::finished;
@@ -75,32 +75,32 @@
         case 114:
             return Outcome::not_started;
         default:
-            throw BadFrame("unknown outcome", begun);
+            throw BadFrame("unknown outcome", start);
     }
 }
 
-MembershipUpdate roster(Cursor& in) {
-    const std::size_t begun = in.at();
-    MembershipUpdate news{};
+MembershipUpdate membership_update(Cursor& in) {
+    const std::size_t start = in.at();
+    MembershipUpdate update{};
     switch (in.number(1)) {
         case 0:
-            news.scope = UpdateScope::failed;
+            update.scope = UpdateScope::failed;
             break;
         case 1:
-            news.scope = UpdateScope::complete;
+            update.scope = UpdateScope::complete;
             break;
         case 3:
-            news.scope = UpdateScope::cached;
+            update.scope = UpdateScope::cached;
             break;
         case 4:
-            news.scope = UpdateScope::delta;
+            update.scope = UpdateScope::delta;
             break;
         default:
-            throw BadFrame("unknown kind of list", begun);
+            throw BadFrame("unknown kind of list", start);
     }
-    news.version = static_cast<std::uint32_t>(in.number(4));
-    news.entries.resize(in.count(4, 21));
-    for (EndpointEntry& e : news.entries) {
+    update.version = static_cast<std::uint32_t>(in.number(4));
+    update.entries.resize(in.count(4, 21));
+    for (EndpointEntry& e : update.entries) {
         e.runner = id<RunnerId>(in, 4);
         e.zone = id<ZoneId>(in, 1);
         e.instance_type = id<InstanceTypeId>(in, 1);
@@ -112,7 +112,7 @@
         e.weight = in.real();
         e.started_at = micros(in, 8);
     }
-    return news;
+    return update;
 }
 
 TaskArrived arrival(Cursor& in) {
@@ -174,14 +174,14 @@
     return p;
 }
 
-std::variant<Created, Killed, Event> record(std::uint64_t code, std::size_t begun, Cursor& in) {
+std::variant<Created, Killed, Event> record(std::uint64_t code, std::size_t start, Cursor& in) {
     switch (code) {
         case 10: {
             const auto seed = in.number(8);
             return Created{seed, settings::parse_settings(in.text(4))};
         }
         case 20:
-            return Event{roster(in)};
+            return Event{membership_update(in)};
         case 30:
             return Event{arrival(in)};
         case 40:
@@ -203,7 +203,7 @@
         case 110:
             return Event{progress(in)};
         default:
-            throw BadFrame("unknown record code " + std::to_string(code), begun);
+            throw BadFrame("unknown record code " + std::to_string(code), start);
     }
 }
 
@@ -227,7 +227,7 @@
     return static_cast<std::uint64_t>(id);
 }
 
-constexpr std::uint64_t kEveryPeer = 0xffff;
+constexpr std::uint64_t kAllPeers = 0xffff;
 
 }  // namespace
 
@@ -247,52 +247,51 @@
     bool named = false;
     InstanceId instance{};
     for (std::uint32_t i = 0; i < header.records; ++i) {
-        const std::size_t begun = in.at();
+        const std::size_t start = in.at();
         const auto code = in.number(1);
         if (code == 120) {
             instance = id<InstanceId>(in, 2);
             named = true;
             continue;
         }
-        if (!named) throw BadFrame("record before any instance is named", begun);
-        batch.records.push_back({instance, begun, record(code, begun, in)});
+        if (!named) throw BadFrame("record before any instance is named", start);
+        batch.records.push_back({instance, start, record(code, start, in)});
     }
     if (!in.done()) throw BadFrame("bytes left over after the last record", in.at());
     return batch;
 }
 
-void ReplyWriter::instance(InstanceId who) {
+void ReplyWriter::instance(InstanceId instance) {
     put(body_, 130, 1);
-    put(body_, raw(who), 2);
+    put(body_, raw(instance), 2);
 }
 
 void ReplyWriter::action(const Action& action) {
     std::string& o = body_;
     std::visit(
-        Match{
-            [&](const Assign& a) {
-                put(o, 10, 1), put(o, raw(a.task), 8), put(o, raw(a.runner), 4);
-                put(o, static_cast<std::uint64_t>(a.deadline), 8);
-            },
-            [&](const Bounce& a) {
-                put(o, 20, 1), put(o, raw(a.task), 8);
-                put(o, static_cast<std::uint64_t>(a.retry_after), 4);
-            },
-            [&](const Abandon& a) { put(o, 30, 1), put(o, raw(a.task), 8); },
-            [&](const Withdraw& a) {
-                put(o, 40, 1), put(o, raw(a.task), 8);
-                put(o, static_cast<std::uint64_t>(a.assignment), 1);
-            },
-            [&](const WakeAt& a) {
-                put(o, 50, 1), put(o, static_cast<std::uint64_t>(a.at), 8), put(o, raw(a.timer), 8);
-            },
-            [&](const Probe& a) { put(o, 60, 1), put(o, raw(a.runner), 4); },
-            [&](const CloseIdle& a) { put(o, 70, 1), put(o, raw(a.runner), 4); },
-            [&](const BroadcastToPeers& a) { put(o, 80, 1), put(o, kEveryPeer, 2), put_text(o, a.payload); },
-            [&](const SendToPeer& a) { put(o, 80, 1), put(o, raw(a.to), 2), put_text(o, a.payload); },
-            [&](const LogLine& a) { put(o, 90, 1), put_text(o, a.text); },
-            [&](const WatchMembership& a) { put(o, 110, 1), put(o, a.on, 1); },
-            [&](const FetchMembership&) { put(o, 120, 1); }},
+        Match{[&](const Assign& a) {
+                  put(o, 10, 1), put(o, raw(a.task), 8), put(o, raw(a.runner), 4);
+                  put(o, static_cast<std::uint64_t>(a.deadline), 8);
+              },
+              [&](const Bounce& a) {
+                  put(o, 20, 1), put(o, raw(a.task), 8);
+                  put(o, static_cast<std::uint64_t>(a.retry_after), 4);
+              },
+              [&](const Abandon& a) { put(o, 30, 1), put(o, raw(a.task), 8); },
+              [&](const Withdraw& a) {
+                  put(o, 40, 1), put(o, raw(a.task), 8);
+                  put(o, static_cast<std::uint64_t>(a.assignment), 1);
+              },
+              [&](const WakeAt& a) {
+                  put(o, 50, 1), put(o, static_cast<std::uint64_t>(a.at), 8), put(o, raw(a.timer), 8);
+              },
+              [&](const Probe& a) { put(o, 60, 1), put(o, raw(a.runner), 4); },
+              [&](const CloseIdle& a) { put(o, 70, 1), put(o, raw(a.runner), 4); },
+              [&](const BroadcastToPeers& a) { put(o, 80, 1), put(o, kAllPeers, 2), put_text(o, a.payload); },
+              [&](const SendToPeer& a) { put(o, 80, 1), put(o, raw(a.to), 2), put_text(o, a.payload); },
+              [&](const LogLine& a) { put(o, 90, 1), put_text(o, a.text); },
+              [&](const WatchMembership& a) { put(o, 110, 1), put(o, a.on, 1); },
+              [&](const FetchMembership&) { put(o, 120, 1); }},
         action);
 }
 
--- a/src/sim_protocol/sim_protocol.hpp
+++ b/src/sim_protocol/sim_protocol.hpp
@@ -14,17 +14,17 @@
 
 struct Created {
     std::uint64_t seed;
-    SettingsMap orders;
+    SettingsMap settings_map;
 };
 struct Killed {};
-struct Routed {
+struct Record {
     InstanceId instance;
     std::size_t at;  // byte in the stream where the record begins
     std::variant<Created, Killed, Event> what;
 };
 struct Batch {
     Micros now = 0;
-    std::vector<Routed> records;
+    std::vector<Record> records;
 };
 
 class BadFrame : public std::runtime_error {
@@ -45,7 +45,7 @@
 
 class ReplyWriter {
   public:
-    void instance(InstanceId who);
+    void instance(InstanceId instance);
     void action(const Action& action);
     void failure(const std::string& text);
     std::string frame() const;
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -17,8 +17,8 @@
     dispatcher::Extras e;
     e.desk.emplace();
     e.desk->path = socket_path();
-    e.desk->patience = 300'000;
-    e.desk->remembered = 10;
+    e.desk->line_timeout = 300'000;
+    e.desk->max_remembered_changes = 10;
     e.manners = {notices, takes};
     return e;
 }
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -208,10 +208,10 @@
 
 TEST_CASE("orders at the admin address and on the control socket are one drain, and a signal ends both") {
     DispatcherFixture fixture = make_fixture();
-    auto& office = static_cast<control::RequestHandler&>(*fixture.dispatcher);
+    auto& handler = static_cast<control::RequestHandler&>(*fixture.dispatcher);
     json::Object order;
     order["deadline_s"] = json::Value(json::Number{"60"});
-    office.answer("drain", json::Value(order), "ada");
+    handler.on_request("drain", json::Value(order), "ada");
     CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
     const std::string refused = fixture.call("POST", "/control/in-service");
     CHECK(has_status(refused, 409));
--- a/tests/fuzz/beanstalk.cpp
+++ b/tests/fuzz/beanstalk.cpp
@@ -35,17 +35,18 @@
     void worker_room(RunnerId, double slots) override {
         if (slots < 0) std::abort();
     }
-    void errand_ended(runners::CallEnded&& e) override { ended.push_back(e); }
-    void probe_ended(RunnerId) override {}
+    void on_call_ended(runners::CallEnded&& e) override { ended.push_back(e); }
+    void on_probe_ended(RunnerId) override {}
 
     void settle(Micros now) {
         for (int turn = 0; turn < 4; ++turn) {
             for (const auto& e : std::exchange(ended, {}))
-                exchange.answer(e.task,
-                                e.ending == net::CloseReason::done               ? frontend::Answer::finished
-                                : e.ending == net::CloseReason::timed_out_unsent ? frontend::Answer::bounced
-                                                                                 : frontend::Answer::abandoned,
-                                "", 0);
+                exchange.on_answer(e.task,
+                                   e.ending == net::CloseReason::done ? frontend::Answer::finished
+                                   : e.ending == net::CloseReason::timed_out_unsent
+                                       ? frontend::Answer::bounced
+                                       : frontend::Answer::abandoned,
+                                   "", 0);
             for (const SessionId s : std::exchange(closing, {})) exchange.closed(now, s);
             exchange.pass(now);
             std::vector<TaskId> out;
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -141,7 +141,7 @@
     void worker_room(RunnerId worker, double slots) override {
         balancer.apply(now, CapacityReported{worker, slots});
     }
-    void errand_ended(runners::CallEnded&& e) override {
+    void on_call_ended(runners::CallEnded&& e) override {
         const bool finished = e.ending == net::CloseReason::done;
         if (finished) answer(e.task, frontend::Answer::finished, 0);
         const Outcome outcome = finished                                         ? Outcome::finished
@@ -154,7 +154,7 @@
         balancer.apply(now, AssignmentEnded{
                                 e.task, !tasks[e.task].waits, 0, e.elapsed, e.runner, e.number, outcome, {}});
     }
-    void probe_ended(RunnerId worker) override {
+    void on_probe_ended(RunnerId worker) override {
         balancer.apply(now, ProbeEnded{worker, Outcome::finished, 0, {}});
     }
 
@@ -179,12 +179,12 @@
                         {wanted.task, t.assignments++, "", "", nullptr,
                          wanted.deadline > 0 ? std::min(wanted.deadline, t.expiry) : t.expiry});
     }
-    void answer(TaskId task, frontend::Answer answer, Micros stay_away) {
+    void on_answer(TaskId task, frontend::Answer answer, Micros retry_after) {
         Task& t = tasks[task];
         answers_twice += !t.waits;
         answers_late += now > t.expiry;
         if (!std::exchange(t.waits, false)) return;
-        exchange.answer(task, answer, "", stay_away);
+        exchange.on_answer(task, answer, "", retry_after);
     }
 
     SettingsMap orders_;
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -216,7 +216,7 @@
     const auto take = [&](const std::string& text, UpdateScope scope) {
         const auto listing = membership::parse_endpoint_list(json::parse(text));
         REQUIRE(listing);
-        return book.take(*listing, scope, 100'000'000);
+        return book.apply(*listing, scope, 100'000'000);
     };
     const auto list = [](const std::string& version, const std::string& addr, const std::string& state,
                          const std::string& more = "") {
@@ -224,31 +224,31 @@
                "\",\"zone\":\"a\",\"kind\":\"m\",\"state\":\"" + state + "\"" + more + "}]}";
     };
     const auto first = take(list("41", "127.0.0.1:5000", "SERVING"), UpdateScope::complete);
-    CHECK(first->for_module.entries[0].state == RunnerState::ready);
-    CHECK(first->seats[0].open);
+    CHECK(first->update.entries[0].state == RunnerState::ready);
+    CHECK(first->targets[0].open);
     // A state or an address that cannot be read: the last good entry stands.
     const auto odd = take(list("42", "127.0.0.1:5000", "RESTING"), UpdateScope::delta);
-    CHECK(odd->for_module.entries[0].state == RunnerState::ready);
-    CHECK(take(list("43", "nowhere", "SERVING"), UpdateScope::delta)->seats[0].address.text ==
+    CHECK(odd->update.entries[0].state == RunnerState::ready);
+    CHECK(take(list("43", "nowhere", "SERVING"), UpdateScope::delta)->targets[0].address.text ==
           "127.0.0.1:5000");
     CHECK(said.str().find("passed over the entry of s-1") != std::string::npos);
     // Older changes are passed over, an older whole list counts: discovery has restarted.
     CHECK_FALSE(take(list("40", "127.0.0.1:5000", "DRAINING"), UpdateScope::delta));
-    CHECK(book.since() == 0);
-    CHECK(take(list("1", "127.0.0.1:5001", "DRAINING"), UpdateScope::complete)->for_module.version == 1);
-    CHECK_FALSE(take(list("2", "127.0.0.1:5001", "DELETED"), UpdateScope::delta)->seats[0].open);
+    CHECK(book.follow_from() == 0);
+    CHECK(take(list("1", "127.0.0.1:5001", "DRAINING"), UpdateScope::complete)->update.version == 1);
+    CHECK_FALSE(take(list("2", "127.0.0.1:5001", "DELETED"), UpdateScope::delta)->targets[0].open);
     // A start is reckoned once, so that the same start told again is no other one.
     const std::string started = ",\"started_ms\":1700000000000";
     const auto again = take(list("3", "127.0.0.1:5001", "SERVING", started), UpdateScope::delta);
-    CHECK(again->seats[0].restarted);
+    CHECK(again->targets[0].restarted);
     usleep(2000);
     const auto same = take(list("4", "127.0.0.1:5001", "SERVING", started), UpdateScope::complete);
-    CHECK_FALSE(same->seats[0].restarted);
-    CHECK(again->for_module.entries[0].started_at == same->for_module.entries[0].started_at);
-    CHECK(same->for_module.entries[0].runner == first->for_module.entries[0].runner);
+    CHECK_FALSE(same->targets[0].restarted);
+    CHECK(again->update.entries[0].started_at == same->update.entries[0].started_at);
+    CHECK(same->update.entries[0].runner == first->update.entries[0].runner);
     // What a whole list does not name is closed.
     const auto nobody = take("{\"version\":5,\"full\":true,\"servers\":[]}", UpdateScope::complete);
-    CHECK_FALSE(nobody->seats.at(0).open);
+    CHECK_FALSE(nobody->targets.at(0).open);
     for (const std::string bad : {"{}", "{\"version\":1,\"servers\":{}}", "{\"version\":-1,\"servers\":[]}",
                                   "{\"version\":1,\"servers\":[{}]}"})
         CHECK_FALSE(membership::parse_endpoint_list(json::parse(bad)));
--- a/tests/sim_protocol_test.cpp
+++ b/tests/sim_protocol_test.cpp
@@ -28,8 +28,8 @@
     return Bytes().n(1'000'000, 8).n(body.made.size(), 4).n(records, 4).made + body.made;
 }
 
-Bytes created(const std::string& orders) {
-    return Bytes().n(120, 1).n(3, 2).n(10, 1).n(42, 8).text(orders, 4);
+Bytes created(const std::string& settings_map) {
+    return Bytes().n(120, 1).n(3, 2).n(10, 1).n(42, 8).text(settings_map, 4);
 }
 
 struct Played {
@@ -38,9 +38,9 @@
 };
 Played play(const std::string& bytes) {
     std::istringstream in(bytes);
-    std::ostringstream out, complaints;
-    const int status = sim_host::serve(in, out, complaints);
-    return {status, out.str(), complaints.str()};
+    std::ostringstream out, errors;
+    const int status = sim_host::serve(in, out, errors);
+    return {status, out.str(), errors.str()};
 }
 
 }  // namespace
@@ -54,9 +54,9 @@
     const Batch batch =
         read_batch(read_header(bytes, 0), std::string_view(bytes).substr(kHeaderBytes), kHeaderBytes);
     REQUIRE(batch.records.size() == 5);
-    const auto& news = std::get<MembershipUpdate>(std::get<Event>(batch.records[1].what));
-    CHECK(news.entries[0].runner == RunnerId{55});
-    CHECK(news.entries[0].state == RunnerState::draining);
+    const auto& update = std::get<MembershipUpdate>(std::get<Event>(batch.records[1].what));
+    CHECK(update.entries[0].runner == RunnerId{55});
+    CHECK(update.entries[0].state == RunnerState::draining);
     const auto& ended = std::get<AssignmentEnded>(std::get<Event>(batch.records[2].what));
     CHECK(ended.outcome == Outcome::reset);
     CHECK(ended.report == Report{1.5});
@@ -79,13 +79,13 @@
 }
 
 TEST_CASE("settings are told in our words, unknown ones pass") {
-    const auto orders = settings::parse_settings(
+    const auto settings_map = settings::parse_settings(
         "workloads.0.effect=token\nreporting.names=x0,q,rif\nspecifics.report_x0=free_slots\n"
         "tenants.count=2\nodd.thing=a=b\n");
-    CHECK(orders.at("workloads.0.effect") == "fingerprinted");
-    CHECK(orders.at("reports.names") == "free_slots,waiting,held");
-    CHECK(orders.at("customers.count") == "2");
-    CHECK(orders.at("odd.thing") == "a=b");
+    CHECK(settings_map.at("workloads.0.effect") == "fingerprinted");
+    CHECK(settings_map.at("reports.names") == "free_slots,waiting,held");
+    CHECK(settings_map.at("customers.count") == "2");
+    CHECK(settings_map.at("odd.thing") == "a=b");
 }
 
 TEST_CASE("good frames have one reply each and a quiet end, bad ones end the host with one plain line") {
--- a/tests/socket_stories.cpp
+++ b/tests/socket_stories.cpp
@@ -16,13 +16,13 @@
 // Connections to one runner, and what their sender hears.
 struct Street : runners::TransportObserver {
     Street() : links(loop, *this, runners::ReportDecoder({"rif"}), {100'000, 200'000, 4}) { seat(true); }
-    void errand_ended(runners::CallEnded&& e) override { ended.push_back(std::move(e)); }
-    void written_whole() override { ++written; }
-    void progressed(TaskId, int, RunnerId, Stage, double share) override { shares.push_back(share); }
-    void probe_ended(RunnerId, CloseReason ending, Micros, Report&& report) override {
+    void on_call_ended(runners::CallEnded&& e) override { ended.push_back(std::move(e)); }
+    void on_request_written() override { ++written; }
+    void on_progress(TaskId, int, RunnerId, Stage, double share) override { shares.push_back(share); }
+    void on_probe_ended(RunnerId, CloseReason ending, Micros, Report&& report) override {
         probes.emplace_back(ending, report);
     }
-    void seat(bool open) { links.seat(RunnerId{1}, *net::Address::parse(listener.address()), open); }
+    void seat(bool open) { links.set_endpoint(RunnerId{1}, *net::Address::parse(listener.address()), open); }
     void assign(const std::string& id = "7", Micros span = 2'000'000) {
         links.assign(RunnerId{1}, {TaskId{++sent}, 0, id, "POST /r HTTP/1.1\r\nX-Request-ID: " + id + "\r\n",
                                    nullptr, net::Loop::now() + span});
@@ -30,7 +30,7 @@
     bool until(const std::function<bool()>& holds, int milliseconds = 3000) {
         for (const Micros end = net::Loop::now() + milliseconds * 1000; net::Loop::now() < end; usleep(200)) {
             loop.run_once(false);
-            links.sweep();
+            links.erase_ended();
             if (holds()) return true;
         }
         return false;
@@ -153,7 +153,7 @@
     s.links.withdraw(TaskId{2}, 0);
     CHECK(s.ended.back().ending == CloseReason::cancelled);
     StuckDoor stuck;
-    s.links.seat(RunnerId{1}, *net::Address::parse(stuck.address()), true);
+    s.links.set_endpoint(RunnerId{1}, *net::Address::parse(stuck.address()), true);
     s.assign();
     s.loop.run_once(false);
     s.links.withdraw(TaskId{3}, 0);
@@ -235,7 +235,7 @@
     CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     // Nor is one kept from before a restart, after another has broken, or to an address that it has left.
     REQUIRE(s.until([&] { return s.links.size() == 1; }));
-    s.links.seat(RunnerId{1}, *net::Address::parse(s.listener.address()), true, true);
+    s.links.set_endpoint(RunnerId{1}, *net::Address::parse(s.listener.address()), true, true);
     CHECK(s.until([&] { return s.links.size() == 0; }));
     s.assign();
     TestConnection& breaks = s.runner();
@@ -245,7 +245,7 @@
     CHECK(s.until([&] { return s.links.size() == 0; }));
     s.after(DispatcherFixture::done("7"));
     TestListener moved;
-    s.links.seat(RunnerId{1}, *net::Address::parse(moved.address()), true);
+    s.links.set_endpoint(RunnerId{1}, *net::Address::parse(moved.address()), true);
     s.assign();
     CHECK(s.until(
         [&] { return !moved.connections().empty() && moved.connections().back().has("X-Request-ID: 7"); }));
@@ -654,7 +654,7 @@
         [&] { ++failures; });
     const auto told = [&](const std::string& answer, bool hangs_up) {
         const std::size_t before = discovery.connections().size();
-        follower.ask();
+        follower.fetch();
         bool spoken = false;
         for (const Micros end = net::Loop::now() + 300'000; net::Loop::now() < end; usleep(200)) {
             loop.run_once(false);
@@ -664,7 +664,7 @@
             if (hangs_up) discovery.connections().back().hang_up();
             spoken = true;
         }
-        follower.sweep();
+        follower.erase_ended();
     };
     const auto list = [](int version) {
         return "{\"version\":" + std::to_string(version) + ",\"full\":true,\"servers\":[]}";
