--- a/src/membership/discovery_client.cpp
+++ b/src/membership/discovery_client.cpp
@@ -7,9 +7,9 @@
 namespace gannethold::membership {
 namespace {
 
-constexpr Micros kConnectLimit = 1'000'000;
-constexpr Micros kAnswerLimit = 4'000'000;   // discovery works through calls in turn, so some wait
-constexpr Micros kSilenceLimit = 3'000'000;  // a line comes every two seconds, if only an empty one
+constexpr Micros kConnectTimeout = 1'000'000;
+constexpr Micros kResponseTimeout = 4'000'000;  // discovery serves requests one after another
+constexpr Micros kIdleTimeout = 3'000'000;      // a watch sends a line, perhaps empty, every two seconds
 constexpr std::size_t kMaxLineBytes = 8 * 1024 * 1024;
 
 }  // namespace
@@ -20,18 +20,18 @@
       observer_(observer),
       kind_(kind),
       reader_(http::MessageKind::response, loop.block_pool()),
-      limit_(loop, [this] { fail(heard_ ? "it fell silent" : "no answer in time"); }),
-      connection_(loop, *this, discovery, kConnectLimit) {
+      timeout_(loop, [this] { fail(has_list_ ? "it fell silent" : "no answer in time"); }),
+      connection_(loop, *this, discovery, kConnectTimeout) {
     const std::string watch = "/v1/servers?follow=1&since=" + std::to_string(since);
     request_ = http::Writer::request("GET", kind == Kind::watch ? watch : "/v1/servers")
                    .field("Host", discovery.text)
                    .head();
-    limit_.set(net::Loop::now() + kAnswerLimit);
+    timeout_.set(net::Loop::now() + kResponseTimeout);
 }
 
 void DiscoveryRequest::close() {
     is_over_ = true;
-    limit_.cancel();
+    timeout_.cancel();
     connection_.close();
     reader_.restart();
 }
@@ -45,16 +45,16 @@
 void DiscoveryRequest::on_connected() { connection_.write(request_); }
 
 void DiscoveryRequest::on_closed(net::CloseReason ending) {
-    // A list that goes on until the connection closes ends properly by that.
-    const bool proper =
+    // A body without a length ends with the connection; that is a complete list.
+    const bool is_complete =
         kind_ == Kind::list && ending == net::CloseReason::ended_early && reader_.is_complete_at_close();
-    if (proper && !line_.empty() && !on_line(std::exchange(line_, {}))) return;
-    fail(proper && heard_ ? nullptr : net::name_of(ending));
+    if (is_complete && !line_.empty() && !on_line(std::exchange(line_, {}))) return;
+    fail(is_complete && has_list_ ? nullptr : net::name_of(ending));
 }
 
 void DiscoveryRequest::on_bytes(std::string_view bytes) {
-    // Against a discovery, or a network, that goes silent with the connection open.
-    if (kind_ == Kind::watch) limit_.set(net::Loop::now() + (heard_ ? kSilenceLimit : kAnswerLimit));
+    // Detects a discovery service, or a network, that stops sending while the connection stays open.
+    if (kind_ == Kind::watch) timeout_.set(net::Loop::now() + (has_list_ ? kIdleTimeout : kResponseTimeout));
     while (!is_over_) {
         switch (reader_.read(bytes)) {
             case http::ReadResult::nothing:
@@ -76,7 +76,7 @@
             }
             case http::ReadResult::end:
                 if (!line_.empty() && !on_line(std::exchange(line_, {}))) return;
-                return fail(kind_ == Kind::list && heard_ ? nullptr : "it ended");
+                return fail(kind_ == Kind::list && has_list_ ? nullptr : "it ended");
             case http::ReadResult::error:
                 return fail("its answer cannot be read");
         }
@@ -85,15 +85,15 @@
 
 bool DiscoveryRequest::on_line(std::string_view text) {
     if (text.find_first_not_of(" \t\r") == std::string_view::npos) return true;
-    std::optional<EndpointList> listing;
+    std::optional<EndpointList> list;
     try {
-        listing = parse_endpoint_list(json::parse(text));
+        list = parse_endpoint_list(json::parse(text));
     } catch (const json::ParseError&) {
     }
-    // What the line would have told is missed, so the call must be made again.
-    if (!listing) return fail("a line cannot be read"), false;
-    heard_ = true;
-    observer_.on_list(kind_, *listing);
+    // The changes in the line are lost, so the request fails and must be repeated.
+    if (!list) return fail("a line cannot be read"), false;
+    has_list_ = true;
+    observer_.on_list(kind_, *list);
     return !is_over_;
 }
 
@@ -105,35 +105,35 @@
       on_list_(std::move(on_list)),
       on_failure_(std::move(on_failure)) {}
 
-void DiscoveryClient::begin(DiscoveryRequest::Kind kind, std::uint32_t since) {
-    drop(kind);
+void DiscoveryClient::start(DiscoveryRequest::Kind kind, std::uint32_t since) {
+    cancel(kind);
     request(kind) = std::make_unique<DiscoveryRequest>(loop_, *this, discovery_, kind, since);
 }
 
-void DiscoveryClient::drop(DiscoveryRequest::Kind kind) {
+void DiscoveryClient::cancel(DiscoveryRequest::Kind kind) {
     if (!request(kind)) return;
     request(kind)->close();
     ended_.push_back(std::move(request(kind)));
 }
 
 void DiscoveryClient::set_address(const net::Address& discovery) {
-    drop(DiscoveryRequest::Kind::watch);
-    drop(DiscoveryRequest::Kind::list);
+    cancel(DiscoveryRequest::Kind::watch);
+    cancel(DiscoveryRequest::Kind::list);
     discovery_ = discovery;
 }
 
-void DiscoveryClient::follow(std::uint32_t since) { begin(DiscoveryRequest::Kind::watch, since); }
-void DiscoveryClient::stop_following() { drop(DiscoveryRequest::Kind::watch); }
-void DiscoveryClient::fetch() { begin(DiscoveryRequest::Kind::list, 0); }
+void DiscoveryClient::follow(std::uint32_t since) { start(DiscoveryRequest::Kind::watch, since); }
+void DiscoveryClient::stop_following() { cancel(DiscoveryRequest::Kind::watch); }
+void DiscoveryClient::fetch() { start(DiscoveryRequest::Kind::list, 0); }
 
-void DiscoveryClient::on_list(DiscoveryRequest::Kind kind, const EndpointList& listing) {
-    if (on_list_(listing)) return;
-    drop(kind);
+void DiscoveryClient::on_list(DiscoveryRequest::Kind kind, const EndpointList& list) {
+    if (on_list_(list)) return;
+    cancel(kind);
     on_failure_();
 }
 
 void DiscoveryClient::on_request_ended(DiscoveryRequest::Kind kind, const char* why) {
-    drop(kind);
+    cancel(kind);
     if (!why) return;
     log_.warning(net::Loop::now(),
                  "roster: ", kind == DiscoveryRequest::Kind::watch ? "the watch" : "the list",
--- a/src/membership/endpoint_list.hpp
+++ b/src/membership/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// What discovery says, read into our words; the protocol's names end here.
+// The lists of runners that discovery sends, decoded. The field names of its protocol are used only here.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +13,29 @@
 
 namespace gannethold::membership {
 
+// One runner as discovery lists it.
 struct Endpoint {
     std::string id;
-    std::optional<net::Address> address;  // none with an address that cannot be read
+    std::optional<net::Address> address;  // none: the address cannot be parsed
     std::string zone, kind;
     std::uint32_t group = 0;
-    std::optional<RunnerState> state;  // none with a state that is not known
+    std::optional<RunnerState> state;  // none: unknown state
     double share = 1;
-    std::int64_t started_ms = 0;  // Unix time; 0: long ago
+    std::int64_t started_ms = 0;  // Unix time; 0: not stated
 
     bool is_valid() const { return state && (address || *state == RunnerState::gone); }
 };
 
+// A complete list of runners (`full`), or the changes since an earlier version.
 struct EndpointList {
     std::uint32_t version = 0;
     bool full = false;
     std::vector<Endpoint> entries;
 };
 
-// In discovery's own form, for another dispatcher.
-std::string format_endpoint_list(const EndpointList& listing);
+// Serializes the list as discovery would send it, for another dispatcher.
+std::string format_endpoint_list(const EndpointList& endpoints);
+// Returns no value if `value` is not a list or an entry has no id.
 std::optional<EndpointList> parse_endpoint_list(const json::Value& value);
 
 }  // namespace gannethold::membership
--- a/src/membership/endpoint_table.hpp
+++ b/src/membership/endpoint_table.hpp
@@ -1,4 +1,5 @@
-// The list of runners as last heard: their numbers, their addresses, and what is news in a listing.
+// The runners in discovery's most recent list, with their ids and addresses. Computes what each new list
+// changes.
 #pragma once
 
 #include <map>
@@ -12,8 +13,8 @@
 
 class EndpointTable {
   public:
-    // gone_binds: whether connections to a runner that is called gone, or left out, are given up. Where they
-    // are not, the module goes on by the runner's own answers.
+    // removal_is_binding: whether connections to a runner are closed when discovery reports it as gone or
+    // omits it. Otherwise they stay open, and the decision module judges the runner by its responses.
     EndpointTable(std::vector<std::string> zones, std::vector<std::string> instance_types, log::Log& log,
                   bool removal_is_binding = true)
         : zones_(std::move(zones)),
@@ -21,54 +22,56 @@
           log_(log),
           removal_is_binding_(removal_is_binding) {}
 
+    // Where to connect to a runner, and whether new assignments may be sent.
     struct ConnectionTarget {
         RunnerId runner{};
         net::Address address;
         bool open = false;
         bool restarted = false;
     };
+    // The result of a list: the update for the decision module and the one for the connection pool.
     struct Changes {
         MembershipUpdate update;
-        std::vector<ConnectionTarget> targets;  // for the connections
+        std::vector<ConnectionTarget> targets;
     };
 
-    // nothing: older than what is held
-    std::optional<Changes> apply(const EndpointList& listing, UpdateScope scope, Micros now);
-    // What is held of that one, as a change; none: it was never in a list.
+    // Applies a list. Returns no value if it is a delta older than the current version.
+    std::optional<Changes> apply(const EndpointList& list, UpdateScope scope, Micros now);
+    // The current entry of a runner, as a delta. No value: the runner was never listed.
     std::optional<Changes> current(const std::string& id) const;
     std::uint32_t version() const { return version_; }
-    // From where to follow: from the beginning once discovery and this book have come apart.
+    // The version to follow changes from: 0 (the complete list) after an outdated delta was rejected.
     std::uint32_t follow_from() const { return is_out_of_sync_ ? 0 : version_; }
-    // Against another discovery that counts its versions otherwise: nothing it says is older than what is
-    // held.
+    // For a change to another discovery service, whose versions are unrelated to the current one.
     void reset_version() { version_ = 0, is_out_of_sync_ = false; }
-    bool empty() const { return held_.empty(); }
-    // All that is held, for another dispatcher.
+    bool empty() const { return known_.empty(); }
+    // All runners that are ready or draining, for another dispatcher.
     EndpointList to_list() const {
-        EndpointList all{version_, true, {}};
-        for (const auto& [id, one] : held_)
-            if (one.entry.state != RunnerState::gone) all.entries.push_back(one.entry);
-        return all;
+        EndpointList list{version_, true, {}};
+        for (const auto& [id, one] : known_)
+            if (one.entry.state != RunnerState::gone) list.entries.push_back(one.entry);
+        return list;
     }
-    // What was last said of that one; none: it was never in a list.
+    // The most recent entry of a runner; nullptr: it was never listed.
     const Endpoint* find(const std::string& id) const {
-        const auto found = held_.find(id);
-        return found == held_.end() ? nullptr : &found->second.entry;
+        const auto found = known_.find(id);
+        return found == known_.end() ? nullptr : &found->second.entry;
     }
     std::optional<RunnerId> id_of(const std::string& id) const {
-        const auto found = held_.find(id);
-        return found == held_.end() ? std::nullopt : std::optional(found->second.runner);
+        const auto found = known_.find(id);
+        return found == known_.end() ? std::nullopt : std::optional(found->second.runner);
     }
-    // Those in the list, ready or draining, and what else `is` says of them.
-    template <class Is>
-    std::size_t count_listed(Is is) const {
-        std::size_t n = 0;
-        for (const auto& [id, held] : held_) n += held.entry.state != RunnerState::gone && is(held.runner);
-        return n;
+    // Counts the listed runners, ready or draining, for which the predicate holds.
+    template <class Predicate>
+    std::size_t count_listed(Predicate predicate) const {
+        std::size_t count = 0;
+        for (const auto& [id, known] : known_)
+            count += known.entry.state != RunnerState::gone && predicate(known.runner);
+        return count;
     }
     const std::vector<std::string>& instance_types() const { return instance_types_; }
     const std::string& name_of(RunnerId runner) const;
-    // An entry of that name for one that no list names, ready and of that kind and place.
+    // Makes the entry of a worker that discovery does not list: ready, with the given instance type and zone.
     EndpointEntry make_dynamic_worker(const std::string& name, const std::string& kind,
                                       const std::string& zone);
 
@@ -83,7 +86,7 @@
     const std::vector<std::string> zones_, instance_types_;
     log::Log& log_;
     const bool removal_is_binding_;
-    std::map<std::string, KnownEndpoint> held_;  // once in a list, a runner stays known
+    std::map<std::string, KnownEndpoint> known_;  // by runner id; entries are never removed
     std::map<RunnerId, std::string> names_;
     std::uint32_t version_ = 0;
     bool is_out_of_sync_ = false;
--- a/src/membership/operator_overrides.hpp
+++ b/src/membership/operator_overrides.hpp
@@ -1,5 +1,5 @@
-// Runners that the operators hold back: an overlay over what discovery says. For the module a held runner
-// drains, whatever the list says of it; who is released is again what the list says. No I/O.
+// Runners that operators hold back from new assignments. A held runner is reported to the decision module as
+// draining, whatever discovery lists; once released it has the listed state again. No I/O.
 #pragma once
 
 #include <map>
@@ -9,6 +9,7 @@
 
 namespace gannethold::membership {
 
+// The holds that are in force, by runner name.
 class OperatorOverrides {
   public:
     struct Hold {
@@ -16,19 +17,20 @@
         std::string by, why;
     };
 
-    // False where it is held (not held) already.
+    // Returns false if the runner is held already (`remove`: is not held).
     bool add(const std::string& runner, Hold hold) { return held_.emplace(runner, std::move(hold)).second; }
     bool remove(const std::string& runner) { return held_.erase(runner) > 0; }
     const std::map<std::string, Hold>& all() const { return held_; }
     bool has(const std::string& runner) const { return held_.contains(runner); }
 
-    // What discovery says, as the rest of the program is to hear it.
-    void apply_to(EndpointTable::Changes& changes, const EndpointTable& book) const {
+    // Replaces the state of held runners in the changes from discovery.
+    void apply_to(EndpointTable::Changes& changes, const EndpointTable& table) const {
         if (held_.empty()) return;
-        for (EndpointEntry& e : changes.update.entries)
-            if (e.state == RunnerState::ready && has(book.name_of(e.runner))) e.state = RunnerState::draining;
-        for (EndpointTable::ConnectionTarget& s : changes.targets)
-            s.open = s.open && !has(book.name_of(s.runner));
+        for (EndpointEntry& entry : changes.update.entries)
+            if (entry.state == RunnerState::ready && has(table.name_of(entry.runner)))
+                entry.state = RunnerState::draining;
+        for (EndpointTable::ConnectionTarget& target : changes.targets)
+            target.open = target.open && !has(table.name_of(target.runner));
     }
 
   private:
