--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -43,9 +43,9 @@
 runners::PoolOptions upkeep(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
     runners::PoolOptions u;
-    u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
+    u.connect_timeout = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_timeout));
     // A margin for a runner that counts from before its answer reached us.
-    u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
+    u.idle_timeout = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
     u.max_connections = for_runners(sockets);
     return u;
 }
--- a/src/runners/codec.cpp
+++ b/src/runners/codec.cpp
@@ -10,16 +10,15 @@
 namespace gannethold::runners {
 namespace {
 
-// The settings' names of values, and how they stand in a report.
-constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kOtherSpellings{
-    {{"rif", "inflight"},
-     {"q", "queue"},
-     {"busy", "util"},
-     {"lat_ms", "latency_ms"},
-     {"rate", "qps"},
-     {"fail_rate", "eps"}}};
+// Names of load values that are interchangeable between the settings and a report.
+constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kAliases{{{"rif", "inflight"},
+                                                                                 {"q", "queue"},
+                                                                                 {"busy", "util"},
+                                                                                 {"lat_ms", "latency_ms"},
+                                                                                 {"rate", "qps"},
+                                                                                 {"fail_rate", "eps"}}};
 
-constexpr std::array<std::pair<std::string_view, net::CloseReason>, 4> kLastStates{
+constexpr std::array<std::pair<std::string_view, net::CloseReason>, 4> kFinalStates{
     {{"done", net::CloseReason::done},
      {"failed", net::CloseReason::failed},
      {"returned", net::CloseReason::returned},
@@ -30,9 +29,9 @@
 ReportDecoder::ReportDecoder(std::vector<std::string> names) {
     for (std::string& name : names) {
         std::vector<std::string> spellings{name};
-        for (const auto& [one, other] : kOtherSpellings) {
-            if (name == one) spellings.emplace_back(other);
-            if (name == other) spellings.emplace_back(one);
+        for (const auto& [first, second] : kAliases) {
+            if (name == first) spellings.emplace_back(second);
+            if (name == second) spellings.emplace_back(first);
         }
         names_.push_back(std::move(spellings));
     }
@@ -53,15 +52,15 @@
     std::map<std::string, double, std::less<>> values;
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
-        std::string_view one = text.substr(0, comma);
+        std::string_view pair = text.substr(0, comma);
         text.remove_prefix(std::min(comma + 1, text.size()));
-        while (!one.empty() && one.front() == ' ') one.remove_prefix(1);
-        const auto equals = std::min(one.find('='), one.size());
-        const std::string_view digits = one.substr(std::min(equals + 1, one.size()));
+        while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
+        const auto equals = std::min(pair.find('='), pair.size());
+        const std::string_view digits = pair.substr(std::min(equals + 1, pair.size()));
         double value = 0;
-        const auto [end, wrong] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
-        if (wrong != std::errc() || end != digits.data() + digits.size()) return {};
-        values.emplace(one.substr(0, equals), value);
+        const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
+        if (error != std::errc() || end != digits.data() + digits.size()) return {};
+        values.emplace(pair.substr(0, equals), value);
     }
     return in_order(values);
 }
@@ -95,31 +94,31 @@
 TaskUpdate parse_task_update(std::string_view text, std::string_view request_id,
                              const ReportDecoder& reports) {
     TaskUpdate line;
-    json::Value said;
+    json::Value message;
     try {
-        said = json::parse(text);
+        message = json::parse(text);
     } catch (const json::ParseError&) {
         return line;
     }
-    const std::string* const id = said.find_string("id");
-    const std::string* const state = said.find_string("state");
+    const std::string* const id = message.find_string("id");
+    const std::string* const state = message.find_string("state");
     if (!id || *id != request_id || !state) return line;
     if (*state == "started") {
         line.state = TaskUpdate::State::started;
     } else if (*state == "running") {
-        line.share = said.find_number("share").value_or(-1);
+        line.share = message.find_number("share").value_or(-1);
         if (line.share >= 0 && line.share <= 1) line.state = TaskUpdate::State::running;
     }
-    for (const auto& [name, ending] : kLastStates)
+    for (const auto& [name, ending] : kFinalStates)
         if (*state == name) line.state = TaskUpdate::State::last, line.ending = ending;
-    if (const auto* load = said.find("load")) line.report = read_load(*load, reports);
+    if (const auto* load = message.find("load")) line.report = read_load(*load, reports);
     if (line.ending == net::CloseReason::done) {
-        const json::Value* const result = said.find("result");
-        const std::string* const words = result ? result->get<std::string>() : nullptr;
+        const json::Value* const result = message.find("result");
+        const std::string* const text_result = result ? result->get<std::string>() : nullptr;
         if (!result)
             line.state = TaskUpdate::State::unreadable, line.ending = net::CloseReason::malformed;
         else
-            line.result = words ? *words : json::serialize(*result);
+            line.result = text_result ? *text_result : json::serialize(*result);
     }
     return line;
 }
--- a/src/runners/connection_pool.cpp
+++ b/src/runners/connection_pool.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxLineBytes = 128 * 1024;
-constexpr Micros kFinishTimeout = 500'000;  // for the end of an answer whose last line has come
+constexpr Micros kFinishTimeout = 500'000;  // for the end of a response after its last line
 constexpr std::string_view kProbeHead = "GET /load HTTP/1.1\r\nHost: runner\r\n\r\n";
 constexpr std::string_view kHealthHead = "GET /healthz HTTP/1.1\r\nHost: runner\r\n\r\n";
 
@@ -24,12 +24,12 @@
     const bool moved = endpoint.address && endpoint.address->text != address.text;
     endpoint.address = address;
     endpoint.open = open;
-    // Against connections to a machine that vanished and is back: they stand open here, and what is sent on
+    // The runner's machine may have failed and come back: such connections still look open, and a request on
     // them is reset.
     if (moved || restarted || !open) close_idle(runner);
     if (open) return;
-    // Against a send after the grace of a drain, also when the connect was slow: what has not begun never
-    // will. What has begun goes on.
+    // A request that has not been started must not be sent after the drain's grace period, even if connecting
+    // was slow. Requests that have been started continue.
     for (const auto& connection : connections_)
         if (connection->runner() == runner && connection->is_waiting_to_begin())
             connection->stop(net::CloseReason::drained_unsent, net::CloseReason::drained_unsent);
@@ -57,8 +57,8 @@
         observer_.on_probe_ended(runner, net::CloseReason::out_of_sockets, 0, {});
 }
 
-void ConnectionPool::limit_deadlines(Micros at) {
-    for (const auto& connection : connections_) connection->limit_deadline(at);
+void ConnectionPool::limit_deadlines(Micros latest) {
+    for (const auto& connection : connections_) connection->limit_deadline(latest);
 }
 
 void ConnectionPool::close_idle(RunnerId runner) {
@@ -67,10 +67,11 @@
 
 RunnerConnection* ConnectionPool::acquire(RunnerId runner) {
     Endpoint& endpoint = endpoints_[runner];
-    // The one used last: it is the surest to be open still, and the rest can grow old and close.
+    // The most recently used connection is the most likely to be still open; the others can reach their idle
+    // timeout.
     while (!endpoint.idle.empty()) {
         RunnerConnection* const connection = endpoint.idle.back();
-        // Against a request that crosses the runner's close: it would count as one that may have run.
+        // The runner has closed it or sent data: a request on it would count as one that may have run.
         if (connection->connection_.is_stale()) {
             connection->close();
             continue;
@@ -79,13 +80,13 @@
         return connection;
     }
     if (connections_.size() - ended_.size() >= options_.max_connections) {
-        return close_an_idle_one() ? open_connection(runner, endpoint) : nullptr;
+        return close_one_idle() ? open_connection(runner, endpoint) : nullptr;
     }
     return open_connection(runner, endpoint);
 }
 
-// Short of descriptors: a connection that stands idle, to whomever, goes first.
-bool ConnectionPool::close_an_idle_one() {
+// Frees a descriptor by closing one idle connection, to any runner.
+bool ConnectionPool::close_one_idle() {
     for (auto& [id, other] : endpoints_) {
         if (other.idle.empty()) continue;
         other.idle.front()->close();
@@ -96,7 +97,7 @@
 
 void ConnectionPool::update_options(const PoolOptions& options) {
     options_ = options;
-    while (connections_.size() - ended_.size() > options_.max_connections && close_an_idle_one()) {
+    while (connections_.size() - ended_.size() > options_.max_connections && close_one_idle()) {
     }
 }
 
@@ -107,7 +108,7 @@
     return connections_.back().get();
 }
 
-void ConnectionPool::forget_idle(RunnerConnection& connection) {
+void ConnectionPool::remove_idle(RunnerConnection& connection) {
     std::erase(endpoints_[connection.runner()].idle, &connection);
 }
 
@@ -121,28 +122,28 @@
       runner_(runner),
       address_(address.text),
       reader_(http::MessageKind::response, pool.loop_.block_pool()),
-      line_(pool.loop_.block_pool()),
-      limit_(pool.loop_,
-             [this] {
-                 if (is_busy())
-                     stop(net::CloseReason::timed_out, net::CloseReason::timed_out_unsent);
-                 else
-                     close();
-             }),
-      connection_(pool.loop_, *this, address, pool.options_.connect_limit) {}
+      body_(pool.loop_.block_pool()),
+      timeout_(pool.loop_,
+               [this] {
+                   if (is_busy())
+                       stop(net::CloseReason::timed_out, net::CloseReason::timed_out_unsent);
+                   else
+                       close();
+               }),
+      connection_(pool.loop_, *this, address, pool.options_.connect_timeout) {}
 
 void RunnerConnection::start_call(PendingCall&& call) {
     call_ = std::move(call);
     state_ = State::call;
     started_at_ = net::Loop::now();
-    limit_.set(call_.deadline);
+    timeout_.set(call_.deadline);
     if (is_connected_) begin();
 }
 
 void RunnerConnection::start_probe() {
     state_ = State::probe;
     started_at_ = net::Loop::now();
-    limit_.set(started_at_ + pool_.options_.connect_limit);
+    timeout_.set(started_at_ + pool_.options_.connect_timeout);
     if (is_connected_) begin();
 }
 
@@ -161,22 +162,22 @@
     has_reported_written_ = false;
     has_answered_ = false;
     if (state_ == State::probe) {
-        connection_.write(pool_.reports_.wanted() ? kProbeHead : kHealthHead);
+        connection_.write(pool_.reports_.has_names() ? kProbeHead : kHealthHead);
         return;
     }
     net::BlockBuffer out(pool_.loop_.block_pool());
-    const Micros left = std::max<Micros>(1, call_.deadline - net::Loop::now());
-    bool room = out.append(call_.head + "X-Timeout: " + std::to_string(left) + "u\r\n\r\n");
-    if (call_.body) room = room && out.append(call_.body->to_string());
-    if (!room) return stop(net::CloseReason::out_of_sockets, net::CloseReason::out_of_sockets);
+    const Micros remaining = std::max<Micros>(1, call_.deadline - net::Loop::now());
+    bool has_buffer = out.append(call_.head + "X-Timeout: " + std::to_string(remaining) + "u\r\n\r\n");
+    if (call_.body) has_buffer = has_buffer && out.append(call_.body->to_string());
+    if (!has_buffer) return stop(net::CloseReason::out_of_sockets, net::CloseReason::out_of_sockets);
     connection_.write(std::move(out));
 }
 
 void RunnerConnection::on_bytes(std::string_view bytes) {
-    // Bytes that nobody asked for: whatever answer they belong to, it is not the next one's.
+    // Bytes without a request belong to an earlier response; the connection cannot be reused.
     if (state_ == State::idle) return close();
     has_answered_ = true;
-    while (state_ != State::idle && state_ != State::over) {
+    while (state_ != State::idle && state_ != State::closed) {
         switch (reader_.read(bytes)) {
             case http::ReadResult::nothing:
                 return;
@@ -199,7 +200,7 @@
 
 bool RunnerConnection::on_head() {
     report_ = pool_.reports_.read_pairs(reader_.head().field("X-Server-Load"));
-    // An answer that comes before the request is out belongs to no request of ours.
+    // A response that arrives before the request is fully sent does not answer this request.
     if (state_ != State::call || !connection_.has_unsent_bytes()) return true;
     complete(reason_by_status());
     close();
@@ -211,7 +212,7 @@
     const bool never_ran = head.field("X-Not-Processed") == "1";
     if ((head.status == 503 || head.status == 504) && never_ran) return net::CloseReason::returned;
     if (head.status >= 500) return net::CloseReason::failed;
-    // Whatever it means, it is no result, and nothing says that the task did not run.
+    // The response is no result, and it does not state that the task did not run.
     return net::CloseReason::malformed;
 }
 
@@ -223,17 +224,17 @@
     };
     std::string_view piece = reader_.body_piece();
     if (state_ == State::probe || (state_ == State::call && reader_.head().status != 200)) {
-        // Bodies that are not lines: a load report, or words on why not.
-        return line_.size() + piece.size() <= kMaxLineBytes && line_.append(piece) ? true : give_up();
+        // The body is not made of lines: it is a load report or an error text.
+        return body_.size() + piece.size() <= kMaxLineBytes && body_.append(piece) ? true : give_up();
     }
     while (!piece.empty()) {
         const auto end = piece.find('\n');
-        if (line_.size() + piece.size() > kMaxLineBytes || !line_.append(piece.substr(0, end)))
+        if (body_.size() + piece.size() > kMaxLineBytes || !body_.append(piece.substr(0, end)))
             return give_up();
         if (end == std::string_view::npos) return true;
         piece.remove_prefix(end + 1);
-        const std::string text = line_.to_string();
-        line_.clear();
+        const std::string text = body_.to_string();
+        body_.clear();
         if (!on_line(text)) return false;
     }
     return true;
@@ -255,7 +256,7 @@
             complete(line.ending, std::move(line.report), std::move(line.result));
             return true;
         case TaskUpdate::State::unreadable:
-            // Also a line after the last one: a runner that goes on talking is not to be followed.
+            // This includes a line after the final one.
             complete(net::CloseReason::malformed);
             close();
             return false;
@@ -265,26 +266,26 @@
 
 void RunnerConnection::on_answer_end() {
     if (state_ == State::probe) {
-        Report report = pool_.reports_.read_object(line_.to_string());
+        Report report = pool_.reports_.read_object(body_.to_string());
         if (report.empty()) report = std::move(report_);
         complete(reader_.head().status == 200 ? net::CloseReason::done : net::CloseReason::returned,
                  std::move(report));
     } else if (state_ == State::call && reader_.head().status != 200) {
         complete(reason_by_status(), std::move(report_));
     } else if (state_ == State::call) {
-        // The last line may lack its line end.
-        const std::string text = line_.to_string();
-        line_.clear();
+        // The last line may lack its newline.
+        const std::string text = body_.to_string();
+        body_.clear();
         if (!text.empty() && !on_line(text)) return;
         if (state_ == State::call) {
             complete(net::CloseReason::ended_early);
             return close();
         }
     }
-    const bool keeps = reader_.head().is_keep_alive;
+    const bool is_reusable = reader_.head().is_keep_alive;
     reader_.restart();
-    line_.clear();
-    if (keeps && state_ != State::over)
+    body_.clear();
+    if (is_reusable && state_ != State::closed)
         return_to_pool();
     else
         close();
@@ -296,18 +297,19 @@
     state_ = State::idle;
     has_begun_ = false;
     is_reused_ = true;
-    // Closed before the runner would: a request that crosses its close counts as one that may have run.
-    limit_.set(net::Loop::now() + pool_.options_.keep_idle);
+    // Closed before the runner's own idle timeout: a request sent while the runner closes the connection
+    // would count as one that may have run.
+    timeout_.set(net::Loop::now() + pool_.options_.idle_timeout);
     endpoint.idle.push_back(this);
 }
 
-// The one end of an errand or probe; what still comes on the connection is only read to its end.
+// Ends a call or probe exactly once and reports it. The rest of the response is read and discarded.
 void RunnerConnection::complete(net::CloseReason ending, Report&& report, std::string&& result) {
     if (!is_busy()) return;
-    if (net::is_request_written(ending)) on_all_written();  // where its end is read before the loop says so
+    if (net::is_request_written(ending)) on_all_written();  // the response may be read before the write event
     const bool probe = state_ == State::probe;
     state_ = State::finishing;
-    limit_.set(net::Loop::now() + kFinishTimeout);
+    timeout_.set(net::Loop::now() + kFinishTimeout);
     const Micros elapsed = net::Loop::now() - started_at_;
     if (probe) return pool_.observer_.on_probe_ended(runner_, ending, elapsed, std::move(report));
     pool_.in_flight_.erase({call_.task, call_.number});
@@ -317,34 +319,34 @@
 
 void RunnerConnection::stop(net::CloseReason sent, net::CloseReason unsent) {
     if (!is_busy()) return;
-    const bool all_out = has_begun_ && !connection_.has_unsent_bytes();
-    complete(all_out ? sent : unsent);
+    const bool is_written = has_begun_ && !connection_.has_unsent_bytes();
+    complete(is_written ? sent : unsent);
     close();
 }
 
-void RunnerConnection::limit_deadline(Micros at) {
-    if (state_ != State::call || call_.deadline <= at) return;
-    call_.deadline = at;
-    limit_.set(at);
+void RunnerConnection::limit_deadline(Micros latest) {
+    if (state_ != State::call || call_.deadline <= latest) return;
+    call_.deadline = latest;
+    timeout_.set(latest);
 }
 
 void RunnerConnection::close() {
-    if (state_ == State::over) return;
-    if (state_ == State::idle) pool_.forget_idle(*this);
+    if (state_ == State::closed) return;
+    if (state_ == State::idle) pool_.remove_idle(*this);
     complete(net::CloseReason::closed);
-    state_ = State::over;
-    limit_.cancel();
+    state_ = State::closed;
+    timeout_.cancel();
     connection_.close();
     reader_.restart();
-    line_.clear();
+    body_.clear();
     pool_.ended_.push_back(this);
 }
 
 void RunnerConnection::on_closed(net::CloseReason ending) {
     if (!has_begun_ && is_busy() && is_connected_) ending = net::CloseReason::broken_unsent;
-    // An answer that goes on until the connection closes ends properly by that.
+    // A body without a length ends with the connection; that is a complete response.
     if (ending == net::CloseReason::ended_early && state_ == State::call && reader_.is_complete_at_close()) {
-        const std::string text = line_.to_string();
+        const std::string text = body_.to_string();
         if (reader_.head().status != 200)
             complete(reason_by_status(), std::move(report_));
         else if (!text.empty())
@@ -353,10 +355,11 @@
     if ((ending == net::CloseReason::ended_early || ending == net::CloseReason::broken) && is_reused_ &&
         !has_answered_)
         ending = net::CloseReason::stale_connection;
-    // Where one connection broke, or none could be made, those that are kept are no surer.
+    // One connection broke, or none could be opened: the idle ones to this runner are likely broken too.
     if (is_busy()) pool_.close_idle(runner_);
     if (state_ == State::probe && is_reused_ && !has_answered_ && pool_.endpoints_[runner_].open) {
-        // Against a break that tells of an old connection and not of the runner: a probe does no harm twice.
+        // The break may concern the reused connection and not the runner. A probe has no effects, so it is
+        // sent again.
         state_ = State::finishing;
         pool_.probe(runner_);
     }
--- a/src/runners/connection_pool.hpp
+++ b/src/runners/connection_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to runners: assignments and probes go out on them, and each is kept for the next.
+// Connections to runners. Assignments and probes are sent on them; a connection is kept for the next one
+// after its response.
 #pragma once
 
 #include <list>
@@ -10,34 +11,36 @@
 
 #include "http/reader.hpp"
 #include "net/connection.hpp"
-#include "runners/transport.hpp"
 #include "runners/codec.hpp"
+#include "runners/transport.hpp"
 
 namespace gannethold::runners {
 
 // How connections to runners are made and kept.
 struct PoolOptions {
-    Micros connect_limit = 1'000'000;
-    Micros keep_idle = 0;  // shorter than a runner's own limit
+    Micros connect_timeout = 1'000'000;
+    Micros idle_timeout = 0;  // must be shorter than the runner's own
     std::size_t max_connections = 64;
 };
 
 class RunnerConnection;
 
+// Keeps idle connections for each runner and reuses the most recent one.
 class ConnectionPool final : public Transport {
   public:
     ConnectionPool(net::Loop& loop, TransportObserver& observer, ReportDecoder reports, PoolOptions options);
     ~ConnectionPool();
 
-    // What the roster says. A runner that is not open gets nothing that has not begun to be written.
+    // Sets where a runner is, from the membership. While a runner is not open, no request to it is started.
     void set_endpoint(RunnerId runner, const net::Address& address, bool open, bool restarted = false);
     void assign(RunnerId runner, PendingCall&& call) override;
     void withdraw(TaskId task, int number) override;
     void probe(RunnerId runner) override;
-    void limit_deadlines(Micros at) override;
+    void limit_deadlines(Micros latest) override;
     void close_idle(RunnerId runner) override;
-    // For connections made, or kept, from now on. With fewer of them idle ones go until the rest fit.
+    // Applies to connections opened or returned from now on. Closes idle connections beyond a lower maximum.
     void update_options(const PoolOptions& options);
+    // Frees closed connections; not to be called from their callbacks.
     void erase_ended();
     std::size_t size() const { return connections_.size(); }
 
@@ -46,13 +49,13 @@
     struct Endpoint {
         std::optional<net::Address> address;
         bool open = false;
-        std::vector<RunnerConnection*> idle;  // the last one used stands last
+        std::vector<RunnerConnection*> idle;  // the most recently used is last
     };
 
     RunnerConnection* open_connection(RunnerId runner, Endpoint& endpoint);
-    RunnerConnection* acquire(RunnerId runner);  // none: all that may be open is in use
-    bool close_an_idle_one();
-    void forget_idle(RunnerConnection& connection);
+    RunnerConnection* acquire(RunnerId runner);  // nullptr: all connections are in use
+    bool close_one_idle();
+    void remove_idle(RunnerConnection& connection);
 
     net::Loop& loop_;
     TransportObserver& observer_;
@@ -64,7 +67,7 @@
     std::vector<RunnerConnection*> ended_;
 };
 
-// One connection to a runner. It carries one errand or probe at a time.
+// One connection to a runner. It carries one call or probe at a time.
 class RunnerConnection final : public net::Connection::Owner {
   public:
     RunnerConnection(ConnectionPool& pool, RunnerId runner, const net::Address& address);
@@ -72,14 +75,14 @@
     void start_call(PendingCall&& call);
     void start_probe();
     void stop(net::CloseReason sent, net::CloseReason unsent);
-    void limit_deadline(Micros at);
+    void limit_deadline(Micros latest);
     RunnerId runner() const { return runner_; }
     const std::string& address() const { return address_; }
     bool is_waiting_to_begin() const { return is_busy() && !has_begun_; }
 
   private:
     friend class ConnectionPool;
-    enum class State { idle, call, probe, finishing, over };
+    enum class State { idle, call, probe, finishing, closed };
 
     bool is_busy() const { return state_ == State::call || state_ == State::probe; }
     void on_connected() override;
@@ -106,8 +109,8 @@
          has_reported_written_ = false;
     Report report_;
     http::Reader reader_;
-    net::BlockBuffer line_;
-    net::Timer limit_;  // of what is under way, or of standing idle
+    net::BlockBuffer body_;
+    net::Timer timeout_;  // of the call or probe, or of the idle time
     net::Connection connection_;
     std::list<std::unique_ptr<RunnerConnection>>::iterator position_;
 };
--- a/src/runners/transport.hpp
+++ b/src/runners/transport.hpp
@@ -1,5 +1,5 @@
-// The ways by which assignments reach runners: one that is spoken to is pushed them, one that asks is handed
-// them.
+// The interface over which assignments reach runners. There are two implementations: the connection pool
+// sends them to runners over HTTP, the job server hands them to workers that reserve jobs.
 #pragma once
 
 #include <string>
@@ -15,11 +15,12 @@
     TaskId task{};
     int number = 0;
     std::string request_id;
-    std::string head;  // of the request over HTTP, without the time it has and the empty line
-    const net::BlockBuffer* body = nullptr;  // kept by the sender until the errand has ended
+    std::string head;  // of the HTTP request, without X-Timeout and the final empty line
+    const net::BlockBuffer* body = nullptr;  // owned by the caller; valid until the call has ended
     Micros deadline = 0;
 };
 
+// How a call ended; `report` and `result` are empty if the runner sent none.
 struct CallEnded {
     TaskId task{};
     int number = 0;
@@ -30,11 +31,12 @@
     std::string result;
 };
 
-// Who hears of it; also from inside a call to a port, so it must only take note.
+// Receives the progress and the end of calls and probes. Also called from inside the methods of Transport, so
+// an implementation must only record the event.
 class TransportObserver {
   public:
     virtual void on_call_ended(CallEnded&& ended) = 0;
-    virtual void on_request_written() = 0;  // the last byte of an assignment was given to the system
+    virtual void on_request_written() = 0;  // the last byte of an assignment was passed to the kernel
     virtual void on_progress(TaskId task, int number, RunnerId runner, Stage stage, double share) = 0;
     virtual void on_probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed,
                                 Report&& report) = 0;
@@ -43,13 +45,14 @@
     ~TransportObserver() = default;
 };
 
+// Sends assignments and probes to runners.
 class Transport {
   public:
     virtual void assign(RunnerId runner, PendingCall&& call) = 0;
-    virtual void withdraw(TaskId task, int number) = 0;  // nothing where it is not out by this port
+    virtual void withdraw(TaskId task, int number) = 0;  // no effect on a call of another transport
     virtual void probe(RunnerId runner) = 0;
     virtual void close_idle(RunnerId runner) = 0;
-    virtual void limit_deadlines(Micros at) = 0;  // no assignment that is out now may be out longer
+    virtual void limit_deadlines(Micros latest) = 0;  // shortens the deadlines of calls in flight
 
   protected:
     ~Transport() = default;
