--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* kCommands[] = {"status",  "runners", "tasks",   "failures", "drain",
                                      "undrain", "hold",    "release", "kick",     "follow"};
-constexpr int kPollIntervalMicros = 200'000;  // microseconds
+constexpr int kPollIntervalMicros = 200'000;
 constexpr int kBarWidth = 30;
 
 volatile std::sig_atomic_t interrupted = 0;
@@ -28,64 +28,65 @@
     return json::Value(json::Number{text});
 }
 
-json::Object request_of(const Command& command) {
-    json::Object o;
-    o["do"] = json::Value(command.name);
-    if (!command.by.empty()) o["by"] = json::Value(command.by);
-    if (!command.why.empty()) o["why"] = json::Value(command.why);
-    if (command.deadline_s) o["deadline_s"] = number(*command.deadline_s);
-    if (command.ticket) o["ticket"] = json::Value(json::Number{std::to_string(*command.ticket)});
-    if (command.after) o["after"] = json::Value(json::Number{std::to_string(*command.after)});
-    if (command.name == "kick") o["job"] = json::Value(json::Number{command.argument});
-    if (command.name == "hold" || command.name == "release") o["runner"] = json::Value(command.argument);
-    return o;
+json::Object make_request(const Command& command) {
+    json::Object request;
+    request["do"] = json::Value(command.name);
+    if (!command.by.empty()) request["by"] = json::Value(command.by);
+    if (!command.why.empty()) request["why"] = json::Value(command.why);
+    if (command.deadline_s) request["deadline_s"] = number(*command.deadline_s);
+    if (command.ticket) request["ticket"] = json::Value(json::Number{std::to_string(*command.ticket)});
+    if (command.after) request["after"] = json::Value(json::Number{std::to_string(*command.after)});
+    if (command.name == "kick") request["job"] = json::Value(json::Number{command.argument});
+    if (command.name == "hold" || command.name == "release")
+        request["runner"] = json::Value(command.argument);
+    return request;
 }
 
-// Until it is drained. Whoever stops waiting stops nothing else: the drain lives in the dispatcher.
+// Waits until the dispatcher has drained. The drain itself goes on if this command is interrupted.
 int wait_for_drain(ControlClient& client, bool json) {
     const bool terminal = isatty(STDOUT_FILENO) && !json;
-    double most = 1;
+    double max_left = 1;
     for (;;) {
         const json::Value status = client.call({{"do", json::Value(std::string("status"))}});
         const json::Value* const drain = status.find("drain");
         const std::string* const phase = drain ? drain->find_string("phase") : nullptr;
         if (!phase) throw ConnectionError("the dispatcher says nothing of its drain");
         const double left = drain->find_number("tasks_left").value_or(0);
-        most = std::max(most, left);
-        const bool over = *phase == "drained" || *phase == "serving";
+        max_left = std::max(max_left, left);
+        const bool is_over = *phase == "drained" || *phase == "serving";
         if (terminal) {
-            const int full = static_cast<int>(kBarWidth * (1 - left / most));
+            const int full = static_cast<int>(kBarWidth * (1 - left / max_left));
             std::string line = "[" + std::string(static_cast<std::size_t>(full), '#') +
                                std::string(static_cast<std::size_t>(kBarWidth - full), '.') + "] " +
                                drain_line(*drain);
             std::cout << '\r' << line.substr(0, terminal_width() - 1) << "\033[K" << std::flush;
         }
-        if (over || interrupted) {
+        if (is_over || interrupted) {
             if (terminal) std::cout << '\n';
             if (json)
                 std::cout << json::serialize(*drain) << '\n';
             else if (!terminal)
                 std::cout << drain_line(*drain) << '\n';
-            if (interrupted && !over)
+            if (interrupted && !is_over)
                 std::cerr << "gannethold: no longer waiting; the drain goes on (gannethold undrain takes it "
                              "back)\n";
-            return *phase == "drained" ? kDone : over ? kUndone : kInterrupted;
+            return *phase == "drained" ? kDone : is_over ? kUndone : kInterrupted;
         }
         usleep(kPollIntervalMicros);
     }
 }
 
 int follow(ControlClient& client, const Command& command) {
-    const json::Value answer = client.call(request_of(command));
+    const json::Value answer = client.call(make_request(command));
     const json::Value* const missed = answer.find("missed");
-    const bool all = missed && missed->get<bool>() && *missed->get<bool>();
-    const double some = answer.find_number("missed").value_or(0);
+    const bool is_all_missed = missed && missed->get<bool>() && *missed->get<bool>();
+    const double missed_count = answer.find_number("missed").value_or(0);
     if (command.json)
         std::cout << json::serialize(answer) << '\n' << std::flush;
-    else if (all)
+    else if (is_all_missed)
         std::cout << "(another dispatcher's sequence: what was before is not known here)\n" << std::flush;
-    else if (some > 0)
-        std::cout << "(" << static_cast<long long>(some) << " changes were missed)\n" << std::flush;
+    else if (missed_count > 0)
+        std::cout << "(" << static_cast<long long>(missed_count) << " changes were missed)\n" << std::flush;
     while (!interrupted) {
         const auto change = client.next(500);
         if (change)
@@ -102,9 +103,9 @@
 }
 
 int run(const Command& command) {
-    const auto note = [](int) { interrupted = 1; };
-    std::signal(SIGINT, note);
-    std::signal(SIGTERM, note);
+    const auto on_signal = [](int) { interrupted = 1; };
+    std::signal(SIGINT, on_signal);
+    std::signal(SIGTERM, on_signal);
     try {
         if ((command.name == "hold" || command.name == "release") && command.argument.empty()) {
             std::cerr << "gannethold: " << command.name
@@ -122,7 +123,7 @@
         }
         ControlClient client(command.socket);
         if (command.name == "follow") return follow(client, command);
-        const json::Value answer = client.call(request_of(command));
+        const json::Value answer = client.call(make_request(command));
         if (command.name == "drain" && command.wait) {
             if (!command.json) std::cout << drain_line(answer) << '\n';
             return wait_for_drain(client, command.json);
@@ -146,8 +147,8 @@
     } catch (const Refused& refused) {
         std::cerr << "gannethold: refused: " << refused.what() << '\n';
         return kRefused;
-    } catch (const ConnectionError& nobody) {
-        std::cerr << "gannethold: " << nobody.what() << '\n';
+    } catch (const ConnectionError& error) {
+        std::cerr << "gannethold: " << error.what() << '\n';
         return kUnreachable;
     }
 }
--- a/src/control/commands.hpp
+++ b/src/control/commands.hpp
@@ -1,5 +1,5 @@
-// The sub-commands that speak to a running dispatcher: status, runners, tasks, failures, drain, undrain,
-// hold, release, follow.
+// The sub-commands that control a running dispatcher: status, runners, tasks, failures, drain, undrain, hold,
+// release, kick, follow.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace gannethold::control {
 
-// What was given on the command line.
+// A sub-command with its arguments, from the command line.
 struct Command {
     std::string name, socket, argument, why, by;
     std::optional<double> deadline_s;
@@ -18,10 +18,12 @@
     bool json = false, wait = false;
 };
 
+// Exit statuses of the sub-commands.
 inline constexpr int kDone = 0, kUsage = 2, kRefused = 3, kUnreachable = 4, kUndone = 5, kInterrupted = 130;
 
 bool is_command(const std::string& name);
-// The exit status, as above. What is printed goes to standard output, why it was not done to standard error.
+// Runs a sub-command and returns the exit status. The response is printed to standard output, errors to
+// standard error.
 int run(const Command& command);
 
 }  // namespace gannethold::control
--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -26,23 +26,23 @@
     return at;
 }
 
-// Whether somebody answers there.
+// Whether a process listens on the socket.
 bool has_listener(const sockaddr_un& at) {
-    const int one = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    const bool there =
-        connect(one, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || errno == EAGAIN;
-    close(one);
-    return there;
+    const int probe = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+    const bool is_listening =
+        connect(probe, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0 || errno == EAGAIN;
+    close(probe);
+    return is_listening;
 }
 
-json::Value number(std::uint64_t n) { return json::Value(json::Number{std::to_string(n)}); }
+json::Value number(std::uint64_t value) { return json::Value(json::Number{std::to_string(value)}); }
 
 std::string refusal(const std::string& why) {
-    json::Object o;
-    o["v"] = number(kVersion);
-    o["ok"] = json::Value(false);
-    o["why"] = json::Value(why);
-    return json::serialize(json::Value(std::move(o))) + "\n";
+    json::Object response;
+    response["v"] = number(kVersion);
+    response["ok"] = json::Value(false);
+    response["why"] = json::Value(why);
+    return json::serialize(json::Value(std::move(response))) + "\n";
 }
 
 std::string name_of(uid_t user) {
@@ -74,8 +74,7 @@
 
     void send_line(const std::string& line) {
         if (is_over) return;
-        // Against a client that asks or follows and does not read: it is cut off, and finds out by the
-        // sequence.
+        // A client that does not read is disconnected; it notices the gap by the sequence numbers.
         evbuffer* const out = bufferevent_get_output(stream_.get());
         if (evbuffer_get_length(out) + line.size() > server_.options_.max_unsent_bytes) return end();
         evbuffer_add(out, line.data(), line.size());
@@ -114,18 +113,18 @@
         } catch (const json::ParseError& e) {
             return refuse_and_close(std::string("not JSON: ") + e.what());
         }
-        const std::string* const what = request.find_string("do");
+        const std::string* const command = request.find_string("do");
         const auto version = request.find_number("v");
-        if (!version || !what) return send_line(refusal("a request is an object with \"v\" and \"do\""));
+        if (!version || !command) return send_line(refusal("a request is an object with \"v\" and \"do\""));
         if (*version != kVersion)
             return send_line(refusal("version " + std::to_string(static_cast<long>(*version)) +
                                      " is not spoken here, " + std::to_string(kVersion) + " is"));
-        if (*what == "follow") return follow(request);
+        if (*command == "follow") return follow(request);
         try {
-            json::Object o = server_.handler_.on_request(*what, request, by_);
-            o["v"] = number(kVersion);
-            o["ok"] = json::Value(true);
-            send_line(json::serialize(json::Value(std::move(o))) + "\n");
+            json::Object response = server_.handler_.on_request(*command, request, by_);
+            response["v"] = number(kVersion);
+            response["ok"] = json::Value(true);
+            send_line(json::serialize(json::Value(std::move(response))) + "\n");
         } catch (const Refused& e) {
             send_line(refusal(e.what()));
         }
@@ -137,18 +136,19 @@
             after && *after >= 0 ? static_cast<std::uint64_t>(*after) : server_.published_;
         const std::uint64_t first =
             server_.changes_.empty() ? server_.published_ + 1 : server_.changes_.front().first;
-        json::Object o;
-        o["v"] = number(kVersion);
-        o["ok"] = json::Value(true);
-        o["seq"] = number(server_.published_);
-        // A sequence that is ahead of ours belongs to a process before this one: all of it was missed.
-        const bool other = from > server_.published_;
-        o["missed"] = other ? json::Value(true) : number(from + 1 < first ? first - from - 1 : 0);
-        send_line(json::serialize(json::Value(std::move(o))) + "\n");
+        json::Object response;
+        response["v"] = number(kVersion);
+        response["ok"] = json::Value(true);
+        response["seq"] = number(server_.published_);
+        // A sequence number ahead of ours is from an earlier process: all changes were missed.
+        const bool is_other_process = from > server_.published_;
+        response["missed"] =
+            is_other_process ? json::Value(true) : number(from + 1 < first ? first - from - 1 : 0);
+        send_line(json::serialize(json::Value(std::move(response))) + "\n");
         follows = true;
         wait();
         for (const auto& [sequence, line] : server_.changes_)
-            if (sequence > from || other) send_line(line);
+            if (sequence > from || is_other_process) send_line(line);
     }
     void refuse_and_close(const std::string& why) {
         send_line(refusal(why));
@@ -163,7 +163,7 @@
     void end() {
         if (std::exchange(is_over, true)) return;
         limit_.cancel();
-        // Freed in the sweep: we may be inside one of its callbacks.
+        // Freed in erase_ended(): this may be called from one of the stream's callbacks.
         bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
     }
 
@@ -182,7 +182,7 @@
     if (listener < 0) throw std::runtime_error("no descriptor for the control socket");
     struct stat before {};
     if (lstat(options_.path.c_str(), &before) == 0) {
-        // Only a socket of a process that is dead may be replaced: never a file, and never a live one's.
+        // Only a socket without a listener may be replaced: no other file, and no socket in use.
         if (!S_ISSOCK(before.st_mode) || has_listener(at)) {
             close(listener);
             throw std::runtime_error(S_ISSOCK(before.st_mode) ? "another process serves on " + options_.path
@@ -190,7 +190,8 @@
         }
         unlink(options_.path.c_str());
     }
-    // Made as nobody's but ours from the first moment: a change after the bind would leave a gap.
+    // Created with the final permissions: a chmod after the bind would leave a gap in which others can
+    // connect.
     const mode_t previous_mask = umask(0177);
     const bool bound = bind(listener, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
     umask(previous_mask);
@@ -213,35 +214,35 @@
 }
 
 void ControlServer::accept(evutil_socket_t socket) {
-    ucred who{};
-    socklen_t length = sizeof who;
-    const bool known = getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &who, &length) == 0;
+    ucred peer{};
+    socklen_t length = sizeof peer;
+    const bool known = getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &length) == 0;
     const auto refuse = [&](const std::string& why) {
         const std::string line = refusal(why);
         (void)!send(socket, line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         close(socket);
     };
-    if (!known || (who.uid != geteuid() && who.uid != 0)) {
+    if (!known || (peer.uid != geteuid() && peer.uid != 0)) {
         log_.warning(net::Loop::now(), "control: turned away ",
-                     log::field("user", known ? name_of(who.uid) : "somebody"));
+                     log::field("user", known ? name_of(peer.uid) : "somebody"));
         return refuse("only the user that the dispatcher runs as, or root, may ask");
     }
-    const auto live = static_cast<std::size_t>(
-        std::count_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->is_over; }));
+    const auto live = static_cast<std::size_t>(std::count_if(
+        sessions_.begin(), sessions_.end(), [](const auto& session) { return !session->is_over; }));
     if (live >= options_.max_clients) return refuse("too many are asking at once; try again");
-    sessions_.push_back(std::make_unique<Session>(*this, socket, name_of(who.uid)));
+    sessions_.push_back(std::make_unique<Session>(*this, socket, name_of(peer.uid)));
 }
 
 void ControlServer::publish(json::Object change) {
     change["seq"] = number(++published_);
     changes_.emplace_back(published_, json::serialize(json::Value(std::move(change))) + "\n");
     if (changes_.size() > options_.max_remembered_changes) changes_.pop_front();
-    for (auto& s : sessions_)
-        if (s->follows) s->send_line(changes_.back().second);
+    for (auto& session : sessions_)
+        if (session->follows) session->send_line(changes_.back().second);
 }
 
 void ControlServer::erase_ended() {
-    std::erase_if(sessions_, [](const auto& s) { return s->is_over; });
+    std::erase_if(sessions_, [](const auto& session) { return session->is_over; });
 }
 
 }  // namespace gannethold::control
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -1,11 +1,12 @@
-// An operator's way in: a Unix-domain socket in the file system, one JSON object a line each way.
+// The server of the control socket: a Unix-domain socket in the file system, for operators. Each message is
+// one JSON object on one line.
 //
-//   request:     {"v":1,"do":"status"}
-//   answered:  {"v":1,"ok":true,...}   or   {"v":1,"ok":false,"why":"..."}
+//   request:   {"v":1,"do":"status"}
+//   response:  {"v":1,"ok":true,...}   or   {"v":1,"ok":false,"why":"..."}
 //
-// Who may: whoever the system says runs as the dispatcher's own user, or as root. Bounded in clients, in what
-// a line holds, in what waits to be read and in time, so that a slow or silent reader costs nobody else
-// anything. docs/control.md is the page on it.
+// Only the dispatcher's own user and root may connect, by the peer credentials of the socket. The number of
+// clients, the length of a line, the unsent bytes and the time are bounded, so that a slow or silent client
+// does not affect others. See docs/control.md.
 #pragma once
 
 #include <event2/event.h>
@@ -27,15 +28,16 @@
 
 inline constexpr int kVersion = 1;
 
-// Who may not, or what cannot be done: the text goes to the asker.
+// The request is not permitted or cannot be done. The text is sent to the client.
 class Refused : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-// Who answers. A request is an object; what is request for stands in "do". Throws Refused.
+// Executes requests; the dispatcher.
 class RequestHandler {
   public:
+    // command: the value of "do". by: the name of the client's user. Throws Refused.
     virtual json::Object on_request(const std::string& command, const json::Value& request,
                                     const std::string& by) = 0;
 
@@ -43,28 +45,30 @@
     ~RequestHandler() = default;
 };
 
-// What a desk is furnished with.
+// The settings and limits of the control socket.
 struct ControlOptions {
     std::string path;
     std::size_t max_clients = 8;
     std::size_t max_line_bytes = 64 * 1024;
-    std::size_t max_unsent_bytes = 1024 * 1024;  // bytes that wait for one client to read them
-    Micros line_timeout =
-        10'000'000;  // for a line to come whole, and for a silent client that follows nothing
-    std::size_t max_remembered_changes = 1'000;  // changes, for a follower that comes back
+    std::size_t max_unsent_bytes = 1024 * 1024;  // for each client
+    // For a line to arrive in full, and for a silent client that does not follow changes.
+    Micros line_timeout = 10'000'000;
+    std::size_t max_remembered_changes = 1'000;  // for followers that reconnect
 };
 
+// Serves the control socket and publishes changes to the clients that follow.
 class ControlServer {
   public:
-    // Throws std::runtime_error where another process serves on that path or it cannot be made. A file left
-    // by a dead process is taken over.
+    // Throws std::runtime_error if another process serves on the path or the socket cannot be created. A
+    // socket that a dead process left is replaced.
     ControlServer(net::Loop& loop, const ControlOptions& options, RequestHandler& handler, log::Log& log);
     ~ControlServer();
     ControlServer(const ControlServer&) = delete;
     ControlServer& operator=(const ControlServer&) = delete;
 
-    // Goes to all who follow, and is remembered for those who come back.
+    // Sends a change to all followers, and keeps it for those that reconnect.
     void publish(json::Object change);
+    // Frees closed sessions; not to be called from their callbacks.
     void erase_ended();
     std::size_t client_count() const { return sessions_.size(); }
     std::uint64_t published() const { return published_; }
--- a/src/control/tables.cpp
+++ b/src/control/tables.cpp
@@ -56,7 +56,7 @@
             wide[i] = std::max(wide[i], row[i].size());
     std::size_t all = 2 * (wide.size() - 1);
     for (const std::size_t w : wide) all += w;
-    // Too wide: the widest gives way first, down to what still says something.
+    // If the row is too wide, the widest column shrinks first, down to 3 characters.
     while (all > width) {
         auto& widest = *std::max_element(wide.begin(), wide.end());
         if (widest <= 3) break;
--- a/src/control/tables.hpp
+++ b/src/control/tables.hpp
@@ -1,4 +1,4 @@
-// What the sub-commands print: tables that fit the terminal.
+// The output of the sub-commands: tables that fit the terminal.
 #pragma once
 
 #include <iosfwd>
@@ -9,7 +9,7 @@
 
 namespace gannethold::control {
 
-// Columns as wide as they need; the last of those that may shrink is cut so that a row fits.
+// A table of text. Columns are as wide as their cells; if a row would not fit, the widest columns are cut.
 class Table {
   public:
     explicit Table(std::vector<std::string> titles) : rows_{std::move(titles)} {}
@@ -20,9 +20,9 @@
     std::vector<std::vector<std::string>> rows_;
 };
 
-std::size_t terminal_width();  // of standard output; 100 where it is no terminal
+std::size_t terminal_width();  // of standard output; 100 if it is no terminal
 
-// A millisecond count as people read it: "340 ms", "12.3 s", "4 min".
+// Formats a time in milliseconds for reading: "340 ms", "12.3 s", "4 min".
 std::string span(double ms);
 
 void write_status(std::ostream& out, const json::Value& answer);
