--- a/src/clients/server.cpp
+++ b/src/clients/server.cpp
@@ -11,11 +11,13 @@
 namespace {
 
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;
-// For a request to come whole, counted from the connect or, on a kept connection, from its first byte: bytes
-// that drip in win no time. At a restart a stalled one holds up the exit no longer than the second.
+// The time for a request to arrive in full, from the connect or, on a reused connection, from its first byte.
+// Further bytes do not extend it. In a shutdown the second applies, so that a stalled request delays the exit
+// by no more.
 constexpr Micros kRequestTimeout = 2'000'000, kRequestTimeoutInShutdown = 300'000;
 constexpr Micros kStalledCheckInterval = 100'000;
-constexpr Micros kIncompleteGrace = 100'000;  // what has come in part for longer may go when room is short
+constexpr Micros kIncompleteGrace =
+    100'000;  // an older incomplete request may be closed to free a descriptor
 
 int status_of(http::ReadError fault) {
     switch (fault) {
@@ -30,23 +32,23 @@
     }
 }
 
-std::string seconds(Micros span) {
+std::string format_seconds(Micros micros) {
     char text[32];
-    std::snprintf(text, sizeof text, "%.3f", static_cast<double>(span) / 1e6);
+    std::snprintf(text, sizeof text, "%.3f", static_cast<double>(micros) / 1e6);
     return text;
 }
 
 }  // namespace
 
-Server::Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory,
-               TaskSink& task_sink, Room room, log::Log& log)
+Server::Server(net::Loop& loop, const net::ListenAddress& address, const Directory& directory,
+               TaskSink& task_sink, ServerLimits limits, log::Log& log)
     : loop_(loop),
       directory_(directory),
       task_sink_(task_sink),
-      room_(room),
+      limits_(limits),
       log_(log),
       listener_(
-          loop, door, [this](evutil_socket_t socket) { accept(socket); }, [this] { make_room(); }),
+          loop, address, [this](evutil_socket_t socket) { accept(socket); }, [this] { close_one_session(); }),
       stalled_timer_(loop, [this] { close_stalled(); }) {
     stalled_timer_.set(net::Loop::now() + kStalledCheckInterval);
 }
@@ -54,15 +56,15 @@
 Server::~Server() = default;
 
 void Server::accept(evutil_socket_t socket) {
-    if (live() >= room_.sessions) make_room();
+    if (open_count() >= limits_.sessions) close_one_session();
     sessions_.push_back(std::make_unique<Session>(*this, socket));
-    sessions_.back()->place_ = std::prev(sessions_.end());
+    sessions_.back()->position_ = std::prev(sessions_.end());
 }
 
-// Against running out of descriptors, with tasks in the backlog that nobody takes. First goes who has had its
-// last answer and only has to close, then who never handed in a task, silent or half said, and last the kept
+// Closes a connection to free a descriptor for those in the backlog. First choice is one that has sent its
+// last answer, then one that never submitted a task, silent or with an incomplete request, and last the
 // connection that was idle for longest: its client opens another when it needs one.
-void Server::make_room() {
+void Server::close_one_session() {
     using State = Session::State;
     const Micros now = net::Loop::now();
     const auto answered = [](const Session& s) {
@@ -76,7 +78,7 @@
     for (const std::function<bool(const Session&)>& may_close :
          {std::function<bool(const Session&)>(answered), {silent}, {incomplete}, {idle}}) {
         for (const auto& session : sessions_) {
-            // Against closing one whose request is here but was not read yet.
+            // A stale connection has a request that was not read yet.
             if (!may_close(*session) || (session->state_ == State::idle && session->connection_.is_stale()))
                 continue;
             session->connection_.close();
@@ -85,33 +87,34 @@
     }
 }
 
-void Server::restate(const Room& room) {
-    room_ = room;
-    for (std::size_t before = live() + 1; live() > room_.sessions && live() < before;)
-        before = live(), make_room();
+void Server::update_limits(const ServerLimits& limits) {
+    limits_ = limits;
+    for (std::size_t before = open_count() + 1; open_count() > limits_.sessions && open_count() < before;)
+        before = open_count(), close_one_session();
 }
 
-// What comes beyond the room is turned away before the module sees it: never sent, so harmless to try again.
-// Against a backlog of tasks that are lost because no descriptor is left to take them.
-bool Server::is_full() const { return waiting_ >= room_.tasks || live() > room_.sessions; }
+// Requests beyond the limits are rejected before the decision module sees them, so they are safe to retry.
+// Otherwise tasks in the backlog would be lost, since no descriptor is free to accept them.
+bool Server::is_full() const { return waiting_ >= limits_.tasks || open_count() > limits_.sessions; }
 
-// Against clients that say nothing, or begin a request and never end it: each would hold a descriptor and a
-// block for ever. One that has been served before may stand idle.
+// Closes the connections of clients that send nothing, or never complete a request: each would occupy a
+// descriptor and a block for ever. A connection that has served a request may be idle.
 void Server::close_stalled() {
     const Micros now = net::Loop::now();
     for (const auto& session : sessions_) {
-        if (now - session->started_at_ <= (leaving_ ? kRequestTimeoutInShutdown : kRequestTimeout)) continue;
+        if (now - session->started_at_ <= (is_shutting_down_ ? kRequestTimeoutInShutdown : kRequestTimeout))
+            continue;
         if (session->state_ == Session::State::reading)
             session->refuse(408, "the request came no further");
-        else if (session->state_ == Session::State::idle && (leaving_ || !session->has_begun_))
+        else if (session->state_ == Session::State::idle && (is_shutting_down_ || !session->has_begun_))
             session->state_ = Session::State::closing, session->connection_.finish();
     }
     stalled_timer_.set(now + kStalledCheckInterval);
 }
 
-void Server::leave() {
-    leaving_ = bearing_.last_answers = true;
-    bearing_.healthy = false;
+void Server::begin_shutdown() {
+    is_shutting_down_ = drain_behavior_.closes_after_answer = true;
+    drain_behavior_.is_healthy = false;
     for (const auto& session : sessions_) {
         if (session->state_ != Session::State::idle) continue;
         session->state_ = Session::State::closing;
@@ -119,8 +122,8 @@
     }
 }
 
-// Nothing is being read, waited for or still to be written on the others.
-std::size_t Server::busy() const {
+// Connections on which a request is being read or answered, or an answer written.
+std::size_t Server::busy_count() const {
     return static_cast<std::size_t>(
         std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
             return session->state_ == Session::State::reading || session->state_ == Session::State::waiting ||
@@ -128,18 +131,18 @@
         }));
 }
 
-std::size_t Server::idle() const {
+std::size_t Server::idle_count() const {
     return static_cast<std::size_t>(
         std::count_if(sessions_.begin(), sessions_.end(), [](const auto& session) {
             return session->state_ == Session::State::idle && session->has_submitted_;
         }));
 }
 
-void Server::keep_idle(std::size_t most) {
-    std::size_t open = idle();
+void Server::close_idle_beyond(std::size_t max_idle) {
+    std::size_t open = idle_count();
     for (const auto& session : sessions_) {
-        if (open <= most) return;
-        // Against closing one whose request is here but was not read yet.
+        if (open <= max_idle) return;
+        // A stale connection has a request that was not read yet.
         if (session->state_ != Session::State::idle || !session->has_submitted_ ||
             session->connection_.is_stale())
             continue;
@@ -149,8 +152,8 @@
     }
 }
 
-void Server::sweep() {
-    for (Session* const session : std::exchange(ended_, {})) sessions_.erase(session->place_);
+void Server::erase_ended() {
+    for (Session* const session : std::exchange(ended_, {})) sessions_.erase(session->position_);
 }
 
 Session::Session(Server& server, evutil_socket_t socket)
@@ -162,13 +165,13 @@
 
 void Session::touch() {
     last_byte_at_ = net::Loop::now();
-    server_.sessions_.splice(server_.sessions_.end(), server_.sessions_, place_);
+    server_.sessions_.splice(server_.sessions_.end(), server_.sessions_, position_);
 }
 
 void Session::on_bytes(std::string_view bytes) {
     touch();
-    // Against a client that asks on and on and reads no answer: one that has not had the last answer whole
-    // has nothing to ask, and what it is owed stays one answer.
+    // A client that sends a request before it has read the previous answer is disconnected, so that at most
+    // one unsent answer is buffered.
     if (state_ == State::idle && connection_.has_unsent_bytes()) {
         state_ = State::closing;
         return connection_.finish();
@@ -190,8 +193,8 @@
                     return refuse(503, "no buffer left");
                 break;
             case http::ReadResult::end:
-                // Against a length that is too small: what is behind the end is the rest of the body, or one
-                // request hides in another. A client sends one at a time here.
+                // The Content-Length is too small, or a request is smuggled in another: pipelining is not
+                // supported, so no bytes may follow.
                 if (request_ && (!bytes.empty() || connection_.is_stale()))
                     return refuse(400, "more than the request is long");
                 on_request_end();
@@ -200,7 +203,7 @@
                 return refuse(status_of(reader_.error()), "malformed request");
         }
     }
-    // The same once the task is out already. It was never what the client meant, so it is not served.
+    // The same once the task was submitted. The request is not what the client meant, so it is cancelled.
     if (state_ == State::waiting && !bytes.empty()) {
         set_waiting(false);
         server_.task_sink_.on_client_disconnected(task_);
@@ -225,7 +228,7 @@
         return false;
     }
     request_ = std::move(std::get<Request>(read));
-    // Said before the body has come: nobody is to send in vain what will not be taken.
+    // Rejected before the body is received, so that the client need not send it.
     if (reader_.body_length() > kMaxBodyBytes) {
         refuse(413, "body too large");
         return false;
@@ -244,13 +247,14 @@
     if (!request_) {
         body_.clear();
         state_ = State::idle;
-        const bool ready = server_.task_sink_.is_ready() && server_.bearing_.healthy;
+        const bool ready = server_.task_sink_.is_ready() && server_.drain_behavior_.is_healthy;
         return respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
     }
-    // One id twice at once would look like a second copy at the runners; another may have come meanwhile.
+    // Checked again, since another request may have arrived meanwhile: two tasks with one id would look like
+    // a repeated assignment to the runners.
     if (server_.task_sink_.is_known_request(request_->id))
         return refuse(409, "a request with this id is under way");
-    if (server_.bearing_.turns_away) {
+    if (server_.drain_behavior_.rejects_new_tasks) {
         return reject("drained\n");
     }
     if (server_.is_full()) {
@@ -268,7 +272,7 @@
     closes_after_answer_ = true;
     body_.clear();
     server_.task_sink_.on_rejected(request_->workload);
-    respond(503, why, server_.room_.retry_after);
+    respond(503, why, server_.limits_.retry_after);
 }
 
 void Session::on_answer(TaskId, Answer answer, std::string_view result, Micros retry_after) {
@@ -287,12 +291,12 @@
 void Session::respond(int status, std::string_view body, Micros retry_after) {
     auto head = http::Writer::response(status);
     head.content_length(body.size());
-    if (retry_after > 0) head.field("Retry-After", seconds(retry_after));
-    if (server_.bearing_.last_answers) closes_after_answer_ = true;
+    if (retry_after > 0) head.field("Retry-After", format_seconds(retry_after));
+    if (server_.drain_behavior_.closes_after_answer) closes_after_answer_ = true;
     if (closes_after_answer_) head.field("Connection", "close");
     net::BlockBuffer out(server_.loop_.block_pool());
     if (!out.append(head.head()) || !out.append(body)) {
-        // No buffer for the answer: a connection that ends is all that can still be said.
+        // There is no buffer for the answer; only closing the connection is possible.
         connection_.close();
         return on_closed(net::CloseReason::closed);
     }
@@ -313,7 +317,7 @@
     closes_after_answer_ = true;
     reader_.restart();
     body_.clear();
-    respond(status, std::string(why) + "\n", status == 503 ? server_.room_.retry_after : 0);
+    respond(status, std::string(why) + "\n", status == 503 ? server_.limits_.retry_after : 0);
 }
 
 void Session::on_closed(net::CloseReason) {
--- a/src/clients/server.hpp
+++ b/src/clients/server.hpp
@@ -1,4 +1,4 @@
-// Clients' connections: requests in, answers out.
+// The HTTP server for clients: receives requests, submits them as tasks and sends the answers.
 #pragma once
 
 #include <list>
@@ -18,40 +18,43 @@
 using frontend::Answer;
 using frontend::TaskSink;
 
-// How much the server may have open, and for how long it sends away who comes beyond that.
-struct Room {
+// The maximum numbers of connections and of tasks in flight, and the Retry-After of requests rejected beyond
+// them.
+struct ServerLimits {
     std::size_t sessions = 64, tasks = 64;
     Micros retry_after = 0;
 };
 
-// What the dispatcher wants of the front while it drains or leaves.
-struct Bearing {
-    bool healthy = true;        // what /healthz says, once there is a runner
-    bool turns_away = false;    // a request is bounced before it is taken
-    bool last_answers = false;  // answers end their connections
+// How the server behaves while the dispatcher drains or shuts down.
+struct DrainBehavior {
+    bool is_healthy = true;            // the state at /healthz, once there is a runner
+    bool rejects_new_tasks = false;    // requests are bounced before they are submitted
+    bool closes_after_answer = false;  // each answer closes its connection
 };
 
+// Accepts clients' connections and tracks them. Within the limits, idle connections are kept open.
 class Server {
   public:
-    Server(net::Loop& loop, const net::ListenAddress& door, const Directory& directory, TaskSink& task_sink,
-           Room room, log::Log& log);
+    Server(net::Loop& loop, const net::ListenAddress& address, const Directory& directory,
+           TaskSink& task_sink, ServerLimits limits, log::Log& log);
     ~Server();
 
-    // Who has connected is served on; who has not yet been let in is another's.
+    // Accepted connections are still served; those in the backlog are left to the successor.
     void stop_accepting() { listener_.stop(); }
-    // From now on answers end their connections, and idle ones are closed.
-    void leave();
-    // From now on. With less room idle connections go until the rest fit, or none is idle.
-    void restate(const Room& room);
-    void bear(const Bearing& bearing) { bearing_ = bearing; }
-    // Closes idle connections, the longest idle first, until no more than that many stand open. One that has
-    // yet to hand in its first task is left alone.
-    void keep_idle(std::size_t most);
-    std::size_t idle() const;
-    std::size_t waiting() const { return waiting_; }
-    std::size_t busy() const;
-    bool leaving() const { return leaving_; }
-    void sweep();  // frees what has ended; once a turn, after its last callback
+    // From now on answers close their connections; idle connections are closed now.
+    void begin_shutdown();
+    // Applies from now on. Beyond lower limits idle connections are closed, until the rest fit or none is
+    // idle.
+    void update_limits(const ServerLimits& limits);
+    void set_drain_behavior(const DrainBehavior& behavior) { drain_behavior_ = behavior; }
+    // Closes idle connections, the longest idle first, until at most that many are open. A connection that
+    // has not yet submitted a task is not counted and not closed.
+    void close_idle_beyond(std::size_t max_idle);
+    std::size_t idle_count() const;
+    std::size_t waiting_count() const { return waiting_; }
+    std::size_t busy_count() const;
+    bool is_shutting_down() const { return is_shutting_down_; }
+    void erase_ended();  // frees closed sessions; once a turn of the loop, after its last callback
     std::uint16_t port() const { return listener_.port(); }
     std::size_t sessions() const { return sessions_.size(); }
 
@@ -60,20 +63,20 @@
     using Sessions = std::list<std::unique_ptr<Session>>;
 
     void accept(evutil_socket_t socket);
-    void make_room();
-    std::size_t live() const { return sessions_.size() - ended_.size(); }
+    void close_one_session();
+    std::size_t open_count() const { return sessions_.size() - ended_.size(); }
     bool is_full() const;
     void close_stalled();
 
     net::Loop& loop_;
     const Directory& directory_;
     TaskSink& task_sink_;
-    Room room_;
+    ServerLimits limits_;
     log::Log& log_;
     std::size_t waiting_ = 0;  // tasks that a client waits for
-    bool leaving_ = false;
-    Bearing bearing_;
-    Sessions sessions_;  // the one that was used longest ago stands first
+    bool is_shutting_down_ = false;
+    DrainBehavior drain_behavior_;
+    Sessions sessions_;  // the least recently used first
     std::vector<Session*> ended_;
     net::Listener listener_;
     net::Timer stalled_timer_;
@@ -84,7 +87,7 @@
   public:
     Session(Server& server, evutil_socket_t socket);
 
-    // The final answer to the task under way; stay_away goes along with a bounce.
+    // The final answer to the task in flight. A bounce states retry_after.
     void on_answer(TaskId task, Answer answer, std::string_view result, Micros retry_after) override;
 
   private:
@@ -106,14 +109,14 @@
     net::Connection connection_;
     http::Reader reader_;
     net::BlockBuffer body_;
-    std::optional<Request> request_;  // none for a check of health
+    std::optional<Request> request_;  // none: a health check
     TaskId task_{};
     State state_ = State::idle;
     Micros last_byte_at_ = 0;
-    Micros started_at_;  // when it connected or, on a kept connection, when the present request began
+    Micros started_at_;  // the connect or, on a reused connection, the first byte of the request
     bool closes_after_answer_ = false;
-    bool has_begun_ = false, has_submitted_ = false;  // a request has begun on it; a task of it was taken
-    Server::Sessions::iterator place_;
+    bool has_begun_ = false, has_submitted_ = false;  // a request began; a task was submitted
+    Server::Sessions::iterator position_;
 };
 
 }  // namespace gannethold::clients
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -31,9 +31,9 @@
 std::size_t for_tasks(std::size_t sockets) { return sockets > kOwnSockets + 5 ? sockets - kOwnSockets : 5; }
 std::size_t for_runners(std::size_t sockets) { return for_tasks(sockets) * 2 / 5; }
 
-clients::Room room(const Posting& posting, std::size_t sockets) {
+clients::ServerLimits server_limits(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
-    clients::Room r;
+    clients::ServerLimits r;
     r.sessions = for_tasks(sockets) - for_runners(sockets);
     r.tasks = static_cast<std::size_t>(std::max(1.0, stated.get_number("caps.max_open", 1e6)));
     if (stated.get_bool("caps.retry_after")) r.retry_after = stated.get_micros("caps.max_retry_after_us", 0);
@@ -43,7 +43,8 @@
 runners::PoolOptions upkeep(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
     runners::PoolOptions u;
-    u.connect_timeout = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_timeout));
+    u.connect_timeout =
+        std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_timeout));
     // A margin for a runner that counts from before its answer reached us.
     u.idle_timeout = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
     u.max_connections = for_runners(sockets);
@@ -100,7 +101,7 @@
                 note(PeerMessage{from, std::string(words)});
             }),
       server_(loop, net::ListenAddress(posting_.listen, posting_.inherited), directory_, *this,
-              room(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
+              server_limits(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
       wake_(loop, [this] { wake(); }),
       farewell_(loop, [this] { look_at_drain(); }),
       drain_(extras.manners),
@@ -213,7 +214,7 @@
 // What the connections of each kind may take, of what this process may hold for now.
 void Dispatcher::share_out() {
     const std::size_t sockets = sockets_left(posting_, tubes_, own_part(posting_.sockets));
-    server_.restate(room(posting_, sockets));
+    server_.update_limits(server_limits(posting_, sockets));
     links_.update_options(upkeep(posting_, sockets));
 }
 
@@ -239,7 +240,7 @@
 void Dispatcher::look_at_drain() {
     const Micros now = net::Loop::now();
     const drain::DrainDirective wanted =
-        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->quiet())});
+        drain_.evaluate(now, {unanswered(), server_.busy_count() + (pullers_ && !pullers_->quiet())});
     if (pullers_) {
         // A producer keeps its job, and needs no front to be told: from the order on, and at a restart once
         // others are told.
@@ -251,13 +252,14 @@
         if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->leave();
     }
     healthy_ = wanted.is_healthy;
-    if (!server_.leaving())
-        server_.bear({wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
+    if (!server_.is_shutting_down())
+        server_.set_drain_behavior(
+            {wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
     if (wanted.closes_after_response && drain_.is_shutting_down() && wanted.idle_fraction_to_keep <= 0) {
-        if (!server_.leaving()) server_.leave();
+        if (!server_.is_shutting_down()) server_.begin_shutdown();
     } else if (wanted.closes_after_response) {
-        if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle();
-        server_.keep_idle(
+        if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle_count();
+        server_.close_idle_beyond(
             static_cast<std::size_t>(static_cast<double>(idle_at_closing_) * wanted.idle_fraction_to_keep));
     } else {
         closing_ = false;
@@ -409,7 +411,7 @@
         if (pullers_) pullers_->look();
     }
     links_.erase_ended();
-    server_.sweep();
+    server_.erase_ended();
     follower_.erase_ended();
     if (desk_) desk_->erase_ended();
     if (admin_server_) admin_server_->erase_ended_sessions();
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -19,9 +19,9 @@
 // Answers that somebody waits for, and jobs that are in somebody's hands. What waits in a tube is not among
 // them: a drain leaves it there.
 std::size_t Dispatcher::unanswered() const {
-    if (!pullers_) return server_.waiting();
+    if (!pullers_) return server_.waiting_count();
     const frontend::TaskSource* const jobs = &pullers_->exchange();
-    return server_.waiting() +
+    return server_.waiting_count() +
            static_cast<std::size_t>(std::count_if(tasks_.begin(), tasks_.end(), [jobs](const auto& t) {
                return t.second.asker == jobs && t.second.out > 0;
            }));
