--- a/src/sim_protocol/sim_protocol.cpp
+++ b/src/sim_protocol/sim_protocol.cpp
@@ -9,12 +9,13 @@
 namespace gannethold::sim_protocol {
 namespace {
 
+// Reads big-endian values from a frame. Throws BadFrame at the position in the whole stream.
 class Cursor {
   public:
     Cursor(std::string_view bytes, std::size_t stream_at) : bytes_(bytes), base_(stream_at) {}
 
     std::size_t at() const { return base_ + next_; }
-    bool done() const { return next_ == bytes_.size(); }
+    bool is_at_end() const { return next_ == bytes_.size(); }
 
     std::uint64_t number(std::size_t width) {
         std::uint64_t value = 0;
@@ -25,16 +26,16 @@
     std::string_view text(std::size_t count_width) { return take(number(count_width)); }
     std::size_t count(std::size_t count_width, std::size_t entry_width) {
         const std::size_t start = at();
-        const std::size_t n = number(count_width);
-        if (n * entry_width > bytes_.size() - next_) throw BadFrame("count overruns the frame", start);
-        return n;
+        const std::size_t count = number(count_width);
+        if (count * entry_width > bytes_.size() - next_) throw BadFrame("count overruns the frame", start);
+        return count;
     }
 
   private:
-    std::string_view take(std::size_t n) {
-        if (n > bytes_.size() - next_) throw BadFrame("record cut short by the end of the frame", at());
-        next_ += n;
-        return bytes_.substr(next_ - n, n);
+    std::string_view take(std::size_t length) {
+        if (length > bytes_.size() - next_) throw BadFrame("record cut short by the end of the frame", at());
+        next_ += length;
+        return bytes_.substr(next_ - length, length);
     }
 
     std::string_view bytes_;
@@ -51,7 +52,7 @@
 
 Report report(Cursor& in) {
     Report values(in.count(1, 4));
-    for (double& v : values) v = in.real();
+    for (double& value : values) value = in.real();
     return values;
 }
 
@@ -100,78 +101,80 @@
     }
     update.version = static_cast<std::uint32_t>(in.number(4));
     update.entries.resize(in.count(4, 21));
-    for (EndpointEntry& e : update.entries) {
-        e.runner = id<RunnerId>(in, 4);
-        e.zone = id<ZoneId>(in, 1);
-        e.instance_type = id<InstanceTypeId>(in, 1);
-        e.group = id<GroupId>(in, 2);
+    for (EndpointEntry& entry : update.entries) {
+        entry.runner = id<RunnerId>(in, 4);
+        entry.zone = id<ZoneId>(in, 1);
+        entry.instance_type = id<InstanceTypeId>(in, 1);
+        entry.group = id<GroupId>(in, 2);
         const std::size_t state_at = in.at();
         const auto state = in.number(1);
         if (state > 2) throw BadFrame("unknown runner state", state_at);
-        e.state = state == 2 ? RunnerState::ready : state == 1 ? RunnerState::draining : RunnerState::gone;
-        e.weight = in.real();
-        e.started_at = micros(in, 8);
+        entry.state = state == 2   ? RunnerState::ready
+                      : state == 1 ? RunnerState::draining
+                                   : RunnerState::gone;
+        entry.weight = in.real();
+        entry.started_at = micros(in, 8);
     }
     return update;
 }
 
 TaskArrived arrival(Cursor& in) {
-    TaskArrived t;
-    t.task = id<TaskId>(in, 8);
-    t.workload = id<WorkloadId>(in, 1);
-    t.customer = id<CustomerId>(in, 4);
-    t.key = in.number(8);
-    t.expiry = micros(in, 8);
-    t.cost_hint = micros(in, 4);
-    t.slots = in.real();
-    t.memory = in.real();
+    TaskArrived task_arrived;
+    task_arrived.task = id<TaskId>(in, 8);
+    task_arrived.workload = id<WorkloadId>(in, 1);
+    task_arrived.customer = id<CustomerId>(in, 4);
+    task_arrived.key = in.number(8);
+    task_arrived.expiry = micros(in, 8);
+    task_arrived.cost_hint = micros(in, 4);
+    task_arrived.slots = in.real();
+    task_arrived.memory = in.real();
     const auto flags = in.number(1);
-    t.hint_valid = flags & 1;
-    t.client_retry = flags & 2;
-    t.write = flags & 4;
-    t.after_disconnect = flags & 16;
-    return t;
+    task_arrived.hint_valid = flags & 1;
+    task_arrived.client_retry = flags & 2;
+    task_arrived.write = flags & 4;
+    task_arrived.after_disconnect = flags & 16;
+    return task_arrived;
 }
 
 AssignmentEnded ending(Cursor& in) {
-    AssignmentEnded e;
-    e.task = id<TaskId>(in, 8);
-    e.task_answered = in.number(1) != 0;
-    e.detail = static_cast<std::uint32_t>(in.number(4));
-    e.elapsed = micros(in, 4);
-    e.runner = id<RunnerId>(in, 4);
-    e.assignment = static_cast<int>(in.number(1));
-    e.outcome = outcome(in);
-    e.report = report(in);
-    return e;
+    AssignmentEnded ended;
+    ended.task = id<TaskId>(in, 8);
+    ended.task_answered = in.number(1) != 0;
+    ended.detail = static_cast<std::uint32_t>(in.number(4));
+    ended.elapsed = micros(in, 4);
+    ended.runner = id<RunnerId>(in, 4);
+    ended.assignment = static_cast<int>(in.number(1));
+    ended.outcome = outcome(in);
+    ended.report = report(in);
+    return ended;
 }
 
 StreamBegun stream_begun(Cursor& in) {
-    StreamBegun s;
-    s.task = id<TaskId>(in, 8);
-    s.assignment = static_cast<int>(in.number(1));
-    s.runner = id<RunnerId>(in, 4);
-    s.elapsed = micros(in, 4);
-    return s;
+    StreamBegun stream;
+    stream.task = id<TaskId>(in, 8);
+    stream.assignment = static_cast<int>(in.number(1));
+    stream.runner = id<RunnerId>(in, 4);
+    stream.elapsed = micros(in, 4);
+    return stream;
 }
 
 ProbeEnded probe_ended(Cursor& in) {
-    ProbeEnded p;
-    p.runner = id<RunnerId>(in, 4);
-    p.outcome = outcome(in);
-    p.elapsed = micros(in, 4);
-    p.report = report(in);
-    return p;
+    ProbeEnded probe;
+    probe.runner = id<RunnerId>(in, 4);
+    probe.outcome = outcome(in);
+    probe.elapsed = micros(in, 4);
+    probe.report = report(in);
+    return probe;
 }
 
 Progress progress(Cursor& in) {
-    Progress p;
-    p.task = id<TaskId>(in, 8);
-    p.done = in.real();
-    p.runner = id<RunnerId>(in, 4);
-    p.assignment = static_cast<int>(in.number(1));
-    p.stage = in.number(1) == 1 ? Stage::begun : Stage::progress;
-    return p;
+    Progress progress_event;
+    progress_event.task = id<TaskId>(in, 8);
+    progress_event.done = in.real();
+    progress_event.runner = id<RunnerId>(in, 4);
+    progress_event.assignment = static_cast<int>(in.number(1));
+    progress_event.stage = in.number(1) == 1 ? Stage::begun : Stage::progress;
+    return progress_event;
 }
 
 std::variant<Created, Killed, Event> record(std::uint64_t code, std::size_t start, Cursor& in) {
@@ -212,14 +215,16 @@
     using Ts::operator()...;
 };
 
+// Appends a value in big-endian order.
 void put(std::string& out, std::uint64_t value, std::size_t width) {
     while (width--) out.push_back(static_cast<char>(value >> (8 * width)));
 }
 
+// Appends a text with its length, cut to 65535 bytes.
 void put_text(std::string& out, std::string_view text) {
-    const auto n = std::min<std::size_t>(text.size(), 0xffff);
-    put(out, n, 2);
-    out.append(text.substr(0, n));
+    const auto length = std::min<std::size_t>(text.size(), 0xffff);
+    put(out, length, 2);
+    out.append(text.substr(0, length));
 }
 
 template <class Id>
@@ -233,31 +238,31 @@
 
 Header read_header(std::string_view bytes, std::size_t stream_at) {
     Cursor in(bytes, stream_at);
-    Header h{};
-    h.now = micros(in, 8);
-    h.length = static_cast<std::uint32_t>(in.number(4));
-    h.records = static_cast<std::uint32_t>(in.number(4));
-    return h;
+    Header header{};
+    header.now = micros(in, 8);
+    header.length = static_cast<std::uint32_t>(in.number(4));
+    header.records = static_cast<std::uint32_t>(in.number(4));
+    return header;
 }
 
 Batch read_batch(const Header& header, std::string_view body, std::size_t stream_at) {
     Cursor in(body, stream_at);
     Batch batch;
     batch.now = header.now;
-    bool named = false;
+    bool has_instance = false;
     InstanceId instance{};
     for (std::uint32_t i = 0; i < header.records; ++i) {
         const std::size_t start = in.at();
         const auto code = in.number(1);
         if (code == 120) {
             instance = id<InstanceId>(in, 2);
-            named = true;
+            has_instance = true;
             continue;
         }
-        if (!named) throw BadFrame("record before any instance is named", start);
+        if (!has_instance) throw BadFrame("record before any instance is named", start);
         batch.records.push_back({instance, start, record(code, start, in)});
     }
-    if (!in.done()) throw BadFrame("bytes left over after the last record", in.at());
+    if (!in.is_at_end()) throw BadFrame("bytes left over after the last record", in.at());
     return batch;
 }
 
@@ -267,31 +272,33 @@
 }
 
 void ReplyWriter::action(const Action& action) {
-    std::string& o = body_;
+    std::string& out = body_;
     std::visit(
         Match{[&](const Assign& a) {
-                  put(o, 10, 1), put(o, raw(a.task), 8), put(o, raw(a.runner), 4);
-                  put(o, static_cast<std::uint64_t>(a.deadline), 8);
+                  put(out, 10, 1), put(out, raw(a.task), 8), put(out, raw(a.runner), 4);
+                  put(out, static_cast<std::uint64_t>(a.deadline), 8);
               },
               [&](const Bounce& a) {
-                  put(o, 20, 1), put(o, raw(a.task), 8);
-                  put(o, static_cast<std::uint64_t>(a.retry_after), 4);
+                  put(out, 20, 1), put(out, raw(a.task), 8);
+                  put(out, static_cast<std::uint64_t>(a.retry_after), 4);
               },
-              [&](const Abandon& a) { put(o, 30, 1), put(o, raw(a.task), 8); },
+              [&](const Abandon& a) { put(out, 30, 1), put(out, raw(a.task), 8); },
               [&](const Withdraw& a) {
-                  put(o, 40, 1), put(o, raw(a.task), 8);
-                  put(o, static_cast<std::uint64_t>(a.assignment), 1);
+                  put(out, 40, 1), put(out, raw(a.task), 8);
+                  put(out, static_cast<std::uint64_t>(a.assignment), 1);
               },
               [&](const WakeAt& a) {
-                  put(o, 50, 1), put(o, static_cast<std::uint64_t>(a.at), 8), put(o, raw(a.timer), 8);
+                  put(out, 50, 1), put(out, static_cast<std::uint64_t>(a.at), 8), put(out, raw(a.timer), 8);
               },
-              [&](const Probe& a) { put(o, 60, 1), put(o, raw(a.runner), 4); },
-              [&](const CloseIdle& a) { put(o, 70, 1), put(o, raw(a.runner), 4); },
-              [&](const BroadcastToPeers& a) { put(o, 80, 1), put(o, kAllPeers, 2), put_text(o, a.payload); },
-              [&](const SendToPeer& a) { put(o, 80, 1), put(o, raw(a.to), 2), put_text(o, a.payload); },
-              [&](const LogLine& a) { put(o, 90, 1), put_text(o, a.text); },
-              [&](const WatchMembership& a) { put(o, 110, 1), put(o, a.on, 1); },
-              [&](const FetchMembership&) { put(o, 120, 1); }},
+              [&](const Probe& a) { put(out, 60, 1), put(out, raw(a.runner), 4); },
+              [&](const CloseIdle& a) { put(out, 70, 1), put(out, raw(a.runner), 4); },
+              [&](const BroadcastToPeers& a) {
+                  put(out, 80, 1), put(out, kAllPeers, 2), put_text(out, a.payload);
+              },
+              [&](const SendToPeer& a) { put(out, 80, 1), put(out, raw(a.to), 2), put_text(out, a.payload); },
+              [&](const LogLine& a) { put(out, 90, 1), put_text(out, a.text); },
+              [&](const WatchMembership& a) { put(out, 110, 1), put(out, a.on, 1); },
+              [&](const FetchMembership&) { put(out, 120, 1); }},
         action);
 }
 
--- a/src/sim_protocol/sim_protocol.hpp
+++ b/src/sim_protocol/sim_protocol.hpp
@@ -1,4 +1,5 @@
-// The bench's wire: frames of bytes on one side, our own words on the other. Decides nothing.
+// The binary protocol of the simulation host. Decodes frames into events for the decision module and encodes
+// its actions into replies.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +13,30 @@
 
 enum class InstanceId : std::uint16_t {};
 
+// Creates an instance of the decision module.
 struct Created {
     std::uint64_t seed;
-    SettingsMap settings_map;
+    SettingsMap settings;
 };
+// Removes an instance.
 struct Killed {};
+// One record of a frame.
 struct Record {
     InstanceId instance;
-    std::size_t at;  // byte in the stream where the record begins
-    std::variant<Created, Killed, Event> what;
+    std::size_t offset;  // of the record in the stream, in bytes
+    std::variant<Created, Killed, Event> body;
 };
+// A decoded frame: records of one time.
 struct Batch {
     Micros now = 0;
     std::vector<Record> records;
 };
 
+// The frame is malformed. The text states the byte offset in the stream.
 class BadFrame : public std::runtime_error {
   public:
-    BadFrame(const std::string& what, std::size_t byte)
-        : std::runtime_error(what + " at byte " + std::to_string(byte)) {}
+    BadFrame(const std::string& what, std::size_t offset)
+        : std::runtime_error(what + " at byte " + std::to_string(offset)) {}
 };
 
 inline constexpr std::size_t kHeaderBytes = 16;
@@ -40,14 +46,18 @@
     std::uint32_t records;
 };
 
+// stream_at: the offset of the bytes in the stream, for errors.
 Header read_header(std::string_view bytes, std::size_t stream_at);
 Batch read_batch(const Header& header, std::string_view body, std::size_t stream_at);
 
+// Encodes the reply to one frame.
 class ReplyWriter {
   public:
+    // The actions and failures that follow belong to this instance.
     void instance(InstanceId instance);
     void action(const Action& action);
     void failure(const std::string& text);
+    // The reply with its length in front.
     std::string frame() const;
 
   private:
--- a/tests/admin/admin_requests_test.cpp
+++ b/tests/admin/admin_requests_test.cpp
@@ -4,10 +4,7 @@
 
 using namespace gannethold;
 
-TEST_CASE(
-    "a workload whose name would end its quotes, and with it the metrics, is escaped, and a dropped one "
-    "keeps its "
-    "counts") {
+TEST_CASE("workload names are escaped in metric labels, and a removed workload keeps its counts") {
     metrics::Counters counters;
     counters.add_workload("a\"b\\c\nd");
     counters.on_answered("gone", frontend::Answer::abandoned);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,4 +1,4 @@
-// The control socket and what operators order on it, against a dispatcher with scripted peers.
+// The control socket and its commands, against a dispatcher with scripted peers.
 #include "helpers.hpp"
 
 #include <sys/stat.h>
@@ -23,9 +23,9 @@
     return e;
 }
 
-struct Ruled : DispatcherFixture {
-    explicit Ruled(int runners = 1, const std::string& workload = "pure", Micros notices = 0,
-                   const std::string& expiry = "900000")
+struct ControlFixture : DispatcherFixture {
+    explicit ControlFixture(int runners = 1, const std::string& workload = "pure", Micros notices = 0,
+                            const std::string& expiry = "900000")
         : DispatcherFixture(runners, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", expiry,
                             extras(notices, 0)) {}
 
@@ -63,14 +63,14 @@
 
 }  // namespace
 
-TEST_CASE("an operator sees what is held, as JSON and as tables that fit") {
-    Ruled t(2);
+TEST_CASE("status, runners and tasks are reported as JSON and as tables that fit the terminal") {
+    ControlFixture t(2);
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
     t.at_runner("one");
     TestConnection op = t.operator_();
     const json::Value status = t.ask(op, "\"do\":\"status\"");
-    CHECK(Ruled::ok(status));
+    CHECK(ControlFixture::ok(status));
     CHECK(*status.find_number("ready") == 2);
     CHECK(*status.find_number("tasks") == 1);
     const json::Value runners = t.ask(op, "\"do\":\"runners\"");
@@ -83,7 +83,7 @@
         line = rest.substr(0, rest.find('\n'));
         CHECK(line.size() <= 50);
     }
-    CHECK_FALSE(Ruled::ok(t.ask(op, "\"do\":\"dance\"")));
+    CHECK_FALSE(ControlFixture::ok(t.ask(op, "\"do\":\"dance\"")));
     op.got.clear();
     op.send("{\"v\":9,\"do\":\"status\"}\n");
     CHECK(t.until([&] { return op.has("version 9 is not spoken here"); }));
@@ -93,14 +93,14 @@
 }
 
 TEST_CASE(
-    "a side-effecting task still running at the deadline gets one honest answer, and runs nowhere else") {
-    Ruled t(2, "side_effect", 0, "5000000");
+    "a side-effecting task still running at the drain's deadline is answered once, and not assigned again") {
+    ControlFixture t(2, "side_effect", 0, "5000000");
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one", "X-Timeout: 5000m\r\n"));
     TestConnection& runner = t.at_runner("one");
     runner.send(DispatcherFixture::taken + DispatcherFixture::line("one", "\"state\":\"started\""));
     t.pass(20);
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":0.2")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"drain\",\"deadline_s\":0.2")));
     const Micros began = net::Loop::now();
     CHECK_FALSE(client.has("HTTP/1.1"));
     REQUIRE(t.until([&] { return client.has("HTTP/1.1"); }));
@@ -113,7 +113,7 @@
     CHECK(client.got.find("HTTP/1.1", 5) == std::string::npos);
     CHECK(t.requests_at_runners() == 1);
     CHECK(t.phase() == "drained");
-    // Who comes now is told to come again, before anything is begun.
+    // A new request is rejected with Retry-After, before it is assigned.
     TestConnection next = t.client();
     next.send(DispatcherFixture::post("two"));
     REQUIRE(t.until([&] { return next.has("HTTP/1.1 503"); }));
@@ -121,30 +121,29 @@
     CHECK(t.requests_at_runners() == 1);
 }
 
-TEST_CASE(
-    "a drain cancelled after clients were sent elsewhere takes new ones, and nobody is answered twice") {
-    Ruled t(1, "pure", 100'000);
+TEST_CASE("after a cancelled drain new tasks are accepted, and no task is answered twice") {
+    ControlFixture t(1, "pure", 100'000);
     TestConnection kept = t.client(), other = t.client();
     kept.send(DispatcherFixture::post("one"));
     t.at_runner("one").send(DispatcherFixture::done("one"));
     REQUIRE(t.until([&] { return kept.has("picture"); }));
     const json::Value order = t.ask("\"do\":\"drain\",\"deadline_s\":30");
-    REQUIRE(Ruled::ok(order));
+    REQUIRE(ControlFixture::ok(order));
     TestConnection health = t.client();
     health.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(t.until([&] { return health.has("HTTP/1.1 503"); }));
-    // A task that comes meanwhile is taken and answered, and its client told to go elsewhere after.
+    // A task that arrives during the notice is accepted and answered, and its connection closed afterwards.
     t.pass(150);
     CHECK(kept.ended());
     other.send(DispatcherFixture::post("two"));
     t.at_runner("two");
     const json::Value undone = t.ask("\"do\":\"undrain\",\"ticket\":" +
                                      std::to_string(static_cast<int>(*order.find_number("ticket"))));
-    REQUIRE(Ruled::ok(undone));
+    REQUIRE(ControlFixture::ok(undone));
     CHECK(t.phase() == "serving");
     t.at_runner("two").send(DispatcherFixture::done("two"));
     REQUIRE(t.until([&] { return other.has("picture"); }));
-    CHECK(other.got.find("Connection: close") == std::string::npos);  // it lives on
+    CHECK(other.got.find("Connection: close") == std::string::npos);  // the connection is kept
     other.got.clear();
     other.send(DispatcherFixture::post("three"));
     t.at_runner("three").send(DispatcherFixture::done("three"));
@@ -156,8 +155,8 @@
     CHECK(t.until([&] { return again.has("HTTP/1.1 200"); }));
 }
 
-TEST_CASE("a task that is here but unread when the drain begins is taken and answered") {
-    Ruled t(1);
+TEST_CASE("a task that is received but unread when the drain begins is accepted and answered") {
+    ControlFixture t(1);
     TestConnection client = t.client();
     t.pass(10);
     client.send(DispatcherFixture::post("one"));
@@ -168,30 +167,31 @@
     CHECK(t.until([&] { return t.phase() == "drained"; }));
 }
 
-TEST_CASE("who comes second is told whose order stands, and the drain outlives the terminal that asked") {
-    Ruled t(1);
+TEST_CASE(
+    "a second drain is refused with the ticket of the first, and a drain outlives its client's connection") {
+    ControlFixture t(1);
     {
         TestConnection first = t.operator_();
-        REQUIRE(Ruled::ok(t.ask(first, "\"do\":\"drain\",\"deadline_s\":20,\"by\":\"ada\"")));
+        REQUIRE(ControlFixture::ok(t.ask(first, "\"do\":\"drain\",\"deadline_s\":20,\"by\":\"ada\"")));
         first.reset();
     }
     t.pass(20);
     const json::Value second = t.ask("\"do\":\"drain\",\"deadline_s\":1,\"by\":\"bob\"");
-    CHECK_FALSE(Ruled::ok(second));
+    CHECK_FALSE(ControlFixture::ok(second));
     CHECK(second.find_string("why")->find("(ada)") != std::string::npos);
     CHECK(second.find_string("why")->find("ticket 1") != std::string::npos);
-    CHECK(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":1,\"ticket\":1,\"by\":\"bob\"")));
-    // A reload changes nothing about it.
+    CHECK(ControlFixture::ok(t.ask("\"do\":\"drain\",\"deadline_s\":1,\"ticket\":1,\"by\":\"bob\"")));
+    // A reload does not end the drain.
     t.reload(t.text);
     CHECK(t.phase() != "serving");
 }
 
-TEST_CASE("a signal in mid-drain leaves, and an order while leaving is refused") {
-    Ruled t(1);
+TEST_CASE("a signal during a drain begins the shutdown, and commands on the drain are refused then") {
+    ControlFixture t(1);
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
     t.at_runner("one");
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":20")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"drain\",\"deadline_s\":20")));
     t.dispatcher->leave();
     CHECK(t.ask("\"do\":\"undrain\",\"ticket\":1").find_string("why")->find("leaving for good") !=
           std::string::npos);
@@ -201,15 +201,16 @@
 }
 
 TEST_CASE(
-    "an assignment whose connection is still coming up when its runner is held goes elsewhere, unbegun") {
-    Ruled t(2, "side_effect");
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
+    "an assignment whose connection is still being established when its runner is held goes to another "
+    "runner") {
+    ControlFixture t(2, "side_effect");
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
     t.runner_listeners[0]->stick();
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
     REQUIRE(t.until([&] { return *t.ask("\"do\":\"status\"").find_number("out") == 1; }));
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-1\"")));
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"release\",\"runner\":\"s-1\"")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.requests_at_runners() == 1);
@@ -217,11 +218,11 @@
           "runner drains, nothing written");
 }
 
-TEST_CASE("nothing new goes to a held runner, whatever discovery says; released it is back") {
-    Ruled t(2);
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\",\"why\":\"rewiring\"")));
-    CHECK_FALSE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
-    CHECK_FALSE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-9\"")));
+TEST_CASE("a held runner gets no assignments, whatever discovery lists, until it is released") {
+    ControlFixture t(2);
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\",\"why\":\"rewiring\"")));
+    CHECK_FALSE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
+    CHECK_FALSE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-9\"")));
     for (int i = 0; i < 6; ++i) {
         TestConnection client = t.client();
         client.send(DispatcherFixture::post("h" + std::to_string(i)));
@@ -229,14 +230,14 @@
         REQUIRE(t.until([&] { return client.has("picture"); }));
     }
     CHECK(t.runner_listeners[0]->connections().empty());
-    // Whatever discovery says meanwhile.
+    // Discovery lists the runner as ready meanwhile.
     TestConnection& watch = t.discovery.connections().back();
     watch.send(DispatcherFixture::taken + DispatcherFixture::chunk(t.list(9, "SERVING", true) + "\n"));
     t.pass(30);
     const json::Value runners = t.ask("\"do\":\"runners\"");
     CHECK(*runners.find("runners")->get<json::Array>()->front().find_string("state") == "held");
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"release\",\"runner\":\"s-0\"")));
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"release\",\"runner\":\"s-0\"")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-1\"")));
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("back"));
     t.at_runner("back").send(DispatcherFixture::done("back"));
@@ -244,37 +245,37 @@
     CHECK_FALSE(t.runner_listeners[0]->connections().empty());
 }
 
-TEST_CASE("with all runners held tasks wait, and are bounced once they cannot be in time") {
-    Ruled t(1);
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
+TEST_CASE("with all runners held tasks wait, and are bounced once they cannot finish in time") {
+    ControlFixture t(1);
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
     REQUIRE(t.until([&] { return client.has("HTTP/1.1 503"); }));
     CHECK(t.requests_at_runners() == 0);
 }
 
-TEST_CASE("what runs at a runner goes on when it is held") {
-    Ruled t(1, "side_effect");
+TEST_CASE("a hold does not interrupt running tasks") {
+    ControlFixture t(1, "side_effect");
     TestConnection client = t.client();
     client.send(DispatcherFixture::post("one"));
     t.at_runner("one").send(DispatcherFixture::taken +
                             DispatcherFixture::line("one", "\"state\":\"started\""));
     t.pass(10);
-    REQUIRE(Ruled::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
+    REQUIRE(ControlFixture::ok(t.ask("\"do\":\"hold\",\"runner\":\"s-0\"")));
     t.pass(100);
     t.at_runner("one").send(DispatcherFixture::line("one", "\"state\":\"done\",\"result\":\"picture\"") +
                             "0\r\n\r\n");
     CHECK(t.until([&] { return client.has("picture"); }));
 }
 
-TEST_CASE("a flood of control clients, half a line and a line without end cost nobody else anything") {
-    Ruled t(1);
+TEST_CASE("many control clients, an incomplete line and an endless line do not affect others") {
+    ControlFixture t(1);
     std::deque<TestConnection> flood;
     for (int i = 0; i < 12; ++i) flood.push_back(t.operator_());
     t.pass(20);
-    int turned_away = 0;
-    for (TestConnection& w : flood) turned_away += w.has("too many are asking");
-    CHECK(turned_away == 4);
+    int refused = 0;
+    for (TestConnection& w : flood) refused += w.has("too many are asking");
+    CHECK(refused == 4);
     flood[0].send("{\"v\":1,");
     const std::string endless(256 * 1024, 'x');
     for (int i = 0; i < 40 && !flood[1].ended(); ++i) flood[1].send(endless), t.turn();
@@ -285,13 +286,13 @@
     t.at_runner("one").send(DispatcherFixture::done("one"));
     CHECK(t.until([&] { return client.has("picture"); }));
     CHECK(t.until([&] { return flood[0].ended() && flood[2].ended(); }));  // silent for too long
-    CHECK(Ruled::ok(t.ask("\"do\":\"status\"")));
+    CHECK(ControlFixture::ok(t.ask("\"do\":\"status\"")));
 }
 
-TEST_CASE("a follower that comes back sees what it missed, or that it missed something") {
-    Ruled t(1);
+TEST_CASE("a follower that reconnects gets the changes it missed, or the number of lost ones") {
+    ControlFixture t(1);
     TestConnection first = t.operator_();
-    CHECK(Ruled::ok(t.ask(first, "\"do\":\"follow\"")));
+    CHECK(ControlFixture::ok(t.ask(first, "\"do\":\"follow\"")));
     t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     t.ask("\"do\":\"release\",\"runner\":\"s-0\"");
     CHECK(t.until([&] { return first.has("\"what\":\"release\""); }));
@@ -299,8 +300,8 @@
     first.reset();
     t.ask("\"do\":\"hold\",\"runner\":\"s-0\"");
     TestConnection back = t.operator_();
-    const json::Value said = t.ask(back, "\"do\":\"follow\",\"after\":2");
-    CHECK(*said.find_number("missed") == 0);
+    const json::Value answer = t.ask(back, "\"do\":\"follow\",\"after\":2");
+    CHECK(*answer.find_number("missed") == 0);
     CHECK(t.until([&] { return back.has("\"seq\":3"); }));
     for (int i = 0; i < 10; ++i) {
         t.ask("\"do\":\"release\",\"runner\":\"s-0\"");
@@ -308,12 +309,11 @@
     }
     TestConnection late = t.operator_();
     CHECK(*t.ask(late, "\"do\":\"follow\",\"after\":3").find_number("missed") == 10);
-    TestConnection stranger = t.operator_();
-    CHECK(*t.ask(stranger, "\"do\":\"follow\",\"after\":900").find("missed")->get<bool>());
+    TestConnection unknown_sequence = t.operator_();
+    CHECK(*t.ask(unknown_sequence, "\"do\":\"follow\",\"after\":900").find("missed")->get<bool>());
 }
 
-TEST_CASE(
-    "a socket's file of a dead process is taken over, one of a live process or a plain file is refused") {
+TEST_CASE("a stale socket is replaced; the socket of a live process and a regular file are refused") {
     const std::string path = socket_path();
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
@@ -322,12 +322,13 @@
     REQUIRE(bind(dead, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
     close(dead);
     {
-        Ruled t(1);
-        CHECK(Ruled::ok(t.ask("\"do\":\"status\"")));
-        CHECK_THROWS_WITH_AS(Ruled(1), doctest::Contains("another process serves on"), std::runtime_error);
-        CHECK(Ruled::ok(t.ask("\"do\":\"status\"")));
+        ControlFixture t(1);
+        CHECK(ControlFixture::ok(t.ask("\"do\":\"status\"")));
+        CHECK_THROWS_WITH_AS(ControlFixture(1), doctest::Contains("another process serves on"),
+                             std::runtime_error);
+        CHECK(ControlFixture::ok(t.ask("\"do\":\"status\"")));
     }
     std::ofstream(path) << "precious";
-    CHECK_THROWS_WITH_AS(Ruled(1), doctest::Contains("is no socket"), std::runtime_error);
+    CHECK_THROWS_WITH_AS(ControlFixture(1), doctest::Contains("is no socket"), std::runtime_error);
     std::remove(path.c_str());
 }
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -150,7 +150,9 @@
     CHECK_THROWS_AS(json::parse(std::string(100, '[') + std::string(100, ']')), json::ParseError);
 }
 
-TEST_CASE("a runner's lines and load reports are read; what cannot be is one that may have run") {
+TEST_CASE(
+    "a runner's task updates and load reports are decoded; a malformed update counts as a task that may have "
+    "run") {
     const runners::ReportDecoder reports({"x0", "q", "rif"});
     using State = runners::TaskUpdate::State;
     const auto read = [&](const std::string& rest) {
@@ -178,7 +180,7 @@
     CHECK(reports.read_object("{\"rif\":").empty());
 }
 
-TEST_CASE("requests that name what is not there are refused with a reason") {
+TEST_CASE("requests with an unknown workload or customer, or invalid headers, are rejected with a status") {
     const clients::Directory directory(SettingsMap{{"workloads.0.name", "render"},
                                                    {"workloads.1.name", "proof"},
                                                    {"workloads.1.effect", "fingerprinted"},
@@ -193,69 +195,71 @@
         const auto* refused = std::get_if<clients::Refused>(&read);
         return refused ? refused->status : 200;
     };
-    const std::string id = "X-Request-ID: 1\r\n", who = "X-Tenant-Id: acme\r\n", wait = "X-Timeout: 480m\r\n";
-    CHECK(status("POST /render/7", id + who + wait) == 200);
+    const std::string id = "X-Request-ID: 1\r\n", tenant = "X-Tenant-Id: acme\r\n",
+                      timeout = "X-Timeout: 480m\r\n";
+    CHECK(status("POST /render/7", id + tenant + timeout) == 200);
     CHECK(status("POST /render/7",
-                 id + who + "X-Timeout: 480000u\r\nX-Attrs: memory=2,slots=1.5,odd=x\r\n") == 200);
-    CHECK(status("GET /render/7", id + who + wait) == 405);
-    CHECK(status("POST /other/7", id + who + wait) == 404);
-    CHECK(status("POST /render/7", who + wait) == 400);
-    CHECK(status("POST /render/7", id + "X-Tenant-Id: nobody\r\n" + wait) == 400);
-    CHECK(status("POST /render/7", id + wait) == 400);
-    CHECK(status("POST /proof/7", id + who + wait) == 400);
-    CHECK(status("POST /proof/7", id + who + wait + "Idempotency-Key: k\r\n") == 200);
-    CHECK(status("POST /render/7", id + who + wait + "X-Attrs: memory=-1\r\n") == 400);
+                 id + tenant + "X-Timeout: 480000u\r\nX-Attrs: memory=2,slots=1.5,odd=x\r\n") == 200);
+    CHECK(status("GET /render/7", id + tenant + timeout) == 405);
+    CHECK(status("POST /other/7", id + tenant + timeout) == 404);
+    CHECK(status("POST /render/7", tenant + timeout) == 400);
+    CHECK(status("POST /render/7", id + "X-Tenant-Id: nobody\r\n" + timeout) == 400);
+    CHECK(status("POST /render/7", id + timeout) == 400);
+    CHECK(status("POST /proof/7", id + tenant + timeout) == 400);
+    CHECK(status("POST /proof/7", id + tenant + timeout + "Idempotency-Key: k\r\n") == 200);
+    CHECK(status("POST /render/7", id + tenant + timeout + "X-Attrs: memory=-1\r\n") == 400);
     for (const std::string odd : {"", "480", "m", "-1m", "0m", "1e30m", "nanm", "1s", "4 m"})
-        CHECK_MESSAGE(status("POST /render/7", id + who + "X-Timeout: " + odd + "\r\n") == 400, odd);
+        CHECK_MESSAGE(status("POST /render/7", id + tenant + "X-Timeout: " + odd + "\r\n") == 400, odd);
 }
 
-TEST_CASE("the roster keeps its last good entries and numbers, and passes over what is older") {
-    std::ostringstream said;
-    log::Log log(said, log::Level::info);
-    membership::EndpointTable book({"a"}, {"m"}, log);
-    const auto take = [&](const std::string& text, UpdateScope scope) {
-        const auto listing = membership::parse_endpoint_list(json::parse(text));
-        REQUIRE(listing);
-        return book.apply(*listing, scope, 100'000'000);
+TEST_CASE("the endpoint table keeps the last valid entries and the ids, and skips outdated deltas") {
+    std::ostringstream log_text;
+    log::Log log(log_text, log::Level::info);
+    membership::EndpointTable table({"a"}, {"m"}, log);
+    const auto apply = [&](const std::string& text, UpdateScope scope) {
+        const auto endpoints = membership::parse_endpoint_list(json::parse(text));
+        REQUIRE(endpoints);
+        return table.apply(*endpoints, scope, 100'000'000);
     };
     const auto list = [](const std::string& version, const std::string& addr, const std::string& state,
                          const std::string& more = "") {
         return "{\"version\":" + version + ",\"full\":true,\"servers\":[{\"id\":\"s-1\",\"addr\":\"" + addr +
                "\",\"zone\":\"a\",\"kind\":\"m\",\"state\":\"" + state + "\"" + more + "}]}";
     };
-    const auto first = take(list("41", "127.0.0.1:5000", "SERVING"), UpdateScope::complete);
+    const auto first = apply(list("41", "127.0.0.1:5000", "SERVING"), UpdateScope::complete);
     CHECK(first->update.entries[0].state == RunnerState::ready);
     CHECK(first->targets[0].open);
-    // A state or an address that cannot be read: the last good entry stands.
-    const auto odd = take(list("42", "127.0.0.1:5000", "RESTING"), UpdateScope::delta);
-    CHECK(odd->update.entries[0].state == RunnerState::ready);
-    CHECK(take(list("43", "nowhere", "SERVING"), UpdateScope::delta)->targets[0].address.text ==
+    // An entry with an invalid state or address does not replace the last valid one.
+    const auto invalid = apply(list("42", "127.0.0.1:5000", "RESTING"), UpdateScope::delta);
+    CHECK(invalid->update.entries[0].state == RunnerState::ready);
+    CHECK(apply(list("43", "nowhere", "SERVING"), UpdateScope::delta)->targets[0].address.text ==
           "127.0.0.1:5000");
-    CHECK(said.str().find("passed over the entry of s-1") != std::string::npos);
-    // Older changes are passed over, an older whole list counts: discovery has restarted.
-    CHECK_FALSE(take(list("40", "127.0.0.1:5000", "DRAINING"), UpdateScope::delta));
-    CHECK(book.follow_from() == 0);
-    CHECK(take(list("1", "127.0.0.1:5001", "DRAINING"), UpdateScope::complete)->update.version == 1);
-    CHECK_FALSE(take(list("2", "127.0.0.1:5001", "DELETED"), UpdateScope::delta)->targets[0].open);
-    // A start is reckoned once, so that the same start told again is no other one.
+    CHECK(log_text.str().find("passed over the entry of s-1") != std::string::npos);
+    // An outdated delta is skipped; a complete list is accepted with any version, since discovery may
+    // restart.
+    CHECK_FALSE(apply(list("40", "127.0.0.1:5000", "DRAINING"), UpdateScope::delta));
+    CHECK(table.follow_from() == 0);
+    CHECK(apply(list("1", "127.0.0.1:5001", "DRAINING"), UpdateScope::complete)->update.version == 1);
+    CHECK_FALSE(apply(list("2", "127.0.0.1:5001", "DELETED"), UpdateScope::delta)->targets[0].open);
+    // The start time is converted once, so that the same start in a later list is no restart.
     const std::string started = ",\"started_ms\":1700000000000";
-    const auto again = take(list("3", "127.0.0.1:5001", "SERVING", started), UpdateScope::delta);
+    const auto again = apply(list("3", "127.0.0.1:5001", "SERVING", started), UpdateScope::delta);
     CHECK(again->targets[0].restarted);
     usleep(2000);
-    const auto same = take(list("4", "127.0.0.1:5001", "SERVING", started), UpdateScope::complete);
+    const auto same = apply(list("4", "127.0.0.1:5001", "SERVING", started), UpdateScope::complete);
     CHECK_FALSE(same->targets[0].restarted);
     CHECK(again->update.entries[0].started_at == same->update.entries[0].started_at);
     CHECK(same->update.entries[0].runner == first->update.entries[0].runner);
-    // What a whole list does not name is closed.
-    const auto nobody = take("{\"version\":5,\"full\":true,\"servers\":[]}", UpdateScope::complete);
-    CHECK_FALSE(nobody->targets.at(0).open);
+    // A runner that a complete list omits is closed.
+    const auto empty_list = apply("{\"version\":5,\"full\":true,\"servers\":[]}", UpdateScope::complete);
+    CHECK_FALSE(empty_list->targets.at(0).open);
     for (const std::string bad : {"{}", "{\"version\":1,\"servers\":{}}", "{\"version\":-1,\"servers\":[]}",
                                   "{\"version\":1,\"servers\":[{}]}"})
         CHECK_FALSE(membership::parse_endpoint_list(json::parse(bad)));
 }
 
-TEST_CASE("a configuration that cannot be served says why in one line") {
-    const auto why = [](const std::string& text) {
+TEST_CASE("an invalid configuration is rejected with a one-line reason") {
+    const auto error_of = [](const std::string& text) {
         try {
             dispatcher::Posting::read(text);
         } catch (const std::runtime_error& e) {
@@ -263,22 +267,23 @@
         }
         return std::string("none");
     };
-    const std::string places = "\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\"";
+    const std::string addresses = "\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\"";
     const std::string workload = "{\"name\":\"w\",\"effect\":\"token\",\"due_time_us\":1,\"expiry_us\":1}";
-    CHECK(why("{" + places + ",\"settings\":{\"workloads\":[" + workload + "]}}") == "none");
-    CHECK(why("{" + places + ",\"settings\":{}}").find("has no workloads") != std::string::npos);
-    CHECK(why("{" + places + ",\"settings\":{\"workloads\":[" + workload + "," + workload + "]}}")
+    CHECK(error_of("{" + addresses + ",\"settings\":{\"workloads\":[" + workload + "]}}") == "none");
+    CHECK(error_of("{" + addresses + ",\"settings\":{}}").find("has no workloads") != std::string::npos);
+    CHECK(error_of("{" + addresses + ",\"settings\":{\"workloads\":[" + workload + "," + workload + "]}}")
               .find("names a workload twice: w") != std::string::npos);
-    CHECK(why("{").find("is not JSON") != std::string::npos);
-    CHECK(why("{}").find("no listen address") != std::string::npos);
-    CHECK(why("{\"listen\":\"here\"}").find("is none: here") != std::string::npos);
-    CHECK(why("{" + places + "}").find("no settings") != std::string::npos);
-    CHECK(why("{" + places + ",\"settings\":{},\"seed\":\"xyz\"}").find("seed") != std::string::npos);
-    CHECK(why("{" + places + ",\"settings\":{},\"known\":[]}").find("known list") != std::string::npos);
-    CHECK(why("{" + places + ",\"settings\":{},\"limits\":{\"sockets\":0}}").find("limit") !=
+    CHECK(error_of("{").find("is not JSON") != std::string::npos);
+    CHECK(error_of("{}").find("no listen address") != std::string::npos);
+    CHECK(error_of("{\"listen\":\"here\"}").find("is none: here") != std::string::npos);
+    CHECK(error_of("{" + addresses + "}").find("no settings") != std::string::npos);
+    CHECK(error_of("{" + addresses + ",\"settings\":{},\"seed\":\"xyz\"}").find("seed") != std::string::npos);
+    CHECK(error_of("{" + addresses + ",\"settings\":{},\"known\":[]}").find("known list") !=
+          std::string::npos);
+    CHECK(error_of("{" + addresses + ",\"settings\":{},\"limits\":{\"sockets\":0}}").find("limit") !=
           std::string::npos);
     CHECK_THROWS_AS(dispatcher::Posting::read_file("/nowhere/at/all"), std::runtime_error);
-    const auto read = dispatcher::Posting::read("{" + places +
+    const auto read = dispatcher::Posting::read("{" + addresses +
                                                 ",\"settings\":{\"dcs\":[\"a "
                                                 "b\",\"c\"],\"workloads\":[" +
                                                 workload + "],\"caps\":{\"probes\":true}}}");
--- a/tests/sim_protocol_test.cpp
+++ b/tests/sim_protocol_test.cpp
@@ -12,31 +12,32 @@
 namespace {
 
 struct Bytes {
-    std::string made;
-    Bytes& n(std::uint64_t value, int width) {
-        while (width--) made.push_back(static_cast<char>(value >> (8 * width)));
+    std::string content;
+    Bytes& number(std::uint64_t value, int width) {
+        while (width--) content.push_back(static_cast<char>(value >> (8 * width)));
         return *this;
     }
-    Bytes& text(const std::string& words, int width) {
-        n(words.size(), width);
-        made += words;
+    Bytes& text(const std::string& value, int width) {
+        number(value.size(), width);
+        content += value;
         return *this;
     }
 };
 
 std::string frame(const Bytes& body, std::uint32_t records) {
-    return Bytes().n(1'000'000, 8).n(body.made.size(), 4).n(records, 4).made + body.made;
+    return Bytes().number(1'000'000, 8).number(body.content.size(), 4).number(records, 4).content +
+           body.content;
 }
 
-Bytes created(const std::string& settings_map) {
-    return Bytes().n(120, 1).n(3, 2).n(10, 1).n(42, 8).text(settings_map, 4);
+Bytes created(const std::string& settings_text) {
+    return Bytes().number(120, 1).number(3, 2).number(10, 1).number(42, 8).text(settings_text, 4);
 }
 
-struct Played {
+struct RunResult {
     int status;
-    std::string replies, complaint;
+    std::string replies, error;
 };
-Played play(const std::string& bytes) {
+RunResult run_host(const std::string& bytes) {
     std::istringstream in(bytes);
     std::ostringstream out, errors;
     const int status = sim_host::serve(in, out, errors);
@@ -45,26 +46,53 @@
 
 }  // namespace
 
-TEST_CASE("events come through the wire in our words") {
+TEST_CASE("records are decoded into events") {
     Bytes body = created("dispatchers=1");
-    body.n(20, 1).n(1, 1).n(7, 4).n(1, 4).n(55, 4).n(2, 1).n(1, 1).n(9, 2).n(1, 1).n(0x40000000, 4).n(77, 8);
-    body.n(50, 1).n(5, 8).n(1, 1).n(0, 4).n(800, 4).n(55, 4).n(2, 1).n(104, 2).n(1, 1).n(0x3fc00000, 4);
-    body.n(110, 1).n(5, 8).n(0x3f000000, 4).n(55, 4).n(1, 1).n(2, 1).n(90, 1).n(4, 4).text("hi", 2);
+    body.number(20, 1)
+        .number(1, 1)
+        .number(7, 4)
+        .number(1, 4)
+        .number(55, 4)
+        .number(2, 1)
+        .number(1, 1)
+        .number(9, 2)
+        .number(1, 1)
+        .number(0x40000000, 4)
+        .number(77, 8);
+    body.number(50, 1)
+        .number(5, 8)
+        .number(1, 1)
+        .number(0, 4)
+        .number(800, 4)
+        .number(55, 4)
+        .number(2, 1)
+        .number(104, 2)
+        .number(1, 1)
+        .number(0x3fc00000, 4);
+    body.number(110, 1)
+        .number(5, 8)
+        .number(0x3f000000, 4)
+        .number(55, 4)
+        .number(1, 1)
+        .number(2, 1)
+        .number(90, 1)
+        .number(4, 4)
+        .text("hi", 2);
     const std::string bytes = frame(body, 6);
     const Batch batch =
         read_batch(read_header(bytes, 0), std::string_view(bytes).substr(kHeaderBytes), kHeaderBytes);
     REQUIRE(batch.records.size() == 5);
-    const auto& update = std::get<MembershipUpdate>(std::get<Event>(batch.records[1].what));
+    const auto& update = std::get<MembershipUpdate>(std::get<Event>(batch.records[1].body));
     CHECK(update.entries[0].runner == RunnerId{55});
     CHECK(update.entries[0].state == RunnerState::draining);
-    const auto& ended = std::get<AssignmentEnded>(std::get<Event>(batch.records[2].what));
+    const auto& ended = std::get<AssignmentEnded>(std::get<Event>(batch.records[2].body));
     CHECK(ended.outcome == Outcome::reset);
     CHECK(ended.report == Report{1.5});
-    CHECK(std::get<Progress>(std::get<Event>(batch.records[3].what)).done == 0.5);
-    CHECK(std::get<PeerMessage>(std::get<Event>(batch.records[4].what)).payload == "hi");
+    CHECK(std::get<Progress>(std::get<Event>(batch.records[3].body)).done == 0.5);
+    CHECK(std::get<PeerMessage>(std::get<Event>(batch.records[4].body)).payload == "hi");
 }
 
-TEST_CASE("actions go out byte for byte") {
+TEST_CASE("actions are encoded byte for byte") {
     ReplyWriter reply;
     reply.instance(InstanceId{3});
     reply.action(Assign{TaskId{5}, RunnerId{55}, 9});
@@ -73,12 +101,27 @@
     reply.action(WatchMembership{true});
     reply.action(BroadcastToPeers{"hi"});
     Bytes body;
-    body.n(130, 1).n(3, 2).n(10, 1).n(5, 8).n(55, 4).n(9, 8).n(20, 1).n(5, 8).n(7, 4);
-    body.n(40, 1).n(5, 8).n(1, 1).n(110, 1).n(1, 1).n(80, 1).n(0xffff, 2).text("hi", 2);
-    CHECK(reply.frame() == Bytes().n(body.made.size(), 4).made + body.made);
+    body.number(130, 1)
+        .number(3, 2)
+        .number(10, 1)
+        .number(5, 8)
+        .number(55, 4)
+        .number(9, 8)
+        .number(20, 1)
+        .number(5, 8)
+        .number(7, 4);
+    body.number(40, 1)
+        .number(5, 8)
+        .number(1, 1)
+        .number(110, 1)
+        .number(1, 1)
+        .number(80, 1)
+        .number(0xffff, 2)
+        .text("hi", 2);
+    CHECK(reply.frame() == Bytes().number(body.content.size(), 4).content + body.content);
 }
 
-TEST_CASE("settings are told in our words, unknown ones pass") {
+TEST_CASE("settings are translated, and unknown ones are kept") {
     const auto settings_map = settings::parse_settings(
         "workloads.0.effect=token\nreporting.names=x0,q,rif\nspecifics.report_x0=free_slots\n"
         "tenants.count=2\nodd.thing=a=b\n");
@@ -88,31 +131,33 @@
     CHECK(settings_map.at("odd.thing") == "a=b");
 }
 
-TEST_CASE("good frames have one reply each and a quiet end, bad ones end the host with one plain line") {
-    const Played played = play(frame(Bytes(), 0) + frame(created("dispatchers=1"), 2));
-    CHECK((played.status == 0 && played.complaint.empty()));
-    CHECK(played.replies.substr(0, 4) == std::string(4, '\0'));
+TEST_CASE("each valid frame has one reply; a malformed one ends the host with a one-line error") {
+    const RunResult result = run_host(frame(Bytes(), 0) + frame(created("dispatchers=1"), 2));
+    CHECK((result.status == 0 && result.error.empty()));
+    CHECK(result.replies.substr(0, 4) == std::string(4, '\0'));
     const std::string good = frame(created("dispatchers=1"), 2);
     const std::vector<std::pair<std::string, std::string>> bad{
         {good.substr(0, good.size() - 3), "inside a frame"},
         {good.substr(0, 7), "cut short"},
-        {frame(Bytes().n(120, 1).n(3, 2).n(99, 1), 2), "unknown record code 99 at byte 19"},
-        {frame(Bytes().n(120, 1).n(3, 2).n(20, 1).n(1, 1).n(7, 4).n(4000000, 4), 2), "overruns"},
-        {frame(Bytes().n(120, 1).n(3, 2).n(60, 1).n(5, 8), 2), "not created at byte 19"},
-        {frame(Bytes().n(60, 1).n(5, 8), 1), "before any instance"},
-        {frame(Bytes().n(120, 1).n(3, 2).n(60, 1).n(5, 4), 2), "cut short"}};
-    for (const auto& [bytes, complaint] : bad) {
-        const Played played = play(bytes);
-        CHECK(played.status != 0);
-        CHECK(played.replies.empty());
-        CHECK(played.complaint.find(complaint) != std::string::npos);
-        CHECK(std::count(played.complaint.begin(), played.complaint.end(), '\n') == 1);
+        {frame(Bytes().number(120, 1).number(3, 2).number(99, 1), 2), "unknown record code 99 at byte 19"},
+        {frame(Bytes().number(120, 1).number(3, 2).number(20, 1).number(1, 1).number(7, 4).number(4000000, 4),
+               2),
+         "overruns"},
+        {frame(Bytes().number(120, 1).number(3, 2).number(60, 1).number(5, 8), 2), "not created at byte 19"},
+        {frame(Bytes().number(60, 1).number(5, 8), 1), "before any instance"},
+        {frame(Bytes().number(120, 1).number(3, 2).number(60, 1).number(5, 4), 2), "cut short"}};
+    for (const auto& [bytes, error] : bad) {
+        const RunResult result = run_host(bytes);
+        CHECK(result.status != 0);
+        CHECK(result.replies.empty());
+        CHECK(result.error.find(error) != std::string::npos);
+        CHECK(std::count(result.error.begin(), result.error.end(), '\n') == 1);
     }
 }
 
-TEST_CASE("what the module throws becomes the declared failure, with its text") {
-    const Played played = play(frame(created("dispatchers=many"), 2));
-    CHECK(played.status == 0);
-    CHECK(static_cast<unsigned char>(played.replies[4 + 3]) == 100);
-    CHECK(played.replies.find("dispatchers is not a number: many") != std::string::npos);
+TEST_CASE("an exception of the decision module is reported as a failure with its text") {
+    const RunResult result = run_host(frame(created("dispatchers=many"), 2));
+    CHECK(result.status == 0);
+    CHECK(static_cast<unsigned char>(result.replies[4 + 3]) == 100);
+    CHECK(result.replies.find("dispatchers is not a number: many") != std::string::npos);
 }
