--- a/rehearsal/tubes/mixed_rehearsal.cpp
+++ b/rehearsal/tubes/mixed_rehearsal.cpp
@@ -16,7 +16,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "control/caller.hpp"
+#include "control/control_client.hpp"
 #include "json/json.hpp"
 #include "net/connection.hpp"
 #include "net/listener.hpp"
@@ -456,12 +456,12 @@
         tick_.set(net::Loop::now() + kTick);
     }
     void send_control_command(const std::string& command) {
-        control::Caller caller(folder_ + "/d.sock");
+        control::ControlClient caller(folder_ + "/d.sock");
         json::Object request;
         request["do"] = json::Value(command);
         request["by"] = json::Value(std::string("the day"));
         if (command == "drain") request["deadline_s"] = json::Value(json::Number{"2.0"});
-        caller.ask(request);
+        caller.call(request);
     }
     void query_remaining_jobs() {
         if (!result_.error.empty()) return;
--- a/src/beanstalk/server.hpp
+++ b/src/beanstalk/server.hpp
@@ -38,8 +38,8 @@
     virtual void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void remove_worker(RunnerId worker) = 0;
     virtual void set_worker_slots(RunnerId worker, double slots) = 0;
-    virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
-    virtual void probe_ended(RunnerId worker) = 0;
+    virtual void on_call_ended(runners::CallEnded&& ended) = 0;
+    virtual void on_probe_ended(RunnerId worker) = 0;
 
   protected:
     ~ServerCallbacks() = default;
@@ -93,8 +93,8 @@
     void set_worker_slots(RunnerId worker, double slots) override {
         callbacks_.set_worker_slots(worker, slots);
     }
-    void errand_ended(runners::ErrandEnded&& ended) override { callbacks_.errand_ended(std::move(ended)); }
-    void probe_ended(RunnerId worker) override { callbacks_.probe_ended(worker); }
+    void on_call_ended(runners::CallEnded&& ended) override { callbacks_.on_call_ended(std::move(ended)); }
+    void on_probe_ended(RunnerId worker) override { callbacks_.on_probe_ended(worker); }
 
     net::Loop& loop_;
     ServerCallbacks& callbacks_;
--- a/src/beanstalk/tube_broker.cpp
+++ b/src/beanstalk/tube_broker.cpp
@@ -406,19 +406,19 @@
     }
 }
 
-void TubeBroker::assign(RunnerId runner, runners::Errand&& errand) {
+void TubeBroker::assign(RunnerId runner, runners::PendingCall&& errand) {
     const auto worker = workers_.find(runner);
     Session* const session = worker == workers_.end() ? nullptr : &sessions_.at(worker->second);
     // The assignment crossed the end of the reserve: the worker never received the job.
-    if (!session || !session->waiting || errand.stop_at <= now_)
-        return callbacks_.errand_ended(
+    if (!session || !session->waiting || errand.deadline <= now_)
+        return callbacks_.on_call_ended(
             {errand.task, errand.number, runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
     const auto known = job_by_task_.find(errand.task);
     const bool from_queue = known != job_by_task_.end();
     const JobId id = from_queue ? known->second : queue_.next_id();
     HeldJob held;
     held.session_id = session->id, held.worker = runner, held.since = now_, held.from_queue = from_queue;
-    held.time_to_run = from_queue ? queue_.find(id)->time_to_run : errand.stop_at - now_;
+    held.time_to_run = from_queue ? queue_.find(id)->time_to_run : errand.deadline - now_;
     held.errand = std::move(errand);
     held_by_task_[held.errand.task].push_back({id, session->id});
     const auto entry = held_.emplace(HeldKey{id, session->id}, std::move(held)).first;
@@ -449,7 +449,7 @@
     auto& [key, held] = *entry;
     deadlines_.erase({held.deadline, key});
     deadline_warnings_.erase({held.deadline - settings_.deadline_margin, key});
-    held.deadline = std::min(deadline, held.errand.stop_at);
+    held.deadline = std::min(deadline, held.errand.deadline);
     deadlines_.emplace(held.deadline, key);
     deadline_warnings_.emplace(held.deadline - settings_.deadline_margin, key);
 }
@@ -468,7 +468,7 @@
     Session& session = sessions_.at(session_id);
     --session.held_jobs;
     report_capacity(session);
-    callbacks_.errand_ended(
+    callbacks_.on_call_ended(
         {held.errand.task, held.errand.number, held.worker, ending, now_ - held.since, {}, {}});
     // An idempotent job whose worker is lost or late is queued in its tube again and may go to any worker,
     // including the same one. For all other jobs the balancer decides.
@@ -489,9 +489,9 @@
     }
 }
 
-void TubeBroker::stop_all_by(Micros at) {
+void TubeBroker::limit_deadlines(Micros at) {
     for (auto held = held_.begin(); held != held_.end(); ++held) {
-        held->second.errand.stop_at = std::min(held->second.errand.stop_at, at);
+        held->second.errand.deadline = std::min(held->second.errand.deadline, at);
         set_deadline(held, held->second.deadline);
     }
 }
@@ -658,7 +658,7 @@
     return true;
 }
 
-void TubeBroker::answer(TaskId task, fronts::Answer answer, std::string_view, Micros stay_away) {
+void TubeBroker::on_answer(TaskId task, frontend::Answer answer, std::string_view, Micros retry_after) {
     const auto known = job_by_task_.find(task);
     if (known == job_by_task_.end()) return;
     const JobId id = known->second;
@@ -670,14 +670,14 @@
     if (pushed_jobs_.erase(id) > 0) --tube_state(tube).pushed;
     mark_changed(tube);
     switch (answer) {
-        case fronts::Answer::finished:
+        case frontend::Answer::finished:
             remove_job(*job);
             break;  // may remove the tube as well
-        case fronts::Answer::bounced:
-            queue_.delay(*job, now_, std::clamp<Micros>(stay_away, 1'000, kMaxBounceDelay));
+        case frontend::Answer::bounced:
+            queue_.delay(*job, now_, std::clamp<Micros>(retry_after, 1'000, kMaxBounceDelay));
             schedule(job->due_at);
             break;
-        case fronts::Answer::abandoned:
+        case frontend::Answer::abandoned:
             // A side-effecting job is never run again automatically: it stays buried until an operator kicks
             // it.
             job->may_have_run = !tube_state(tube).plan->is_idempotent();
--- a/src/beanstalk/tube_broker.hpp
+++ b/src/beanstalk/tube_broker.hpp
@@ -22,9 +22,9 @@
 #include <vector>
 
 #include "beanstalk/command_parser.hpp"
-#include "fronts/front.hpp"
+#include "frontend/task_sink.hpp"
 #include "queue/job_queue.hpp"
-#include "runners/port.hpp"
+#include "runners/transport.hpp"
 #include "types.hpp"
 
 namespace gannethold::beanstalk {
@@ -67,15 +67,15 @@
     virtual void set_worker_workloads(RunnerId worker, const WorkloadSet& serves) = 0;
     virtual void remove_worker(RunnerId worker) = 0;
     virtual void set_worker_slots(RunnerId worker, double slots) = 0;  // held jobs plus pending reserves
-    virtual void errand_ended(runners::ErrandEnded&& ended) = 0;
-    virtual void probe_ended(RunnerId worker) = 0;
+    virtual void on_call_ended(runners::CallEnded&& ended) = 0;
+    virtual void on_probe_ended(RunnerId worker) = 0;
 
   protected:
     ~BrokerCallbacks() = default;
 };
 
 // Holds the tubes, the jobs and the sessions.
-class TubeBroker final : public fronts::Asker, public runners::Port {
+class TubeBroker final : public frontend::TaskSource, public runners::Transport {
   public:
     // The workload of each tube. Those in `unassigned` are assigned to other tubes as they are created.
     struct TubeMapping {
@@ -112,19 +112,20 @@
     const queue::JobQueue& queue() const { return queue_; }
 
     // ---- Asker: the result of a job's task ----
-    void answer(TaskId task, fronts::Answer answer, std::string_view result, Micros stay_away) override;
+    void on_answer(TaskId task, frontend::Answer answer, std::string_view result,
+                   Micros retry_after) override;
     // ---- Port: assignments of the balancer to workers ----
-    void assign(RunnerId runner, runners::Errand&& errand) override;
+    void assign(RunnerId runner, runners::PendingCall&& errand) override;
     void withdraw(TaskId task, int number) override;
-    void probe(RunnerId runner) override { callbacks_.probe_ended(runner); }
+    void probe(RunnerId runner) override { callbacks_.on_probe_ended(runner); }
     void close_idle(RunnerId) override {}
-    void stop_all_by(Micros at) override;
+    void limit_deadlines(Micros at) override;
 
   private:
     // A job that a worker has reserved.
     struct HeldJob {
         SessionId session_id{};
-        runners::Errand errand;
+        runners::PendingCall errand;
         RunnerId worker{};
         Micros since = 0, time_to_run = 0, deadline = 0;
         bool from_queue = false;  // false: submitted by another front
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -31,22 +31,23 @@
 std::size_t for_tasks(std::size_t sockets) { return sockets > kOwnSockets + 5 ? sockets - kOwnSockets : 5; }
 std::size_t for_runners(std::size_t sockets) { return for_tasks(sockets) * 2 / 5; }
 
-clients::Room room(const Posting& posting, std::size_t sockets) {
+clients::ServerLimits server_limits(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
-    clients::Room r;
+    clients::ServerLimits r;
     r.sessions = for_tasks(sockets) - for_runners(sockets);
     r.tasks = static_cast<std::size_t>(std::max(1.0, stated.get_number("caps.max_open", 1e6)));
-    if (stated.get_bool("caps.retry_after")) r.stay_away = stated.get_micros("caps.max_retry_after_us", 0);
+    if (stated.get_bool("caps.retry_after")) r.retry_after = stated.get_micros("caps.max_retry_after_us", 0);
     return r;
 }
 
-runners::Upkeep upkeep(const Posting& posting, std::size_t sockets) {
+runners::PoolOptions upkeep(const Posting& posting, std::size_t sockets) {
     const SettingsReader stated(posting.orders);
-    runners::Upkeep u;
-    u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
+    runners::PoolOptions u;
+    u.connect_timeout =
+        std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_timeout));
     // A margin for a runner that counts from before its answer reached us.
-    u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
-    u.most_links = for_runners(sockets);
+    u.idle_timeout = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
+    u.max_connections = for_runners(sockets);
     return u;
 }
 
@@ -86,7 +87,7 @@
             !SettingsReader(posting_.orders).get_bool("rules.only_draining_binds")),
       follower_(
           loop, posting_.discovery, log,
-          [this](const roster::Listing& l) {
+          [this](const membership::EndpointList& l) {
               list_is_own_ = true;
               return heard(l, l.full ? UpdateScope::complete : UpdateScope::delta);
           },
@@ -94,14 +95,14 @@
               if (follows_by_itself_) wakes_.emplace(net::Loop::now() + kFollowAgain, TimerId{1}), set_wake();
               note(MembershipUpdate{UpdateScope::failed, book_.version(), {}});
           }),
-      links_(loop, *this, runners::Reports(posting_.report_names),
+      links_(loop, *this, runners::ReportDecoder(posting_.report_names),
              upkeep(posting_, sockets_left(posting_, tubes_, posting_.sockets))),
       post_(loop, posting_.neighbours,
             [this](PeerId from, std::string_view words) {
                 note(PeerMessage{from, std::string(words)});
             }),
       server_(loop, net::ListenAddress(posting_.listen, posting_.inherited), directory_, *this,
-              room(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
+              server_limits(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
       wake_(loop, [this] { wake(); }),
       farewell_(loop, [this] { look_at_drain(); }),
       drain_(extras.manners),
@@ -116,7 +117,7 @@
     if (!tubes_.listeners.empty())
         pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.listeners, tubes_.max_connections,
                                                        tubes_.broker, tube_workloads_.mapping, *this, log);
-    if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
+    if (extras.desk) desk_ = std::make_unique<control::ControlServer>(loop, *extras.desk, *this, log);
     if (posting_.window)
         admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
@@ -127,7 +128,7 @@
     if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
     // Where changes come by themselves the module never asks, so the watch is ours to open.
     follows_by_itself_ = SettingsReader(posting_.orders).get_string("roster.how", "pushed") != "on_request";
-    if (follows_by_itself_) follower_.follow(book_.since());
+    if (follows_by_itself_) follower_.follow(book_.follow_from());
     log_.info(net::Loop::now(), "serving as ", log::field("name", posting_.name), " on ",
               log::field("listen", posting_.listen.text), ", ",
               log::field("runners", posting_.known.entries.size()), " runners known");
@@ -149,8 +150,8 @@
             std::max(longest, SettingsReader(workload_registry_.settings()).get_micros(expiry, kLongestStay));
     }
     last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
-    links_.stop_all_by(last_minute_);
-    if (pullers_) pullers_->broker().stop_all_by(last_minute_);
+    links_.limit_deadlines(last_minute_);
+    if (pullers_) pullers_->broker().limit_deadlines(last_minute_);
     log_.info(left_at, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
     if (posting_.inherited) {
         // The socket outlives this process, and who else has it accepts. What waits in its queue is theirs to
@@ -197,9 +198,9 @@
     log_.info(now, "reload: discovery moves from ", log::field("from", posting_.discovery.text), " to ",
               log::field("to", fresh.discovery.text));
     posting_.discovery = fresh.discovery;
-    follower_.move(posting_.discovery);
-    book_.count_anew();
-    follower_.follow(book_.since());
+    follower_.set_address(posting_.discovery);
+    book_.reset_version();
+    follower_.follow(book_.follow_from());
 }
 
 bool Dispatcher::open(WorkloadId place) const {
@@ -214,8 +215,8 @@
 // What the connections of each kind may take, of what this process may hold for now.
 void Dispatcher::share_out() {
     const std::size_t sockets = sockets_left(posting_, tubes_, own_part(posting_.sockets));
-    server_.restate(room(posting_, sockets));
-    links_.restate(upkeep(posting_, sockets));
+    server_.update_limits(server_limits(posting_, sockets));
+    links_.update_options(upkeep(posting_, sockets));
 }
 
 // Who is under way goes on by the old terms, whoever comes from now on by the new.
@@ -240,7 +241,7 @@
 void Dispatcher::look_at_drain() {
     const Micros now = net::Loop::now();
     const drain::DrainDirective wanted =
-        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->is_idle())});
+        drain_.evaluate(now, {unanswered(), server_.busy_count() + (pullers_ && !pullers_->is_idle())});
     if (pullers_) {
         // A producer keeps its job, and needs no front to be told: from the order on, and at a restart once
         // others are told.
@@ -253,13 +254,14 @@
         if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->shut_down();
     }
     healthy_ = wanted.is_healthy;
-    if (!server_.leaving())
-        server_.bear({wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
+    if (!server_.is_shutting_down())
+        server_.set_drain_behavior(
+            {wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
     if (wanted.closes_after_response && drain_.is_shutting_down() && wanted.idle_fraction_to_keep <= 0) {
-        if (!server_.leaving()) server_.leave();
+        if (!server_.is_shutting_down()) server_.begin_shutdown();
     } else if (wanted.closes_after_response) {
-        if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle();
-        server_.keep_idle(
+        if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle_count();
+        server_.close_idle_beyond(
             static_cast<std::size_t>(static_cast<double>(idle_at_closing_) * wanted.idle_fraction_to_keep));
     } else {
         closing_ = false;
@@ -292,27 +294,27 @@
     noted_ = true;
 }
 
-bool Dispatcher::heard(const roster::Listing& listing, UpdateScope scope) {
-    auto news = book_.take(listing, scope, net::Loop::now());
+bool Dispatcher::heard(const membership::EndpointList& listing, UpdateScope scope) {
+    auto news = book_.apply(listing, scope, net::Loop::now());
     if (!news) return false;
-    holds_.lay_over(*news, book_);
-    for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
+    holds_.apply_to(*news, book_);
+    for (const auto& seat : news->targets)
+        links_.set_endpoint(seat.runner, seat.address, seat.open, seat.restarted);
     if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.pushed_workloads;
-    guests_.lay_over(news->for_module, holds_, book_);
-    note(news->for_module);
+        for (EndpointEntry& e : news->update.entries) e.workloads = tube_workloads_.pushed_workloads;
+    guests_.apply_to(news->update, holds_, book_);
+    note(news->update);
     if (passage_ && passage_->has_heirs())
-        passage_->tell({handover::Kind::list, roster::spell(book_.held())});
+        passage_->tell({handover::Kind::list, membership::format_endpoint_list(book_.to_list())});
     return true;
 }
 
-TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::BlockBuffer&& body,
-                        Micros came_at) {
+TaskId Dispatcher::submit(frontend::TaskSource& asker, frontend::SubmittedTask&& request,
+                          net::BlockBuffer&& body, Micros came_at) {
     const TaskId id{++tasks_taken_};
-    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
-        return id;
+    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.timeout)) return id;
     std::string lines;
-    if (request.pushable) {
+    if (request.can_push) {
         auto head = http::Writer::request(request.method, request.target);
         head.field("Host", "runner").field("X-Request-ID", request.id);
         if (!request.fingerprint.empty()) head.field("Idempotency-Key", request.fingerprint);
@@ -327,12 +329,12 @@
     arrived.workload = request.workload;
     arrived.customer = request.customer;
     arrived.key = request.key;
-    arrived.expiry = came_at + request.patience;
+    arrived.expiry = came_at + request.timeout;
     arrived.cost_hint = request.cost_hint;
     arrived.hint_valid = request.cost_hint > 0;
     arrived.slots = request.slots;
     arrived.memory = request.memory;
-    arrived.client_retry = request.repeat;
+    arrived.client_retry = request.is_retry;
     std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
     if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
     ids_.insert(request.id);
@@ -342,12 +344,12 @@
     return id;
 }
 
-void Dispatcher::left(TaskId id) {
+void Dispatcher::on_client_disconnected(TaskId id) {
     if (left_joined(id)) return;
     if (const auto first = stands_for_.find(id); first != stands_for_.end()) {
         const TaskId stood_for = first->second;
         stands_for_.erase(first);
-        return left(stood_for);
+        return on_client_disconnected(stood_for);
     }
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || pass_on(task)) return;
@@ -360,7 +362,7 @@
     forget_if_over(task);
 }
 
-void Dispatcher::errand_ended(runners::ErrandEnded&& ended) {
+void Dispatcher::on_call_ended(runners::CallEnded&& ended) {
     const auto task = tasks_.find(ended.task);
     if (task == tasks_.end()) return;
     --task->second.out;
@@ -388,11 +390,11 @@
     forget_if_over(task);
 }
 
-void Dispatcher::progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) {
+void Dispatcher::on_progress(TaskId task, int number, RunnerId runner, Stage stage, double share) {
     note(Progress{task, share, runner, number, stage});
 }
 
-void Dispatcher::probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
+void Dispatcher::on_probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
     note(ProbeEnded{runner, outcome_of(ending), elapsed, std::move(report)});
 }
 
@@ -410,10 +412,10 @@
         for (const Action& action : std::exchange(actions_, {})) carry_out(action);
         if (pullers_) pullers_->update();
     }
-    links_.sweep();
-    server_.sweep();
-    follower_.sweep();
-    if (desk_) desk_->sweep();
+    links_.erase_ended();
+    server_.erase_ended();
+    follower_.erase_ended();
+    if (desk_) desk_->erase_ended();
     if (admin_server_) admin_server_->erase_ended_sessions();
     if (passage_) passage_->sweep();
     if (pullers_) pullers_->destroy_closed_sessions();
@@ -438,9 +440,9 @@
                          publish("choice", {{"text", json::Value(text)}});
                      },
                      [&](const WatchMembership& a) {
-                         a.on ? follower_.follow(book_.since()) : follower_.stop_following();
+                         a.on ? follower_.follow(book_.follow_from()) : follower_.stop_following();
                      },
-                     [&](const FetchMembership&) { follower_.ask(); }},
+                     [&](const FetchMembership&) { follower_.fetch(); }},
                action);
 }
 
@@ -466,24 +468,24 @@
     // At a restart nothing may still be out when the process is killed, whatever time its task has left.
     if (drain_.is_shutting_down()) stop_at = std::min(stop_at, last_minute_);
     if (!task->second.asker || stop_at <= net::Loop::now()) {
-        errand_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
+        on_call_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
         return;
     }
-    runners::Port& port = port_of(wanted.runner);
+    runners::Transport& port = port_of(wanted.runner);
     if (pullers_ && &port == &links_) pullers_->broker().on_task_pushed(wanted.task);
     port.assign(wanted.runner, {wanted.task, number, task->second.request_id, task->second.head,
                                 &task->second.body, stop_at});
 }
 
-void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros stay_away) {
+void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros retry_after) {
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || !task->second.asker) return;
-    fronts::Asker* const asker = task->second.asker;
+    frontend::TaskSource* const asker = task->second.asker;
     counters_.on_answered(workload_name(task->second.workload), answer);
     note_end(id, task->second, answer, result);
     end_asking(task);
-    asker->answer(id, answer, result, stay_away);
-    answer_joined(id, answer, result, stay_away);
+    asker->on_answer(id, answer, result, retry_after);
+    answer_joined(id, answer, result, retry_after);
     if (answer != clients::Answer::finished) forget_if_over(task);
 }
 
@@ -508,7 +510,7 @@
         if (mark == TimerId{})
             note(TimerFired{mark});
         else
-            follower_.follow(book_.since());
+            follower_.follow(book_.follow_from());
     }
     set_wake();
 }
--- a/src/dispatcher/pulling.cpp
+++ b/src/dispatcher/pulling.cpp
@@ -11,7 +11,7 @@
 using json::Object;
 using json::Value;
 
-runners::Port& Dispatcher::port_of(RunnerId runner) {
+runners::Transport& Dispatcher::port_of(RunnerId runner) {
     if (pullers_ && guests_.has(runner)) return pullers_->broker();
     return links_;
 }
@@ -19,9 +19,9 @@
 // Answers that somebody waits for, and jobs that are in somebody's hands. What waits in a tube is not among
 // them: a drain leaves it there.
 std::size_t Dispatcher::unanswered() const {
-    if (!pullers_) return server_.waiting();
-    const fronts::Asker* const jobs = &pullers_->broker();
-    return server_.waiting() +
+    if (!pullers_) return server_.waiting_count();
+    const frontend::TaskSource* const jobs = &pullers_->broker();
+    return server_.waiting_count() +
            static_cast<std::size_t>(std::count_if(tasks_.begin(), tasks_.end(), [jobs](const auto& t) {
                return t.second.asker == jobs && t.second.out > 0;
            }));
@@ -29,7 +29,7 @@
 
 TaskId Dispatcher::submit_task(const queue::Job& job, const std::string& tube,
                                const beanstalk::TubePlan& plan, WorkloadId workload) {
-    fronts::Handed handed;
+    frontend::SubmittedTask handed;
     const std::string number = std::to_string(static_cast<std::uint64_t>(job.id));
     handed.id = "job-" + posting_.name + "-" + number;
     handed.method = "POST";
@@ -37,26 +37,26 @@
     handed.target = "/" + (plan.workload.empty() ? tube : plan.workload) + "/" + number;
     handed.workload = workload;
     handed.customer = CustomerId{std::numeric_limits<std::uint32_t>::max()};  // nobody's allowance
-    handed.patience = plan.expiry;
-    handed.pushable = plan.max_pushed > 0 || !plan.workload.empty();
+    handed.timeout = plan.expiry;
+    handed.can_push = plan.max_pushed > 0 || !plan.workload.empty();
     net::BlockBuffer body(loop_.block_pool());
     // No buffer is left: it stays in its tube.
-    if (handed.pushable && !body.append(job.body)) return TaskId{};
-    return take(pullers_->broker(), std::move(handed), std::move(body), net::Loop::now());
+    if (handed.can_push && !body.append(job.body)) return TaskId{};
+    return submit(pullers_->broker(), std::move(handed), std::move(body), net::Loop::now());
 }
 
 RunnerId Dispatcher::add_worker(const beanstalk::ListenerSettings& by, const WorkloadSet& serves, bool cold) {
-    const EndpointEntry entry = guests_.joins(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
-    note(guests_.news(entry, holds_, book_));
+    const EndpointEntry entry = guests_.add(book_, by.kind, by.zone, serves, cold ? net::Loop::now() : 0);
+    note(guests_.make_update(entry, holds_, book_));
     return entry.runner;
 }
 
 void Dispatcher::set_worker_workloads(RunnerId worker, const WorkloadSet& serves) {
-    note(guests_.news(guests_.serves(worker, serves), holds_, book_));
+    note(guests_.make_update(guests_.set_workloads(worker, serves), holds_, book_));
 }
 
 void Dispatcher::remove_worker(RunnerId worker) {
-    note(guests_.news(guests_.leaves(worker), holds_, book_));
+    note(guests_.make_update(guests_.remove(worker), holds_, book_));
     // Against a stranger held for its name: the next one to come may be given it.
     const std::string& name = book_.name_of(worker);
     if (holds_.remove(name))
--- a/tests/hall.hpp
+++ b/tests/hall.hpp
@@ -76,8 +76,8 @@
                 if (const auto* w = std::get_if<WakeAt>(&a)) wakes_.insert(w->at);
                 if (const auto* s = std::get_if<Assign>(&a)) assign(*s);
                 if (const auto* b = std::get_if<Bounce>(&a))
-                    answer(b->task, fronts::Answer::bounced, b->retry_after);
-                if (const auto* b = std::get_if<Abandon>(&a)) answer(b->task, fronts::Answer::abandoned, 0);
+                    answer(b->task, frontend::Answer::bounced, b->retry_after);
+                if (const auto* b = std::get_if<Abandon>(&a)) answer(b->task, frontend::Answer::abandoned, 0);
                 if (const auto* w = std::get_if<Withdraw>(&a)) exchange.withdraw(w->task, w->assignment);
                 if (const auto* p = std::get_if<Probe>(&a)) exchange.probe(p->runner);
             }
@@ -141,9 +141,9 @@
     void set_worker_slots(RunnerId worker, double slots) override {
         balancer.apply(now, CapacityReported{worker, slots});
     }
-    void errand_ended(runners::ErrandEnded&& e) override {
+    void on_call_ended(runners::CallEnded&& e) override {
         const bool finished = e.ending == net::CloseReason::done;
-        if (finished) answer(e.task, fronts::Answer::finished, 0);
+        if (finished) answer(e.task, frontend::Answer::finished, 0);
         const Outcome outcome = finished                                         ? Outcome::finished
                                 : e.ending == net::CloseReason::returned         ? Outcome::full
                                 : e.ending == net::CloseReason::timed_out_unsent ? Outcome::not_started
@@ -154,7 +154,7 @@
         balancer.apply(now, AssignmentEnded{
                                 e.task, !tasks[e.task].waits, 0, e.elapsed, e.runner, e.number, outcome, {}});
     }
-    void probe_ended(RunnerId worker) override {
+    void on_probe_ended(RunnerId worker) override {
         balancer.apply(now, ProbeEnded{worker, Outcome::finished, 0, {}});
     }
 
@@ -179,12 +179,12 @@
                         {wanted.task, t.assignments++, "", "", nullptr,
                          wanted.deadline > 0 ? std::min(wanted.deadline, t.expiry) : t.expiry});
     }
-    void answer(TaskId task, fronts::Answer answer, Micros stay_away) {
+    void answer(TaskId task, frontend::Answer answer, Micros retry_after) {
         Task& t = tasks[task];
         answers_twice += !t.waits;
         answers_late += now > t.expiry;
         if (!std::exchange(t.waits, false)) return;
-        exchange.answer(task, answer, "", stay_away);
+        exchange.on_answer(task, answer, "", retry_after);
     }
 
     SettingsMap orders_;
