--- a/src/admin/admin_requests.cpp
+++ b/src/admin/admin_requests.cpp
@@ -19,7 +19,7 @@
      {"POST", "/control/in-service", AdminRequest::return_to_service}}};
 constexpr std::string_view kMetricPrefix = "app_";
 
-// Escaped, since a quote or a line's end in a label would end it, and with it the metrics behind it.
+// Quotes and escapes a label: an unescaped quote or newline would end it and invalidate all later metrics.
 std::string quoted_label(std::string_view label) {
     std::string quoted = "\"";
     for (const char c : label) {
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -41,7 +41,7 @@
     }
     bool is_closed() const { return is_closed_; }
     bool has_responded() const { return has_responded_; }
-    // Only the closing of the connection is left.
+    // The response is fully sent; the connection only has to be closed.
     bool is_response_sent() const { return has_responded_ && !connection_.has_unsent_bytes(); }
 
     Sessions::iterator position;  // in the server's list
@@ -52,12 +52,12 @@
         while (!has_responded_ && !is_closed_) {
             const http::ReadResult found = reader_.read(bytes);
             if (found == http::ReadResult::nothing) return;
-            on_found(found);
+            on_read(found);
         }
     }
     void on_closed(net::CloseReason) override { close(); }
 
-    void on_found(http::ReadResult found) {
+    void on_read(http::ReadResult found) {
         switch (found) {
             case http::ReadResult::nothing:
                 return;
@@ -68,7 +68,7 @@
                 if (body_bytes_ > kMaxBodyBytes) respond({413, "no call is so long\n"});
                 return;
             case http::ReadResult::end:
-                // Not before: half a request is none, whatever its head asks for.
+                // Executed only now: an incomplete request must have no effect.
                 return respond(server_.handler_.on_admin_request(request_));
             case http::ReadResult::error:
                 const bool is_overloaded = reader_.error() == http::ReadError::out_of_blocks;
@@ -122,8 +122,8 @@
     sessions_.back()->position = std::prev(sessions_.end());
 }
 
-// Makes place for another: of the sessions that only have to close the oldest goes, else the oldest that has
-// sent no complete request.
+// Closes a session to accept another: the oldest whose response is fully sent, else the oldest without a
+// complete request.
 void AdminServer::close_one_session() {
     for (const auto& session : sessions_)
         if (!session->is_closed() && session->is_response_sent()) return close(*session);
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,6 +1,6 @@
-// The second address, for operators' programs: HTTP/1.1, one request a connection. Connections are bounded in
-// number and time, so that a caller who sends nothing, or half a request, costs neither another caller nor a
-// client anything.
+// The HTTP/1.1 server of the admin address, for operators' programs. Each connection has one request. The
+// number and the time of connections are bounded, so that a caller that sends nothing, or an incomplete
+// request, does not affect other callers or clients.
 #pragma once
 
 #include <cstddef>
@@ -16,25 +16,27 @@
 
 namespace gannethold::admin {
 
+// Executes admin requests; the dispatcher.
 class AdminHandler {
   public:
     AdminHandler() = default;
     AdminHandler(const AdminHandler&) = delete;
     AdminHandler& operator=(const AdminHandler&) = delete;
 
-    // Called from inside a turn of the loop; must not block.
+    // Called from the event loop; must not block.
     virtual AdminResponse on_admin_request(AdminRequest request) = 0;
 
   protected:
     ~AdminHandler() = default;
 };
 
+// Accepts connections at the admin address. At kMaxSessions one is closed for each new one.
 class AdminServer {
   public:
     static constexpr std::size_t kMaxSessions = 24;
     static constexpr std::size_t kMaxDescriptors = kMaxSessions + 1;  // with the listening socket
 
-    // Throws std::runtime_error where it cannot listen. REQUIRES: loop, handler and log outlive the server.
+    // Throws std::runtime_error if it cannot listen. REQUIRES: loop, handler and log outlive the server.
     AdminServer(net::Loop& loop, const net::Address& address, AdminHandler& handler, log::Log& log);
     ~AdminServer();
     AdminServer(const AdminServer&) = delete;
--- a/src/control/tables.hpp
+++ b/src/control/tables.hpp
@@ -23,7 +23,7 @@
 std::size_t terminal_width();  // of standard output; 100 if it is no terminal
 
 // Formats a time in milliseconds for reading: "340 ms", "12.3 s", "4 min".
-std::string span(double ms);
+std::string format_duration(double ms);
 
 void write_status(std::ostream& out, const json::Value& answer);
 void write_runners(std::ostream& out, const json::Value& answer, std::size_t width);
