--- a/src/beanstalk/tube_broker.hpp
+++ b/src/beanstalk/tube_broker.hpp
@@ -49,7 +49,7 @@
     std::size_t max_other_tubes = 16;  // simultaneous; each has its own workload
     std::size_t max_body_bytes = 65'535;
     queue::QueueLimits queue_limits;
-    Micros deadline_margin = 1'000'000;  // a reserve within it before a deadline is refused
+    Micros deadline_margin = 1'000'000;  // before a held job's deadline; reserves are refused
     Micros min_time_to_run = 1'000'000;
     bool workers_start_cold = true;  // whether slow start applies to a new worker
 };
@@ -221,7 +221,7 @@
     std::set<std::pair<Micros, SessionId>> reserve_timeouts_;
     std::uint64_t command_counts_[32] = {};  // by verb
     std::uint64_t timeouts_ = 0, total_sessions_ = 0, total_jobs_ = 0;
-    Micros now_ = 0, started_at_ = -1, next_queue_change_ = 0;  // 0: no change is due
+    Micros now_ = 0, started_at_ = -1, next_queue_change_ = 0;  // next_queue_change_: 0: none
     bool rejects_puts_ = false, dispatches_jobs_ = true;
 };
 
