--- a/src/beanstalk/tube_broker.hpp
+++ b/src/beanstalk/tube_broker.hpp
@@ -111,10 +111,10 @@
     std::size_t session_count() const { return sessions_.size(); }
     const queue::JobQueue& queue() const { return queue_; }
 
-    // ---- Asker: the result of a job's task ----
+    // ---- TaskSource: the result of a job's task ----
     void on_answer(TaskId task, frontend::Answer answer, std::string_view result,
                    Micros retry_after) override;
-    // ---- Port: assignments of the balancer to workers ----
+    // ---- Transport: assignments of the balancer to workers ----
     void assign(RunnerId runner, runners::PendingCall&& errand) override;
     void withdraw(TaskId task, int number) override;
     void probe(RunnerId runner) override { callbacks_.on_probe_ended(runner); }
