--- a/src/beanstalk/tube_broker.hpp
+++ b/src/beanstalk/tube_broker.hpp
@@ -59,7 +59,7 @@
   public:
     virtual void send(SessionId session, std::string&& reply) = 0;
     virtual void close(SessionId session) = 0;
-    // Submits a job as a task whose Asker is the broker. TaskId{}: not accepted.
+    // Submits a job as a task whose TaskSource is the broker. TaskId{}: not accepted.
     virtual TaskId submit_task(const queue::Job& job, const std::string& tube, const TubePlan& plan,
                                WorkloadId workload) = 0;
     virtual void cancel_task(TaskId task) = 0;  // its result is no longer needed
