--- a/rehearsal/ceiling/keeping.cpp
+++ b/rehearsal/ceiling/keeping.cpp
@@ -68,12 +68,12 @@
     net::Loop loop(64);
     std::ostringstream said;
     log::Log log(said, log::Level::error);
-    const dispatcher::Posting where = dispatcher::Posting::read(text);
-    dispatcher::Extras extras;
-    extras.snapshot.folder = folder;
-    extras.snapshot.interval = 50'000;
+    const dispatcher::DispatcherConfig where = dispatcher::DispatcherConfig::read(text);
+    dispatcher::DispatcherOptions options;
+    options.snapshot.folder = folder;
+    options.snapshot.interval = 50'000;
     const Micros begun = net::Loop::now();
-    dispatcher::Dispatcher one(loop, where, log, extras);
+    dispatcher::Dispatcher one(loop, where, log, options);
     one.end_turn();
     Life life;
     life.start_ms = static_cast<double>(net::Loop::now() - begun) / 1e3;
--- a/rehearsal/virtual/world.cpp
+++ b/rehearsal/virtual/world.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <utility>
 
-#include "dispatcher/posting.hpp"
+#include "dispatcher/dispatcher_config.hpp"
 #include "snapshot/decay.hpp"
 #include "model/poison.hpp"
 
@@ -47,7 +47,7 @@
         // By the same reader as real dispatchers: what the day says is read as they would read it.
         const std::string text = day.posting(d, "127.0.0.1:1", "127.0.0.1:2", seed + d,
                                              R"({"version":1,"full":true,"servers":[]})");
-        orders_.push_back(dispatcher::Posting::read(text).orders);
+        orders_.push_back(dispatcher::DispatcherConfig::read(text).settings);
         start_node(d);
     }
 }
--- a/src/dispatcher/calling.cpp
+++ b/src/dispatcher/admin_requests.cpp
@@ -1,5 +1,5 @@
-// What operators' programs are answered at the admin address. Orders go to the same drain as those of the
-// control socket.
+// The dispatcher's answers to requests on the admin address. Taking it out of service uses the same drain as
+// the control socket's commands.
 #include <algorithm>
 
 #include "dispatcher/dispatcher.hpp"
@@ -7,15 +7,15 @@
 namespace gannethold::dispatcher {
 namespace {
 
-const std::string kCaller = "an admin request";
+const std::string kAdminRequester = "an admin request";
 
 }  // namespace
 
 metrics::Gauges Dispatcher::gauges() const {
     const Micros now = net::Loop::now();
     std::set<RunnerId> avoided;
-    for (const RunnerView& r : balancer_.runners())
-        if (r.ready && (now < r.ejected_until || r.suspected)) avoided.insert(r.runner);
+    for (const RunnerView& runner : balancer_.runners())
+        if (runner.ready && (now < runner.ejected_until || runner.suspected)) avoided.insert(runner.runner);
     const auto any = [](RunnerId) { return true; };
     return {unanswered(), book_.count_listed(any),
             book_.count_listed([&](RunnerId r) { return avoided.contains(r); })};
@@ -25,30 +25,30 @@
     const Micros now = net::Loop::now();
     switch (request) {
         case admin::AdminRequest::get_readiness: {
-            const bool takes = ready() && healthy_;
-            return {takes ? 200 : 503, takes ? "ready\n" : "not ready\n"};
+            const bool is_accepting = ready() && is_healthy_;
+            return {is_accepting ? 200 : 503, is_accepting ? "ready\n" : "not ready\n"};
         }
         case admin::AdminRequest::get_metrics:
             return {200, admin::format_metrics(counters_, gauges()),
                     "text/plain; version=0.0.4; charset=utf-8"};
         case admin::AdminRequest::take_out_of_service: {
-            // Whoever ordered it before, it is being emptied: that is all that was asked for.
+            // A drain is already under way, whoever requested it: the request is fulfilled.
             if (drain_.phase() != drain::Phase::serving)
                 return {200, "out of service, " + drain_.requested_by() + "\n"};
-            const drain::DrainResult ruling =
-                drain_.request(now, now + drain_.settings().max_deadline_distance, 0, kCaller,
+            const drain::DrainResult result =
+                drain_.request(now, now + drain_.settings().max_deadline_distance, 0, kAdminRequester,
                                &drain_.settings().short_notice);
-            if (!ruling.accepted) return {409, ruling.reason + "\n"};
+            if (!result.accepted) return {409, result.reason + "\n"};
             log_.info(now, "admin: out of service");
-            look_at_drain();
+            update_drain();
             return {200, "out of service\n"};
         }
         case admin::AdminRequest::return_to_service: {
             if (drain_.phase() == drain::Phase::serving) return {200, "in service\n"};
-            const drain::DrainResult ruling = drain_.cancel(now, 0, kCaller);
-            if (!ruling.accepted) return {409, ruling.reason + "\n"};
+            const drain::DrainResult result = drain_.cancel(now, 0, kAdminRequester);
+            if (!result.accepted) return {409, result.reason + "\n"};
             log_.info(now, "admin: in service again");
-            look_at_drain();
+            update_drain();
             return {200, "in service\n"};
         }
     }
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -12,124 +12,135 @@
 namespace gannethold::dispatcher {
 namespace {
 
-// At a restart clients still come for a while after the signal, through a front that has not yet heard. In a
-// restart of all in turn the one before may not be back by then, and who has a connection here has no other
-// way: so kept ones are served for half of the stay.
-constexpr Micros kStillComing = 600'000;  // at the least
-// The system kills what has not ended in the longest time that a client waits, or three seconds, and a little
-// more after the signal; no task may still be out then.
-constexpr Micros kLongestStay = 3'000'000, kLastMinute = 400'000;
-// Where another accepts from the same socket, idle connections are closed over so long: not all come anew at
-// once.
-constexpr Micros kHandingOver = 400'000;
-constexpr Micros kFollowAgain = 500'000;
-
-// Descriptors: ten are the process's own and discovery's, a few are for clients that are turned away. A task
-// that is out needs two, one that waits only its client's; so runners have two fifths of the rest and clients
-// three.
-constexpr std::size_t kOwnSockets = 18;
-std::size_t for_tasks(std::size_t sockets) { return sockets > kOwnSockets + 5 ? sockets - kOwnSockets : 5; }
-std::size_t for_runners(std::size_t sockets) { return for_tasks(sockets) * 2 / 5; }
-
-clients::Room room(const Posting& posting, std::size_t sockets) {
-    const SettingsReader stated(posting.orders);
-    clients::Room r;
-    r.sessions = for_tasks(sockets) - for_runners(sockets);
-    r.tasks = static_cast<std::size_t>(std::max(1.0, stated.get_number("caps.max_open", 1e6)));
-    if (stated.get_bool("caps.retry_after")) r.stay_away = stated.get_micros("caps.max_retry_after_us", 0);
-    return r;
+// After the signal clients still connect for a while, through load balancers that have not yet noticed the
+// shutdown. In a rolling restart the previously restarted dispatcher may not serve again by then, and a
+// client with a connection here may have no other: so open connections are served for half of the shutdown
+// time.
+constexpr Micros kMinAcceptAfterSignal = 600'000;
+// The platform kills the process when the longest time that a client waits (at most three seconds), and a
+// margin, have passed since the signal; no task may still be in flight then.
+constexpr Micros kMaxShutdownTime = 3'000'000, kFinalStopMargin = 400'000;
+// If another process accepts from the same socket, idle connections are closed over this period, so that not
+// all clients reconnect at once.
+constexpr Micros kIdleCloseSpread = 400'000;
+constexpr Micros kWatchRetryDelay = 500'000;
+
+// File descriptors: ten are for the process itself and discovery, the rest of these for clients that are
+// turned away. A task in flight needs two, a queued task only its client's; so runners get two fifths of the
+// remaining descriptors and clients three fifths.
+constexpr std::size_t kReservedDescriptors = 18;
+std::size_t descriptors_for_tasks(std::size_t sockets) {
+    return sockets > kReservedDescriptors + 5 ? sockets - kReservedDescriptors : 5;
+}
+std::size_t descriptors_for_runners(std::size_t sockets) { return descriptors_for_tasks(sockets) * 2 / 5; }
+
+clients::Room client_limits(const DispatcherConfig& config, std::size_t sockets) {
+    const SettingsReader reader(config.settings);
+    clients::Room limits;
+    limits.sessions = descriptors_for_tasks(sockets) - descriptors_for_runners(sockets);
+    limits.tasks = static_cast<std::size_t>(std::max(1.0, reader.get_number("caps.max_open", 1e6)));
+    if (reader.get_bool("caps.retry_after"))
+        limits.stay_away = reader.get_micros("caps.max_retry_after_us", 0);
+    return limits;
 }
 
-runners::Upkeep upkeep(const Posting& posting, std::size_t sockets) {
-    const SettingsReader stated(posting.orders);
-    runners::Upkeep u;
-    u.connect_limit = std::max<Micros>(1'000, stated.get_micros("caps.connect_timeout_us", u.connect_limit));
-    // A margin for a runner that counts from before its answer reached us.
-    u.keep_idle = stated.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
-    u.most_links = for_runners(sockets);
-    return u;
+runners::Upkeep runner_limits(const DispatcherConfig& config, std::size_t sockets) {
+    const SettingsReader reader(config.settings);
+    runners::Upkeep limits;
+    limits.connect_limit =
+        std::max<Micros>(1'000, reader.get_micros("caps.connect_timeout_us", limits.connect_limit));
+    // The margin allows for a runner that starts its timeout before its answer arrives here.
+    limits.keep_idle = reader.get_micros("caps.keepalive_us", 10'000'000) * 3 / 4;
+    limits.most_links = descriptors_for_runners(sockets);
+    return limits;
 }
 
-// What the connections of the other front and of operators' programs leave.
-std::size_t sockets_left(const Posting& posting, const beanstalk::Furnishing& tubes, std::size_t own) {
-    const std::size_t theirs = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
-                               (posting.window ? admin::AdminServer::kMaxDescriptors : 0) +
-                               (posting.heirloom.empty() ? 0 : handover::Passage::kDescriptors);
-    return own > theirs ? own - theirs : 1;
+// The descriptors that remain after those of the beanstalkd front, the admin server and the handover.
+std::size_t available_sockets(const DispatcherConfig& config, const beanstalk::Furnishing& tubes,
+                              std::size_t own) {
+    const std::size_t used_elsewhere = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
+                               (config.admin_address ? admin::AdminServer::kMaxDescriptors : 0) +
+                               (config.handover_folder.empty() ? 0 : handover::HandoverChannel::kDescriptors);
+    return own > used_elsewhere ? own - used_elsewhere : 1;
 }
 
-settings::WorkloadRegistry with_tubes(const Posting& posting, beanstalk::Furnishing& tubes,
-                                      beanstalk::Workloads& tube_workloads) {
-    SettingsMap all = posting.orders;
+settings::WorkloadRegistry make_workload_registry(const DispatcherConfig& config,
+                                                  beanstalk::Furnishing& tubes,
+                                                  beanstalk::Workloads& tube_workloads) {
+    SettingsMap all = config.settings;
     if (!tubes.entrances.empty()) tube_workloads = beanstalk::add_workloads(all, tubes.trade);
-    return settings::WorkloadRegistry(all, posting.workloads());
+    return settings::WorkloadRegistry(all, config.workload_count());
 }
 
 template <class... Ts>
-struct Match : Ts... {
+struct Overloaded : Ts... {
     using Ts::operator()...;
 };
 
 }  // namespace
 
-Dispatcher::Dispatcher(net::Loop& loop, const Posting& posting, log::Log& log, const Extras& extras)
+Dispatcher::Dispatcher(net::Loop& loop, const DispatcherConfig& config, log::Log& log,
+                       const DispatcherOptions& options)
     : loop_(loop),
       log_(log),
-      posting_(posting),
-      directory_(posting_.orders),
-      tubes_(extras.tubes),
-      workload_registry_(with_tubes(posting_, tubes_, tube_workloads_)),
-      balancer_(workload_registry_.settings(), posting_.seed),
-      book_(SettingsReader(posting_.orders).get_list("zones"),
-            SettingsReader(posting_.orders).get_list("kinds"), log,
-            !SettingsReader(posting_.orders).get_bool("rules.only_draining_binds")),
+      config_(config),
+      directory_(config_.settings),
+      tubes_(options.tubes),
+      workload_registry_(make_workload_registry(config_, tubes_, tube_workloads_)),
+      balancer_(workload_registry_.settings(), config_.seed),
+      book_(SettingsReader(config_.settings).get_list("zones"),
+            SettingsReader(config_.settings).get_list("kinds"), log,
+            !SettingsReader(config_.settings).get_bool("rules.only_draining_binds")),
       follower_(
-          loop, posting_.discovery, log,
+          loop, config_.discovery, log,
           [this](const roster::Listing& l) {
-              list_is_own_ = true;
-              return heard(l, l.full ? UpdateScope::complete : UpdateScope::delta);
+              has_discovery_list_ = true;
+              return apply_listing(l, l.full ? UpdateScope::complete : UpdateScope::delta);
           },
           [this] {
-              if (follows_by_itself_) wakes_.emplace(net::Loop::now() + kFollowAgain, TimerId{1}), set_wake();
-              note(MembershipUpdate{UpdateScope::failed, book_.version(), {}});
+              if (watches_membership_)
+                  pending_timers_.emplace(net::Loop::now() + kWatchRetryDelay, TimerId{1}), arm_timer();
+              apply_event(MembershipUpdate{UpdateScope::failed, book_.version(), {}});
           }),
-      links_(loop, *this, runners::Reports(posting_.report_names),
-             upkeep(posting_, sockets_left(posting_, tubes_, posting_.sockets))),
-      post_(loop, posting_.neighbours,
-            [this](PeerId from, std::string_view words) {
-                note(PeerMessage{from, std::string(words)});
-            }),
-      server_(loop, net::ListenAddress(posting_.listen, posting_.inherited), directory_, *this,
-              room(posting_, sockets_left(posting_, tubes_, posting_.sockets)), log),
-      wake_(loop, [this] { wake(); }),
-      farewell_(loop, [this] { look_at_drain(); }),
-      drain_(extras.manners),
-      deduplication_(extras.deduplication),
-      execution_log_(extras.deduplication),
-      joined_timer_(loop, [this] { answer_owed(); }),
-      watched_(extras.watched),
-      watched_most_(extras.watched_most) {
-    if (!watched_.empty())
-        shadow_ =
-            std::make_unique<shadow::Shadow>(over_ours(Posting::read_file(watched_)), extras.watched_every);
+      links_(loop, *this, runners::Reports(config_.report_names),
+             runner_limits(config_, available_sockets(config_, tubes_, config_.sockets))),
+      peer_channel_(loop, config_.peer_addresses,
+                    [this](PeerId from, std::string_view message) {
+                        apply_event(PeerMessage{from, std::string(message)});
+                    }),
+      server_(loop, net::ListenAddress(config_.listen, config_.inherited_listener), directory_, *this,
+              client_limits(config_, available_sockets(config_, tubes_, config_.sockets)), log),
+      module_timer_(loop, [this] { on_timer(); }),
+      drain_timer_(loop, [this] { update_drain(); }),
+      drain_(options.drain),
+      deduplication_(options.deduplication),
+      execution_log_(options.deduplication),
+      joined_timer_(loop, [this] { answer_pending_retries(); }),
+      shadow_path_(options.shadow_configuration),
+      max_shadow_cpu_(options.max_shadow_cpu_per_second) {
+    if (!shadow_path_.empty())
+        shadow_ = std::make_unique<shadow::Shadow>(shadow_settings(DispatcherConfig::read_file(shadow_path_)),
+                                                   options.shadow_sample_interval);
     if (!tubes_.entrances.empty())
-        pullers_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
-                                                       tubes_.trade, tube_workloads_.places, *this, log);
-    if (extras.desk) desk_ = std::make_unique<control::Desk>(loop, *extras.desk, *this, log);
-    if (posting_.window)
-        admin_server_ = std::make_unique<admin::AdminServer>(loop, *posting_.window, *this, log);
+        tube_server_ = std::make_unique<beanstalk::Server>(loop, tubes_.entrances, tubes_.connections,
+                                                           tubes_.trade, tube_workloads_.places, *this, log);
+    if (options.control_socket)
+        control_socket_ = std::make_unique<control::Desk>(loop, *options.control_socket, *this, log);
+    if (config_.admin_address)
+        admin_server_ = std::make_unique<admin::AdminServer>(loop, *config_.admin_address, *this, log);
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
-    heard(posting_.known, UpdateScope::cached);
-    all_blocks_ = loop.block_pool().max_blocks();
-    if (!posting_.heirloom.empty())
-        passage_ = std::make_unique<handover::Passage>(loop, posting_.heirloom, posting_.name, *this, log);
-    if (!extras.snapshot.folder.empty()) restore_snapshot(extras.snapshot);
-    // Where changes come by themselves the module never asks, so the watch is ours to open.
-    follows_by_itself_ = SettingsReader(posting_.orders).get_string("roster.how", "pushed") != "on_request";
-    if (follows_by_itself_) follower_.follow(book_.since());
-    log_.info(net::Loop::now(), "serving as ", log::field("name", posting_.name), " on ",
-              log::field("listen", posting_.listen.text), ", ",
-              log::field("runners", posting_.known.entries.size()), " runners known");
+    apply_listing(config_.known_runners, UpdateScope::cached);
+    total_blocks_ = loop.block_pool().max_blocks();
+    if (!config_.handover_folder.empty())
+        handover_ = std::make_unique<handover::HandoverChannel>(loop, config_.handover_folder, config_.name,
+                                                                *this, log);
+    if (!options.snapshot.folder.empty()) restore_snapshot(options.snapshot);
+    // If discovery pushes changes, the Balancer never requests a watch, so the dispatcher opens it.
+    watches_membership_ = SettingsReader(config_.settings).get_string("roster.how", "pushed") != "on_request";
+    if (watches_membership_) follower_.follow(book_.since());
+    log_.info(net::Loop::now(), "serving as ", log::field("name", config_.name), " on ",
+              log::field("listen", config_.listen.text), ", ",
+              log::field("runners", config_.known_runners.entries.size()), " runners known");
 }
 
 void Dispatcher::run() {
@@ -137,72 +148,72 @@
     loop_.run([this] { end_turn(); });
 }
 
-void Dispatcher::leave() {
+void Dispatcher::shut_down() {
     if (drain_.is_shutting_down()) return;
-    const Micros left_at = net::Loop::now();
+    const Micros now = net::Loop::now();
     Micros longest = 0;
     for (const auto& [name, id] : directory_.workloads) {
         const std::string expiry =
             "workloads." + std::to_string(static_cast<std::uint32_t>(id)) + ".expiry_us";
-        longest =
-            std::max(longest, SettingsReader(workload_registry_.settings()).get_micros(expiry, kLongestStay));
+        longest = std::max(
+            longest, SettingsReader(workload_registry_.settings()).get_micros(expiry, kMaxShutdownTime));
     }
-    last_minute_ = left_at + std::min(longest, kLongestStay) + kLastMinute;
-    links_.stop_all_by(last_minute_);
-    if (pullers_) pullers_->exchange().stop_all_by(last_minute_);
-    log_.info(left_at, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
-    if (posting_.inherited) {
-        // The socket outlives this process, and who else has it accepts. What waits in its queue is theirs to
-        // take; so is whoever has a connection here, told so by the end of their answer or, idle, of the
-        // connection.
+    final_stop_at_ = now + std::min(longest, kMaxShutdownTime) + kFinalStopMargin;
+    links_.stop_all_by(final_stop_at_);
+    if (tube_server_) tube_server_->exchange().stop_all_by(final_stop_at_);
+    log_.info(now, "leaving, ", log::field("tasks", tasks_.size()), " tasks under way");
+    if (config_.inherited_listener) {
+        // The socket outlives this process, and another process accepts from it. That process takes the
+        // connections in the accept queue, and also the clients connected here: their connections are closed
+        // after the current answer, or at once if idle.
         server_.stop_accepting();
-        drain_.shut_down(left_at, last_minute_, left_at, kHandingOver);
+        drain_.shut_down(now, final_stop_at_, now, kIdleCloseSpread);
     } else {
-        drain_.shut_down(left_at, last_minute_,
-                         left_at + std::max(kStillComing, (last_minute_ - left_at) / 2));
+        drain_.shut_down(now, final_stop_at_,
+                         now + std::max(kMinAcceptAfterSignal, (final_stop_at_ - now) / 2));
     }
-    look_at_drain();
+    update_drain();
 }
 
-// What can change in service: discovery's address and the settings, but for what stands in
-// differences_for_restart. All else that was learned, is held or is under way stays as it is, also the list
-// of runners until the new discovery has spoken.
+// Applies what can change while serving: discovery's address and the settings, except those that
+// restart_only_differences() reports. Learned state, holds and tasks under way are kept, and so is the list
+// of runners until the new discovery has answered.
 void Dispatcher::reload(const std::string& path) {
     const Micros now = net::Loop::now();
-    Posting fresh, watched;
+    DispatcherConfig fresh, watched;
     settings::WorkloadRegistry::Change change;
     try {
-        fresh = Posting::read_file(path);
-        fresh.must_state_all_of(posting_);
-        for (const std::string& name : posting_.differences_for_restart(fresh))
+        fresh = DispatcherConfig::read_file(path);
+        fresh.check_states_all_of(config_);
+        for (const std::string& name : config_.restart_only_differences(fresh))
             log_.warning(now, "reload: ", log::field("setting", name), " differs, and needs a restart");
-        fresh.keep_until_restart(posting_);
-        if (shadow_) watched = Posting::read_file(watched_);
-        if (fresh.orders != posting_.orders)
-            change = workload_registry_.update(now, fresh.orders,
-                                               [this](WorkloadId place) { return open(place); });
+        fresh.keep_restart_only_settings(config_);
+        if (shadow_) watched = DispatcherConfig::read_file(shadow_path_);
+        if (fresh.settings != config_.settings)
+            change = workload_registry_.update(
+                now, fresh.settings, [this](WorkloadId place) { return is_workload_in_use(place); });
     } catch (const std::exception& e) {
-        // Against a file that is missing, half written or wrong: what serves goes on as it was, whole.
+        // The file may be missing, half written or invalid: nothing is changed.
         counters_.on_reload_rejected();
         return log_.warning(now, "reload: ", e.what(), "; the old configuration stays");
     }
     counters_.on_reload_applied();
-    if (fresh.orders != posting_.orders)
-        restate(fresh, change);
+    if (fresh.settings != config_.settings)
+        apply_settings(fresh, change);
     else
         log_.info(now, "reload: the settings stay");
-    if (shadow_) shadow_->skip(), shadow_->restate(over_ours(watched));
-    if (fresh.discovery.text == posting_.discovery.text) return log_.info(now, "reload: discovery stays");
-    log_.info(now, "reload: discovery moves from ", log::field("from", posting_.discovery.text), " to ",
+    if (shadow_) shadow_->abandon_turn(), shadow_->set_settings(shadow_settings(watched));
+    if (fresh.discovery.text == config_.discovery.text) return log_.info(now, "reload: discovery stays");
+    log_.info(now, "reload: discovery moves from ", log::field("from", config_.discovery.text), " to ",
               log::field("to", fresh.discovery.text));
-    posting_.discovery = fresh.discovery;
-    follower_.move(posting_.discovery);
+    config_.discovery = fresh.discovery;
+    follower_.move(config_.discovery);
     book_.count_anew();
     follower_.follow(book_.since());
 }
 
-bool Dispatcher::open(WorkloadId place) const {
-    // A tube that shares a workload shares the terms that it had at the start.
+bool Dispatcher::is_workload_in_use(WorkloadId place) const {
+    // A tube that shares a workload keeps using the settings that the workload had at the start.
     const auto& named = tube_workloads_.places.named;
     return std::any_of(named.begin(), named.end(),
                        [place](const auto& tube) { return tube.second == place; }) ||
@@ -210,21 +221,22 @@
                        [place](const auto& task) { return task.second.workload == place; });
 }
 
-// What the connections of each kind may take, of what this process may hold for now.
-void Dispatcher::share_out() {
-    const std::size_t sockets = sockets_left(posting_, tubes_, own_part(posting_.sockets));
-    server_.restate(room(posting_, sockets));
-    links_.restate(upkeep(posting_, sockets));
+// Divides the descriptors that this process may use at present between clients and runners.
+void Dispatcher::share_limits() {
+    const std::size_t sockets = available_sockets(config_, tubes_, own_share(config_.sockets));
+    server_.restate(client_limits(config_, sockets));
+    links_.restate(runner_limits(config_, sockets));
 }
 
-// Who is under way goes on by the old terms, whoever comes from now on by the new.
-void Dispatcher::restate(const Posting& fresh, const settings::WorkloadRegistry::Change& change) {
+// Tasks under way keep the old settings; new tasks use the new ones.
+void Dispatcher::apply_settings(const DispatcherConfig& fresh,
+                                const settings::WorkloadRegistry::Change& change) {
     const Micros now = net::Loop::now();
-    posting_.orders = fresh.orders, posting_.stated = fresh.stated;
-    directory_ = clients::Directory(posting_.orders, workload_registry_.active_workloads());
+    config_.settings = fresh.settings, config_.stated_names = fresh.stated_names;
+    directory_ = clients::Directory(config_.settings, workload_registry_.active_workloads());
     for (const auto& [name, id] : directory_.workloads) counters_.add_workload(name);
-    share_out();
-    note(SettingsChanged{workload_registry_.settings(), change.learn_from});
+    share_limits();
+    apply_event(SettingsChanged{workload_registry_.settings(), change.learn_from});
     const auto list = [](const std::vector<std::string>& names) {
         std::string all;
         for (const std::string& name : names) all += (all.empty() ? "" : ", ") + name;
@@ -235,79 +247,81 @@
               "; changed: ", log::field("changed", list(change.changed)));
 }
 
-// Carries out what the drain wants now: of the front, of the connections, and of whoever still waits.
-void Dispatcher::look_at_drain() {
+// Applies the drain's current directive to the servers, their connections and the queued tasks.
+void Dispatcher::update_drain() {
     const Micros now = net::Loop::now();
-    const drain::DrainDirective wanted =
-        drain_.evaluate(now, {unanswered(), server_.busy() + (pullers_ && !pullers_->quiet())});
-    if (pullers_) {
-        // A producer keeps its job, and needs no front to be told: from the order on, and at a restart once
-        // others are told.
-        pullers_->exchange().turn_away(drain_.is_shutting_down() ? wanted.closes_after_response
-                                                                 : drain_.phase() != drain::Phase::serving);
-        pullers_->exchange().hand_out(
+    const drain::DrainDirective directive =
+        drain_.evaluate(now, {unanswered(), server_.busy() + (tube_server_ && !tube_server_->quiet())});
+    if (tube_server_) {
+        // A producer keeps a job that is turned away, so no load balancer has to notice first: a requested
+        // drain turns jobs away at once, a shutdown when connections are closed.
+        tube_server_->exchange().turn_away(drain_.is_shutting_down()
+                                               ? directive.closes_after_response
+                                               : drain_.phase() != drain::Phase::serving);
+        tube_server_->exchange().hand_out(
             drain_.phase() == drain::Phase::serving ||
-            (drain_.phase() == drain::Phase::draining && !wanted.answers_waiting_tasks));
-        if (wanted.closes_after_response && drain_.is_shutting_down()) pullers_->leave();
+            (drain_.phase() == drain::Phase::draining && !directive.answers_waiting_tasks));
+        if (directive.closes_after_response && drain_.is_shutting_down()) tube_server_->leave();
     }
-    healthy_ = wanted.is_healthy;
+    is_healthy_ = directive.is_healthy;
     if (!server_.leaving())
-        server_.bear({wanted.is_healthy, wanted.rejects_new_tasks, wanted.closes_after_response});
-    if (wanted.closes_after_response && drain_.is_shutting_down() && wanted.idle_fraction_to_keep <= 0) {
+        server_.bear({directive.is_healthy, directive.rejects_new_tasks, directive.closes_after_response});
+    if (directive.closes_after_response && drain_.is_shutting_down() &&
+        directive.idle_fraction_to_keep <= 0) {
         if (!server_.leaving()) server_.leave();
-    } else if (wanted.closes_after_response) {
-        if (!std::exchange(closing_, true)) idle_at_closing_ = server_.idle();
-        server_.keep_idle(
-            static_cast<std::size_t>(static_cast<double>(idle_at_closing_) * wanted.idle_fraction_to_keep));
+    } else if (directive.closes_after_response) {
+        if (!std::exchange(is_closing_, true)) idle_at_drain_start_ = server_.idle();
+        server_.keep_idle(static_cast<std::size_t>(static_cast<double>(idle_at_drain_start_) *
+                                                   directive.idle_fraction_to_keep));
     } else {
-        closing_ = false;
+        is_closing_ = false;
     }
-    // Against a task that waits to the end: it cannot any more, and silence would lose it. Whether it may
-    // have run is the module's to know, so each answer is the honest one, and what is still out is withdrawn.
-    if (wanted.answers_waiting_tasks) note(DrainDeadline{});
-    if (drain_.phase() != told_phase_) {
-        told_phase_ = drain_.phase();
-        log_.info(now, "drain: ", log::field("phase", drain::name_of(told_phase_)), ", ",
+    // Queued tasks can no longer be served in time and must be answered. The Balancer knows whether each may
+    // have run, answers accordingly, and withdraws what is still in flight.
+    if (directive.answers_waiting_tasks) apply_event(DrainDeadline{});
+    if (drain_.phase() != reported_phase_) {
+        reported_phase_ = drain_.phase();
+        log_.info(now, "drain: ", log::field("phase", drain::name_of(reported_phase_)), ", ",
                   log::field("tasks", unanswered()), " tasks wait");
-        publish("drain", tell_drain());
+        publish("drain", drain_status());
     }
-    if (wanted.should_exit) {
+    if (directive.should_exit) {
         if (snapshot_scheduler_) snapshot_scheduler_->write_final();
         log_.info(now, "left after ", log::field("ms", (now - drain_.changed_at()) / 1000), " ms");
         return loop_.stop();
     }
-    if (wanted.next_evaluation_at > 0)
-        farewell_.set(wanted.next_evaluation_at);
+    if (directive.next_evaluation_at > 0)
+        drain_timer_.set(directive.next_evaluation_at);
     else
-        farewell_.cancel();
+        drain_timer_.cancel();
 }
 
-// ---- what comes in -----------------------------------------------------------------------------------
+// ---- Events ------------------------------------------------------------------------------------------
 
-void Dispatcher::note(const Event& event) {
-    if (shadow_) watch_turn(event);
+void Dispatcher::apply_event(const Event& event) {
+    if (shadow_) shadow_event(event);
     balancer_.apply(net::Loop::now(), event);
-    noted_ = true;
+    has_new_events_ = true;
 }
 
-bool Dispatcher::heard(const roster::Listing& listing, UpdateScope scope) {
-    auto news = book_.take(listing, scope, net::Loop::now());
-    if (!news) return false;
-    holds_.lay_over(*news, book_);
-    for (const auto& seat : news->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
-    if (pullers_)
-        for (EndpointEntry& e : news->for_module.entries) e.workloads = tube_workloads_.for_pushed;
-    guests_.lay_over(news->for_module, holds_, book_);
-    note(news->for_module);
-    if (passage_ && passage_->has_heirs())
-        passage_->tell({handover::Kind::list, roster::spell(book_.held())});
+bool Dispatcher::apply_listing(const roster::Listing& listing, UpdateScope scope) {
+    auto update = book_.take(listing, scope, net::Loop::now());
+    if (!update) return false;
+    holds_.lay_over(*update, book_);
+    for (const auto& seat : update->seats) links_.seat(seat.runner, seat.address, seat.open, seat.restarted);
+    if (tube_server_)
+        for (EndpointEntry& e : update->for_module.entries) e.workloads = tube_workloads_.for_pushed;
+    pull_workers_.lay_over(update->for_module, holds_, book_);
+    apply_event(update->for_module);
+    if (handover_ && handover_->has_successors())
+        handover_->send({handover::MessageKind::list, roster::spell(book_.held())});
     return true;
 }
 
-TaskId Dispatcher::take(fronts::Asker& asker, fronts::Handed&& request, net::BlockBuffer&& body,
-                        Micros came_at) {
-    const TaskId id{++tasks_taken_};
-    if (deduplication_.is_enabled && take_as_repeat(id, asker, request, came_at + request.patience))
+TaskId Dispatcher::take(fronts::Asker& requester, fronts::Handed&& request, net::BlockBuffer&& body,
+                        Micros arrived_at) {
+    const TaskId id{++tasks_accepted_};
+    if (deduplication_.is_enabled && join_original(id, requester, request, arrived_at + request.patience))
         return id;
     std::string lines;
     if (request.pushable) {
@@ -317,7 +331,7 @@
         if (!request.content_type.empty()) head.field("Content-Type", request.content_type);
         head.content_length(body.size());
         lines = head.head();
-        lines.resize(lines.size() - 2);  // the empty line comes after the time it has
+        lines.resize(lines.size() - 2);  // the empty line follows the field with the remaining time
     }
 
     TaskArrived arrived;
@@ -325,43 +339,43 @@
     arrived.workload = request.workload;
     arrived.customer = request.customer;
     arrived.key = request.key;
-    arrived.expiry = came_at + request.patience;
+    arrived.expiry = arrived_at + request.patience;
     arrived.cost_hint = request.cost_hint;
     arrived.hint_valid = request.cost_hint > 0;
     arrived.slots = request.slots;
     arrived.memory = request.memory;
     arrived.client_retry = request.repeat;
-    std::string sign = deduplication_.is_enabled ? sign_of(request) : "";
-    if (!sign.empty()) execution_log_.on_started(net::Loop::now(), sign, id);
-    ids_.insert(request.id);
-    tasks_.emplace(id, Task{&asker, std::move(request.id), std::move(lines), std::move(body), arrived.expiry,
-                            request.workload, came_at, 0, 0, false, std::move(sign)});
-    note(arrived);
+    std::string retry_key = deduplication_.is_enabled ? retry_key_of(request) : "";
+    if (!retry_key.empty()) execution_log_.on_started(net::Loop::now(), retry_key, id);
+    request_ids_.insert(request.id);
+    tasks_.emplace(id, Task{&requester, std::move(request.id), std::move(lines), std::move(body),
+                            arrived.expiry, request.workload, arrived_at, 0, 0, false, std::move(retry_key)});
+    apply_event(arrived);
     return id;
 }
 
 void Dispatcher::left(TaskId id) {
-    if (left_joined(id)) return;
-    if (const auto first = stands_for_.find(id); first != stands_for_.end()) {
+    if (remove_joined_retry(id)) return;
+    if (const auto first = replaced_task_.find(id); first != replaced_task_.end()) {
         const TaskId stood_for = first->second;
-        stands_for_.erase(first);
+        replaced_task_.erase(first);
         return left(stood_for);
     }
     const auto task = tasks_.find(id);
-    if (task == tasks_.end() || pass_on(task)) return;
-    // Nobody waits any more, and what is out is withdrawn: how far it came nobody will hear.
-    if (const Task& t = task->second; !t.sign.empty())
-        t.out > 0 || t.ran ? execution_log_.on_may_have_run(net::Loop::now(), t.sign, id)
-                           : execution_log_.on_never_ran(t.sign, id);
-    end_asking(task);
-    note(ClientDisconnected{id});
-    forget_if_over(task);
+    if (task == tasks_.end() || hand_task_to_retry(task)) return;
+    // The client is gone and the assignments are withdrawn, so how far they got will never be known.
+    if (const Task& t = task->second; !t.retry_key.empty())
+        t.in_flight > 0 || t.may_have_run ? execution_log_.on_may_have_run(net::Loop::now(), t.retry_key, id)
+                                          : execution_log_.on_never_ran(t.retry_key, id);
+    detach_requester(task);
+    apply_event(ClientDisconnected{id});
+    erase_if_finished(task);
 }
 
 void Dispatcher::errand_ended(runners::ErrandEnded&& ended) {
     const auto task = tasks_.find(ended.task);
     if (task == tasks_.end()) return;
-    --task->second.out;
+    --task->second.in_flight;
     if (ended.ending == net::CloseReason::out_of_sockets)
         log_.warning(net::Loop::now(), "runners: no descriptor or buffer left for an assignment");
     else if (ended.ending != net::CloseReason::done)
@@ -369,7 +383,7 @@
                    log::field("request", task->second.request_id), " at ",
                    log::field("runner", book_.name_of(ended.runner)), " ended: ", net::name_of(ended.ending),
                    ", after ", log::field("ms", ended.elapsed / 1000), " ms");
-    if (ended.ending != net::CloseReason::done) keep_failure(task->second, ended);
+    if (ended.ending != net::CloseReason::done) record_failure(task->second, ended);
     AssignmentEnded e;
     e.task = ended.task;
     e.elapsed = ended.elapsed;
@@ -377,138 +391,140 @@
     e.assignment = ended.number;
     e.outcome = outcome_of(ended.ending);
     e.report = std::move(ended.report);
-    task->second.ran = task->second.ran || !proves_never_ran(e.outcome);
-    // The first result goes to the client by itself.
-    if (e.outcome == Outcome::finished && task->second.asker)
-        answer(ended.task, clients::Answer::finished, ended.result, 0);
-    e.task_answered = !task->second.asker;
-    note(e);
-    forget_if_over(task);
+    task->second.may_have_run = task->second.may_have_run || !proves_never_ran(e.outcome);
+    // The first result is sent to the client at once, without the Balancer.
+    if (e.outcome == Outcome::finished && task->second.requester)
+        answer_task(ended.task, clients::Answer::finished, ended.result, 0);
+    e.task_answered = !task->second.requester;
+    apply_event(e);
+    erase_if_finished(task);
 }
 
 void Dispatcher::progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) {
-    note(Progress{task, share, runner, number, stage});
+    apply_event(Progress{task, share, runner, number, stage});
 }
 
 void Dispatcher::probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) {
-    note(ProbeEnded{runner, outcome_of(ending), elapsed, std::move(report)});
+    apply_event(ProbeEnded{runner, outcome_of(ending), elapsed, std::move(report)});
 }
 
-// ---- what goes out -----------------------------------------------------------------------------------
+// ---- Actions -----------------------------------------------------------------------------------------
 
 void Dispatcher::end_turn() {
-    if (drain_.phase() != drain::Phase::serving) look_at_drain();
-    if (!owed_.empty()) answer_owed();
-    if (pullers_) pullers_->look();
-    // What carrying out brings at once, such as an assignment that is moot, is a batch of its own.
-    while (std::exchange(noted_, false)) {
+    if (drain_.phase() != drain::Phase::serving) update_drain();
+    if (!pending_answers_.empty()) answer_pending_retries();
+    if (tube_server_) tube_server_->look();
+    // Events that executing an action causes, such as an assignment that is no longer needed, form a new
+    // batch.
+    while (std::exchange(has_new_events_, false)) {
         actions_.clear();
         balancer_.collect_actions(net::Loop::now(), actions_);
-        if (shadow_) watch_settled();
-        for (const Action& action : std::exchange(actions_, {})) carry_out(action);
-        if (pullers_) pullers_->look();
+        if (shadow_) compare_shadow();
+        for (const Action& action : std::exchange(actions_, {})) execute(action);
+        if (tube_server_) tube_server_->look();
     }
     links_.sweep();
     server_.sweep();
     follower_.sweep();
-    if (desk_) desk_->sweep();
+    if (control_socket_) control_socket_->sweep();
     if (admin_server_) admin_server_->erase_ended_sessions();
-    if (passage_) passage_->sweep();
-    if (pullers_) pullers_->sweep();
+    if (handover_) handover_->erase_ended_sessions();
+    if (tube_server_) tube_server_->sweep();
 }
 
-void Dispatcher::carry_out(const Action& action) {
-    std::visit(Match{[&](const Assign& a) { assign(a); },
-                     [&](const Bounce& a) { answer(a.task, clients::Answer::bounced, "", a.retry_after); },
-                     [&](const Abandon& a) { answer(a.task, clients::Answer::abandoned, "", 0); },
-                     [&](const Withdraw& a) {
-                         links_.withdraw(a.task, a.assignment);
-                         if (pullers_) pullers_->exchange().withdraw(a.task, a.assignment);
-                     },
-                     [&](const WakeAt& a) { wakes_.emplace(a.at, a.timer), set_wake(); },
-                     [&](const Probe& a) { port_of(a.runner).probe(a.runner); },
-                     [&](const CloseIdle& a) { port_of(a.runner).close_idle(a.runner); },
-                     [&](const BroadcastToPeers& a) { post_.tell_all(a.payload); },
-                     [&](const SendToPeer& a) { post_.tell(a.to, a.payload); },
-                     [&](const LogLine& a) {
-                         const std::string text = with_names(a.text);
-                         log_.info(net::Loop::now(), "choice: ", text);
-                         publish("choice", {{"text", json::Value(text)}});
-                     },
-                     [&](const WatchMembership& a) {
-                         a.on ? follower_.follow(book_.since()) : follower_.stop_following();
-                     },
-                     [&](const FetchMembership&) { follower_.ask(); }},
-               action);
+void Dispatcher::execute(const Action& action) {
+    std::visit(
+        Overloaded{[&](const Assign& a) { start_assignment(a); },
+                   [&](const Bounce& a) { answer_task(a.task, clients::Answer::bounced, "", a.retry_after); },
+                   [&](const Abandon& a) { answer_task(a.task, clients::Answer::abandoned, "", 0); },
+                   [&](const Withdraw& a) {
+                       links_.withdraw(a.task, a.assignment);
+                       if (tube_server_) tube_server_->exchange().withdraw(a.task, a.assignment);
+                   },
+                   [&](const WakeAt& a) { pending_timers_.emplace(a.at, a.timer), arm_timer(); },
+                   [&](const Probe& a) { port_of(a.runner).probe(a.runner); },
+                   [&](const CloseIdle& a) { port_of(a.runner).close_idle(a.runner); },
+                   [&](const BroadcastToPeers& a) { peer_channel_.broadcast(a.payload); },
+                   [&](const SendToPeer& a) { peer_channel_.send(a.to, a.payload); },
+                   [&](const LogLine& a) {
+                       const std::string text = with_runner_names(a.text);
+                       log_.info(net::Loop::now(), "choice: ", text);
+                       publish("choice", {{"text", json::Value(text)}});
+                   },
+                   [&](const WatchMembership& a) {
+                       a.on ? follower_.follow(book_.since()) : follower_.stop_following();
+                   },
+                   [&](const FetchMembership&) { follower_.ask(); }},
+        action);
 }
 
-// The module knows runners by number, the operators by name.
-std::string Dispatcher::with_names(const std::string& text) const {
-    constexpr std::string_view kBefore = "runner ";
-    const auto found = text.find(kBefore);
+// Replaces the number of a runner, as the Balancer logs it, by the runner's name.
+std::string Dispatcher::with_runner_names(const std::string& text) const {
+    constexpr std::string_view kPrefix = "runner ";
+    const auto found = text.find(kPrefix);
     if (found == std::string::npos) return text;
-    const char* const begun = text.data() + found + kBefore.size();
+    const char* const begun = text.data() + found + kPrefix.size();
     std::uint32_t number = 0;
     const auto [end, wrong] = std::from_chars(begun, text.data() + text.size(), number);
     if (wrong != std::errc()) return text;
-    return text.substr(0, found + kBefore.size()) + book_.name_of(RunnerId{number}) + end;
+    return text.substr(0, found + kPrefix.size()) + book_.name_of(RunnerId{number}) + end;
 }
 
-void Dispatcher::assign(const Assign& wanted) {
-    const auto task = tasks_.find(wanted.task);
+void Dispatcher::start_assignment(const Assign& action) {
+    const auto task = tasks_.find(action.task);
     if (task == tasks_.end()) return;
     const int number = task->second.assignments++;
-    ++task->second.out;
+    ++task->second.in_flight;
     Micros stop_at =
-        wanted.deadline > 0 ? std::min(wanted.deadline, task->second.expiry) : task->second.expiry;
-    // At a restart nothing may still be out when the process is killed, whatever time its task has left.
-    if (drain_.is_shutting_down()) stop_at = std::min(stop_at, last_minute_);
-    if (!task->second.asker || stop_at <= net::Loop::now()) {
-        errand_ended({wanted.task, number, wanted.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
+        action.deadline > 0 ? std::min(action.deadline, task->second.expiry) : task->second.expiry;
+    // At a shutdown nothing may be in flight when the process is killed, however late the task expires.
+    if (drain_.is_shutting_down()) stop_at = std::min(stop_at, final_stop_at_);
+    if (!task->second.requester || stop_at <= net::Loop::now()) {
+        errand_ended({action.task, number, action.runner, net::CloseReason::timed_out_unsent, 0, {}, {}});
         return;
     }
-    runners::Port& port = port_of(wanted.runner);
-    if (pullers_ && &port == &links_) pullers_->exchange().went_elsewhere(wanted.task);
-    port.assign(wanted.runner, {wanted.task, number, task->second.request_id, task->second.head,
+    runners::Port& port = port_of(action.runner);
+    if (tube_server_ && &port == &links_) tube_server_->exchange().went_elsewhere(action.task);
+    port.assign(action.runner, {action.task, number, task->second.request_id, task->second.request_head,
                                 &task->second.body, stop_at});
 }
 
-void Dispatcher::answer(TaskId id, clients::Answer answer, std::string_view result, Micros stay_away) {
+void Dispatcher::answer_task(TaskId id, clients::Answer answer, std::string_view result, Micros retry_after) {
     const auto task = tasks_.find(id);
-    if (task == tasks_.end() || !task->second.asker) return;
-    fronts::Asker* const asker = task->second.asker;
+    if (task == tasks_.end() || !task->second.requester) return;
+    fronts::Asker* const requester = task->second.requester;
     counters_.on_answered(workload_name(task->second.workload), answer);
-    note_end(id, task->second, answer, result);
-    end_asking(task);
-    asker->answer(id, answer, result, stay_away);
-    answer_joined(id, answer, result, stay_away);
-    if (answer != clients::Answer::finished) forget_if_over(task);
+    record_execution_end(id, task->second, answer, result);
+    detach_requester(task);
+    requester->answer(id, answer, result, retry_after);
+    answer_joined_retries(id, answer, result, retry_after);
+    if (answer != clients::Answer::finished) erase_if_finished(task);
 }
 
-void Dispatcher::end_asking(Tasks::iterator task) {
-    task->second.asker = nullptr;
-    ids_.erase(task->second.request_id);
+void Dispatcher::detach_requester(Tasks::iterator task) {
+    task->second.requester = nullptr;
+    request_ids_.erase(task->second.request_id);
 }
 
-void Dispatcher::forget_if_over(Tasks::iterator task) {
-    if (!task->second.asker && task->second.out == 0) tasks_.erase(task);
+void Dispatcher::erase_if_finished(Tasks::iterator task) {
+    if (!task->second.requester && task->second.in_flight == 0) tasks_.erase(task);
 }
 
-void Dispatcher::set_wake() {
-    if (!wakes_.empty()) wake_.set(wakes_.top().first);
+void Dispatcher::arm_timer() {
+    if (!pending_timers_.empty()) module_timer_.set(pending_timers_.top().first);
 }
 
-void Dispatcher::wake() {
+void Dispatcher::on_timer() {
     const Micros now = net::Loop::now();
-    while (!wakes_.empty() && wakes_.top().first <= now) {
-        const TimerId mark = wakes_.top().second;
-        wakes_.pop();
-        if (mark == TimerId{})
-            note(TimerFired{mark});
+    while (!pending_timers_.empty() && pending_timers_.top().first <= now) {
+        const TimerId timer = pending_timers_.top().second;
+        pending_timers_.pop();
+        if (timer == TimerId{})
+            apply_event(TimerFired{timer});
         else
             follower_.follow(book_.since());
     }
-    set_wake();
+    arm_timer();
 }
 
 }  // namespace gannethold::dispatcher
--- a/src/dispatcher/dispatcher.hpp
+++ b/src/dispatcher/dispatcher.hpp
@@ -1,5 +1,6 @@
-// Joins clients, runners and the roster to one Balancer: what they bring in a turn of the loop is a batch of
-// events, and what the module then wants is carried out. Decides nothing itself.
+// Connects the client servers, the runners and the membership list to one Balancer. The events of one turn of
+// the event loop are applied as a batch, and the actions that the Balancer returns are executed at its end.
+// The dispatcher itself makes no scheduling decisions.
 #pragma once
 
 #include <deque>
@@ -17,10 +18,10 @@
 #include "balancer.hpp"
 #include "clients/server.hpp"
 #include "control/desk.hpp"
-#include "dispatcher/posting.hpp"
+#include "dispatcher/dispatcher_config.hpp"
 #include "drain/drain.hpp"
 #include "metrics/counters.hpp"
-#include "handover/passage.hpp"
+#include "handover/handover_channel.hpp"
 #include "snapshot/snapshot_scheduler.hpp"
 #include "log/log.hpp"
 #include "settings/workload_registry.hpp"
@@ -35,80 +36,83 @@
 
 namespace gannethold::dispatcher {
 
-// What operators add beyond the platform's configuration.
-struct Extras {
-    std::optional<control::Furniture> desk;  // none: no control socket
-    drain::DrainSettings manners;
-    snapshot::SnapshotSettings snapshot;  // without a folder there are no snapshots
+// Options from the operators' file, in addition to the platform's configuration.
+struct DispatcherOptions {
+    std::optional<control::Furniture> control_socket;  // disengaged: no control socket
+    drain::DrainSettings drain;
+    snapshot::SnapshotSettings snapshot;  // an empty folder disables snapshots
     retry::DeduplicationSettings
-        deduplication;            // disabled: a retry of what may have run is a task like any other
-    beanstalk::Furnishing tubes;  // without an entrance it is off
-    // Settings that are watched and never acted by: their file (read again at a reload; empty: none), a turn
-    // of so many, and the processor's time that a second of it may take.
-    std::string watched;
-    int watched_every = 16;
-    Micros watched_most = 2'000;
+        deduplication;            // disabled: a retry of a task that may have run is treated as a new task
+    beanstalk::Furnishing tubes;  // without a listening address the beanstalkd front is disabled
+    // Shadow evaluation: the file of the settings to compare with, which is read again at a reload (empty:
+    // disabled); one turn of this many is sampled; and the CPU time that sampling may use per second.
+    std::string shadow_configuration;
+    int shadow_sample_interval = 16;
+    Micros max_shadow_cpu_per_second = 2'000;
 };
 
-// Throws std::runtime_error with one line where the tubes would leave too few descriptors to everybody else.
-void must_fit(const Posting& posting, const beanstalk::Furnishing& tubes);
+// Throws std::runtime_error with one line if the connections of the beanstalkd front would leave too few file
+// descriptors for runners and other clients.
+void check_descriptor_limit(const DispatcherConfig& config, const beanstalk::Furnishing& tubes);
 
+// One dispatcher process. Not thread-safe: everything runs on the thread of the event loop.
 class Dispatcher final : public fronts::Taker,
                          public runners::Sender,
                          public control::Office,
                          public beanstalk::House,
                          public admin::AdminHandler,
-                         public handover::Party {
+                         public handover::HandoverHandler {
   public:
-    Dispatcher(net::Loop& loop, const Posting& posting, log::Log& log, const Extras& extras = {});
+    Dispatcher(net::Loop& loop, const DispatcherConfig& config, log::Log& log,
+               const DispatcherOptions& options = {});
 
-    void run();                            // until it has left
-    void end_turn();                       // settles what the turn brought; run() calls it
-    void leave();                          // answers what it has and what still comes, then ends
-    void reload(const std::string& path);  // takes from the file what can change in service
+    void run();        // returns after a shutdown is complete
+    void end_turn();   // executes the actions that the turn's events led to; run() calls it
+    void shut_down();  // begins a graceful shutdown: answers queued and late tasks, then stops the loop
+    void reload(const std::string& path);  // applies the settings of the file that can change while serving
     std::uint16_t port() const { return server_.port(); }
     std::uint16_t admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
     const metrics::Counters& counters() const { return counters_; }
-    const shadow::Counts* watched() const { return shadow_ ? &shadow_->counts() : nullptr; }
-    const beanstalk::Server* pullers() const { return pullers_.get(); }
-    // nullptr: there are no snapshots.
+    const shadow::Counts* shadow_counts() const { return shadow_ ? &shadow_->counts() : nullptr; }
+    const beanstalk::Server* tube_server() const { return tube_server_.get(); }
+    // nullptr if snapshots are disabled.
     const snapshot::SnapshotStats* snapshot_stats() const {
         return snapshot_scheduler_ ? &snapshot_scheduler_->stats() : nullptr;
     }
 
   private:
     struct Task {
-        fronts::Asker* asker = nullptr;  // none once answered, or whoever asked has left
-        std::string request_id, head;
+        fronts::Asker* requester = nullptr;  // nullptr once answered, or once the client has disconnected
+        std::string request_id, request_head;
         net::BlockBuffer body;
         Micros expiry = 0;
         WorkloadId workload{};
-        Micros taken_at = 0;
-        int assignments = 0, out = 0;
-        bool ran = false;  // it may have, somewhere
-        std::string sign;  // by which a retry of it is known; empty: by nothing
+        Micros accepted_at = 0;
+        int assignments = 0, in_flight = 0;
+        bool may_have_run = false;
+        std::string retry_key;  // identifies a retry of this task; empty: retries are not recognised
     };
-    // A retry that waits for the end of the task that it repeats.
-    struct Joined {
-        fronts::Asker* asker = nullptr;
-        TaskId first{};
+    // A retry that waits for the result of the task that it repeats.
+    struct JoinedRetry {
+        fronts::Asker* requester = nullptr;
+        TaskId original{};
         Micros expiry = 0;
         std::string request_id;
         WorkloadId workload{};
     };
     struct Failure {
-        Micros at = 0;
+        Micros failed_at = 0;
         std::string request, runner, workload;
-        net::CloseReason ending{};
+        net::CloseReason close_reason{};
         Micros elapsed = 0;
     };
     using Tasks = std::unordered_map<TaskId, Task>;
 
-    TaskId take(fronts::Asker& asker, fronts::Handed&& handed, net::BlockBuffer&& body,
-                Micros came_at) override;
+    TaskId take(fronts::Asker& requester, fronts::Handed&& request, net::BlockBuffer&& body,
+                Micros arrived_at) override;
     void left(TaskId task) override;
-    bool knows(const std::string& request_id) const override { return ids_.contains(request_id); }
-    bool ready() const override { return !book_.empty() && (!passage_ || passage_->settled()); }
+    bool knows(const std::string& request_id) const override { return request_ids_.contains(request_id); }
+    bool ready() const override { return !book_.empty() && (!handover_ || handover_->is_settled()); }
     void turned_away(WorkloadId workload) override {
         counters_.on_answered(workload_name(workload), fronts::Answer::bounced);
     }
@@ -117,137 +121,140 @@
     void progressed(TaskId task, int number, RunnerId runner, Stage stage, double share) override;
     void probe_ended(RunnerId runner, net::CloseReason ending, Micros elapsed, Report&& report) override;
 
-    // What the front with tubes asks; in pulling.cpp.
+    // Calls from the beanstalkd front; in pull_workers.cpp.
     TaskId hand_in(const queue::Job& job, const std::string& tube, const beanstalk::TubePlan& plan,
                    WorkloadId workload) override;
     void take_back(TaskId task) override { left(task); }
     RunnerId worker_joins(const beanstalk::Entrance& by, const WorkloadSet& serves, bool cold) override;
     void worker_serves(RunnerId worker, const WorkloadSet& serves) override;
     void worker_leaves(RunnerId worker) override;
-    void worker_room(RunnerId worker, double slots) override { note(CapacityReported{worker, slots}); }
+    void worker_room(RunnerId worker, double slots) override { apply_event(CapacityReported{worker, slots}); }
     void probe_ended(RunnerId worker) override { probe_ended(worker, net::CloseReason::done, 0, {}); }
     runners::Port& port_of(RunnerId runner);
     std::size_t unanswered() const;
-    json::Object tell_tubes() const;
-    json::Object kick(const json::Value& request, const std::string& by);
+    json::Object tube_status() const;
+    json::Object kick_job(const json::Value& request, const std::string& by);
 
-    bool heard(const roster::Listing& listing, UpdateScope scope);
-    void note(const Event& event);
-    void carry_out(const Action& action);
-    void assign(const Assign& wanted);
-    void answer(TaskId task, clients::Answer answer, std::string_view result, Micros stay_away);
-    void end_asking(Tasks::iterator task);
-    void forget_if_over(Tasks::iterator task);
-    std::string with_names(const std::string& text) const;
-    void set_wake();
-    void wake();
-    void look_at_drain();
-    bool open(WorkloadId place) const;  // whether anything still goes by its terms
-    void restate(const Posting& fresh, const settings::WorkloadRegistry::Change& change);
-    void share_out();
+    bool apply_listing(const roster::Listing& listing, UpdateScope scope);
+    void apply_event(const Event& event);
+    void execute(const Action& action);
+    void start_assignment(const Assign& action);
+    void answer_task(TaskId task, clients::Answer answer, std::string_view result, Micros retry_after);
+    void detach_requester(Tasks::iterator task);
+    void erase_if_finished(Tasks::iterator task);
+    std::string with_runner_names(const std::string& text) const;
+    void arm_timer();
+    void on_timer();
+    void update_drain();
+    bool is_workload_in_use(WorkloadId workload) const;
+    void apply_settings(const DispatcherConfig& fresh, const settings::WorkloadRegistry::Change& change);
+    void share_limits();
 
-    // Retries of what may have run; in repeating.cpp.
-    std::string sign_of(const fronts::Handed& handed) const;
-    bool take_as_repeat(TaskId id, fronts::Asker& asker, const fronts::Handed& handed, Micros expiry);
-    bool left_joined(TaskId id);
-    bool pass_on(Tasks::iterator task);
-    void answer_joined(TaskId first, fronts::Answer answer, std::string_view result, Micros stay_away);
-    void note_end(TaskId id, const Task& task, fronts::Answer answer, std::string_view result);
-    void answer_owed();
-    json::Object tell_repeats() const;
+    // Retries of tasks that may have run; in retries.cpp.
+    std::string retry_key_of(const fronts::Handed& request) const;
+    bool join_original(TaskId id, fronts::Asker& requester, const fronts::Handed& request, Micros expiry);
+    bool remove_joined_retry(TaskId id);
+    bool hand_task_to_retry(Tasks::iterator task);
+    void answer_joined_retries(TaskId original, fronts::Answer answer, std::string_view result,
+                               Micros retry_after);
+    void record_execution_end(TaskId id, const Task& task, fronts::Answer answer, std::string_view result);
+    void answer_pending_retries();
+    json::Object retry_status() const;
 
-    // The control socket's requests; in office.cpp.
+    // Requests on the control socket; in operator_commands.cpp.
     json::Object answer(const std::string& what, const json::Value& request, const std::string& by) override;
-    json::Object tell_status() const;
-    json::Object tell_runners() const;
-    json::Object tell_tasks() const;
-    json::Object tell_failures() const;
-    json::Object order_drain(const json::Value& request, const std::string& by);
-    json::Object undo_drain(const json::Value& request, const std::string& by);
-    json::Object hold(const json::Value& request, const std::string& by);
-    json::Object release(const json::Value& request, const std::string& by);
-    json::Object tell_drain() const;
-    void heard_anew(const std::string& runner);
-    // What operators' programs call; in calling.cpp.
+    json::Object status() const;
+    json::Object runner_status() const;
+    json::Object task_status() const;
+    json::Object failure_status() const;
+    json::Object start_drain(const json::Value& request, const std::string& by);
+    json::Object cancel_drain(const json::Value& request, const std::string& by);
+    json::Object hold_runner(const json::Value& request, const std::string& by);
+    json::Object release_runner(const json::Value& request, const std::string& by);
+    json::Object drain_status() const;
+    void reapply_hold(const std::string& runner);
+    // Requests to the admin address; in admin_requests.cpp.
     admin::AdminResponse on_admin_request(admin::AdminRequest request) override;
     metrics::Gauges gauges() const;
-    // Between an old and a new one at an upgrade; in handing_over.cpp.
-    std::vector<handover::Word> hand_over() override;
-    void handed(const handover::Word& word) override;
-    void company(std::size_t others) override;
-    std::size_t own_part(std::size_t of) const { return std::max<std::size_t>(1, of / (1 + others_)); }
-    // What is kept over a restart; in remembering.cpp.
+    // The handover from an old to a new dispatcher at an upgrade; in handover.cpp.
+    std::vector<handover::Message> collect_handover() override;
+    void on_handover_message(const handover::Message& message) override;
+    void on_dispatcher_count(std::size_t others) override;
+    std::size_t own_share(std::size_t limit) const {
+        return std::max<std::size_t>(1, limit / (1 + other_dispatchers_));
+    }
+    // The learned state that snapshots and handovers carry; in learned_state.cpp.
     snapshot::SnapshotScheduler::Part collect_snapshot(std::size_t offset, std::size_t max_runners) const;
     void restore_snapshot(const snapshot::SnapshotSettings& settings);
     std::size_t apply_snapshot(const snapshot::Snapshot& saved, const snapshot::DecayPolicy& policy,
-                               const handover::Troubles& troubles);
+                               const handover::RunnerConditions& conditions);
     json::Object snapshot_status() const;
-    // What other settings would decide; in watching.cpp.
-    SettingsMap over_ours(const Posting& watched) const;
-    void watch_turn(const Event& event);
-    void watch_settled();
-    json::Object tell_watched() const;
-    void keep_failure(const Task& task, const runners::ErrandEnded& ended);
+    // Shadow evaluation of other settings; in shadowing.cpp.
+    SettingsMap shadow_settings(const DispatcherConfig& shadow_config) const;
+    void shadow_event(const Event& event);
+    void compare_shadow();
+    json::Object shadow_status() const;
+    void record_failure(const Task& task, const runners::ErrandEnded& ended);
     const std::string& workload_name(WorkloadId id) const;
     void publish(const char* what, json::Object more);
 
     net::Loop& loop_;
     log::Log& log_;
-    Posting posting_;
+    DispatcherConfig config_;
     clients::Directory directory_;
     beanstalk::Furnishing tubes_;
     beanstalk::Workloads tube_workloads_;
     settings::WorkloadRegistry
-        workload_registry_;  // of the posting's workloads, and of the tubes as workloads
+        workload_registry_;  // the workloads of the configuration, and the tubes as workloads
     Balancer balancer_;
     roster::Book book_;
     roster::Follower follower_;
     runners::Links links_;
-    peers::Post post_;
+    peers::PeerChannel peer_channel_;
     clients::Server server_;
     Tasks tasks_;
-    std::set<std::string> ids_;  // of the requests under way
+    std::set<std::string> request_ids_;  // of the tasks that are not yet answered
     std::priority_queue<std::pair<Micros, TimerId>, std::vector<std::pair<Micros, TimerId>>, std::greater<>>
-        wakes_;
-    net::Timer wake_, farewell_;
+        pending_timers_;
+    net::Timer module_timer_, drain_timer_;
     std::vector<Action> actions_;
-    std::uint64_t tasks_taken_ = 0;
+    std::uint64_t tasks_accepted_ = 0;
     drain::Drain drain_;
     roster::Holds holds_;
-    roster::Guests guests_;
-    std::deque<Failure> failures_;  // the newest last
-    std::uint64_t failed_ = 0;
+    roster::Guests pull_workers_;
+    std::deque<Failure> failures_;  // oldest first
+    std::uint64_t failed_assignments_ = 0;
     metrics::Counters counters_;
-    std::size_t idle_at_closing_ = 0;
-    bool closing_ = false, healthy_ = true;
-    drain::Phase told_phase_ = drain::Phase::serving;
+    std::size_t idle_at_drain_start_ = 0;
+    bool is_closing_ = false, is_healthy_ = true;
+    drain::Phase reported_phase_ = drain::Phase::serving;
     const retry::DeduplicationSettings deduplication_;
     retry::ExecutionLog execution_log_;
-    std::unordered_map<TaskId, Joined> joined_;
-    std::unordered_map<TaskId, std::vector<TaskId>> joined_to_;
+    std::unordered_map<TaskId, JoinedRetry> joined_retries_;
+    std::unordered_map<TaskId, std::vector<TaskId>> retries_by_original_;
     std::unordered_map<TaskId, TaskId>
-        stands_for_;  // a retry that has taken the place of whoever asked first
-    std::vector<std::tuple<TaskId, fronts::Answer, std::string>> owed_;
-    std::set<std::pair<Micros, TaskId>> joined_until_;
-    std::uint64_t joins_ = 0, told_ends_ = 0;
+        replaced_task_;  // from a retry to the task that it took over when the first client disconnected
+    std::vector<std::tuple<TaskId, fronts::Answer, std::string>> pending_answers_;
+    std::set<std::pair<Micros, TaskId>> joined_deadlines_;
+    std::uint64_t joined_count_ = 0, answered_from_log_ = 0;
     net::Timer joined_timer_;
-    std::size_t others_ = 0;  // of this name, that live beside this one
-    std::size_t all_blocks_ = 0;
-    bool list_is_own_ = false;  // discovery has spoken to this one itself
-    handover::Troubles troubles_;
-    std::unique_ptr<handover::Passage> passage_;
-    std::unique_ptr<control::Desk> desk_;
+    std::size_t other_dispatchers_ = 0;  // processes of the same name that run beside this one
+    std::size_t total_blocks_ = 0;
+    bool has_discovery_list_ = false;  // this process has received a list from discovery itself
+    handover::RunnerConditions handed_over_conditions_;
+    std::unique_ptr<handover::HandoverChannel> handover_;
+    std::unique_ptr<control::Desk> control_socket_;
     std::unique_ptr<admin::AdminServer> admin_server_;
-    std::unique_ptr<beanstalk::Server> pullers_;
+    std::unique_ptr<beanstalk::Server> tube_server_;
     std::unique_ptr<snapshot::SnapshotScheduler> snapshot_scheduler_;
-    std::string restored_ = "there are no snapshots";
-    const std::string watched_;
-    const Micros watched_most_;
+    std::string restore_summary_ = "there are no snapshots";
+    const std::string shadow_path_;
+    const Micros max_shadow_cpu_;
     std::unique_ptr<shadow::Shadow> shadow_;
-    Micros watch_second_ = 0, watch_spent_ = 0, watch_log_ = 0;
-    std::uint64_t watch_left_out_ = 0;
-    Micros last_minute_ = 0;
-    bool noted_ = false, follows_by_itself_ = false;
+    Micros shadow_second_start_ = 0, shadow_cpu_used_ = 0, next_shadow_log_at_ = 0;
+    std::uint64_t shadow_skipped_ = 0;
+    Micros final_stop_at_ = 0;
+    bool has_new_events_ = false, watches_membership_ = false;
 };
 
 }  // namespace gannethold::dispatcher
--- a/src/dispatcher/outcomes.cpp
+++ b/src/dispatcher/outcomes.cpp
@@ -2,8 +2,8 @@
 
 namespace gannethold::dispatcher {
 
-// In doubt a task may have run: only what shows that no runner can have had the whole request proves
-// otherwise.
+// In doubt a task may have run. Only an ending that shows that no runner can have received the complete
+// request proves the contrary.
 Outcome outcome_of(net::CloseReason ending) {
     using net::CloseReason;
     switch (ending) {
@@ -20,7 +20,7 @@
         case CloseReason::connect_timed_out:
         case CloseReason::broken_unsent:
             return Outcome::connect_failed;
-        // Ours, and no word on the runner: it was never asked.
+        // Caused by this process, and no evidence about the runner: nothing was sent to it.
         case CloseReason::out_of_sockets:
         case CloseReason::timed_out_unsent:
         case CloseReason::cancelled_unsent:
--- a/src/dispatcher/outcomes.hpp
+++ b/src/dispatcher/outcomes.hpp
@@ -1,4 +1,4 @@
-// The one place where the end of an assignment becomes an outcome for the module.
+// Maps the way in which an assignment ended to the outcome that the Balancer works with.
 #pragma once
 
 #include "net/close_reason.hpp"
--- a/src/shadow/shadow.cpp
+++ b/src/shadow/shadow.cpp
@@ -11,22 +11,22 @@
 
 const std::string kWorkloads = "workloads.";
 
-std::size_t workloads_in(const SettingsMap& stated) {
+std::size_t workload_count(const SettingsMap& settings) {
     return static_cast<std::size_t>(
-        std::clamp(SettingsReader(stated).get_number("workloads.count", 0), 0.0, 256.0));
+        std::clamp(SettingsReader(settings).get_number("workloads.count", 0), 0.0, 256.0));
 }
 
-// What a turn decided, by what it is about.
-struct Decided {
-    std::map<TaskId, RunnerId> sent;
+// The decisions of a turn, by kind.
+struct Decisions {
+    std::map<TaskId, RunnerId> assigned;
     std::set<TaskId> bounced, abandoned;
     std::set<std::pair<TaskId, int>> withdrawn;
     std::set<RunnerId> probed, closed;
-    std::set<int> called;
+    std::set<int> list_calls;
 
-    explicit Decided(const std::vector<Action>& actions) {
+    explicit Decisions(const std::vector<Action>& actions) {
         for (const Action& action : actions) {
-            if (const auto* a = std::get_if<Assign>(&action)) sent[a->task] = a->runner;
+            if (const auto* a = std::get_if<Assign>(&action)) assigned[a->task] = a->runner;
             if (const auto* b = std::get_if<Bounce>(&action)) bounced.insert(b->task);
             if (const auto* b = std::get_if<Abandon>(&action)) abandoned.insert(b->task);
             if (const auto* w = std::get_if<Withdraw>(&action)) withdrawn.emplace(w->task, w->assignment);
@@ -34,13 +34,13 @@
             if (const auto* c = std::get_if<CloseIdle>(&action)) closed.insert(c->runner);
             if (std::holds_alternative<WatchMembership>(action) ||
                 std::holds_alternative<FetchMembership>(action))
-                called.insert(0);
+                list_calls.insert(0);
         }
     }
 };
 
 template <class Set>
-void count_unlike(const Set& a, const Set& b, Kind kind, Counts& counts) {
+void count_differences(const Set& a, const Set& b, DecisionKind kind, Counts& counts) {
     for (const auto& item : a)
         ++counts.decisions, counts.differ[static_cast<std::size_t>(kind)] += !b.contains(item);
     for (const auto& item : b)
@@ -49,69 +49,69 @@
 
 }  // namespace
 
-SettingsMap laid_over(const SettingsMap& in_force, const SettingsMap& other) {
+SettingsMap merge_settings(const SettingsMap& in_force, const SettingsMap& other) {
     SettingsMap all;
     for (const auto& [name, value] : other)
         if (!name.starts_with(kWorkloads)) all.emplace(name, value);
-    all[kWorkloads + "count"] = std::to_string(workloads_in(in_force));
-    std::map<std::string, std::string> places;  // of the other's workloads, by name
-    for (std::size_t i = 0; i < workloads_in(other); ++i) {
-        const std::string at = kWorkloads + std::to_string(i) + ".";
-        places[SettingsReader(other).get_string(at + "name", "")] = at;
+    all[kWorkloads + "count"] = std::to_string(workload_count(in_force));
+    std::map<std::string, std::string> prefixes;  // of the other workloads' settings, by name
+    for (std::size_t i = 0; i < workload_count(other); ++i) {
+        const std::string prefix = kWorkloads + std::to_string(i) + ".";
+        prefixes[SettingsReader(other).get_string(prefix + "name", "")] = prefix;
     }
-    for (std::size_t i = 0; i < workloads_in(in_force); ++i) {
-        const std::string at = kWorkloads + std::to_string(i) + ".";
-        const auto named = places.find(SettingsReader(in_force).get_string(at + "name", ""));
-        const SettingsMap& from = named == places.end() ? in_force : other;
-        const std::string from_at = named == places.end() ? at : named->second;
-        for (auto clause = from.lower_bound(from_at);
-             clause != from.end() && clause->first.starts_with(from_at); ++clause)
-            all[at + clause->first.substr(from_at.size())] = clause->second;
+    for (std::size_t i = 0; i < workload_count(in_force); ++i) {
+        const std::string prefix = kWorkloads + std::to_string(i) + ".";
+        const auto same_name = prefixes.find(SettingsReader(in_force).get_string(prefix + "name", ""));
+        const SettingsMap& from = same_name == prefixes.end() ? in_force : other;
+        const std::string from_prefix = same_name == prefixes.end() ? prefix : same_name->second;
+        for (auto setting = from.lower_bound(from_prefix);
+             setting != from.end() && setting->first.starts_with(from_prefix); ++setting)
+            all[prefix + setting->first.substr(from_prefix.size())] = setting->second;
     }
     return all;
 }
 
-void compare(const std::vector<Action>& done, const std::vector<Action>& other, Counts& counts) {
-    const Decided a(done), b(other);
-    const auto answered = [](const Decided& d, TaskId task) {
+void compare(const std::vector<Action>& executed, const std::vector<Action>& other, Counts& counts) {
+    const Decisions a(executed), b(other);
+    const auto answered = [](const Decisions& d, TaskId task) {
         return d.bounced.contains(task) || d.abandoned.contains(task);
     };
-    for (const auto& [task, runner] : a.sent) {
+    for (const auto& [task, runner] : a.assigned) {
         ++counts.decisions;
-        const auto there = b.sent.find(task);
-        if (there != b.sent.end())
-            counts.differ[static_cast<std::size_t>(Kind::runner)] += there->second != runner;
+        const auto other_runner = b.assigned.find(task);
+        if (other_runner != b.assigned.end())
+            counts.differ[static_cast<std::size_t>(DecisionKind::runner)] += other_runner->second != runner;
         else if (!answered(b, task))
-            ++counts.differ[static_cast<std::size_t>(Kind::held_or_sent)];
+            ++counts.differ[static_cast<std::size_t>(DecisionKind::queued_or_assigned)];
     }
-    for (const auto& [task, runner] : b.sent)
-        if (!a.sent.contains(task) && !answered(a, task))
-            ++counts.decisions, ++counts.differ[static_cast<std::size_t>(Kind::held_or_sent)];
-    count_unlike(a.bounced, b.bounced, Kind::bounced, counts);
-    count_unlike(a.abandoned, b.abandoned, Kind::abandoned, counts);
-    count_unlike(a.withdrawn, b.withdrawn, Kind::withdrawn, counts);
-    count_unlike(a.probed, b.probed, Kind::probe, counts);
-    count_unlike(a.called, b.called, Kind::list_call, counts);
-    count_unlike(a.closed, b.closed, Kind::connection_closed, counts);
+    for (const auto& [task, runner] : b.assigned)
+        if (!a.assigned.contains(task) && !answered(a, task))
+            ++counts.decisions, ++counts.differ[static_cast<std::size_t>(DecisionKind::queued_or_assigned)];
+    count_differences(a.bounced, b.bounced, DecisionKind::bounced, counts);
+    count_differences(a.abandoned, b.abandoned, DecisionKind::abandoned, counts);
+    count_differences(a.withdrawn, b.withdrawn, DecisionKind::withdrawn, counts);
+    count_differences(a.probed, b.probed, DecisionKind::probe, counts);
+    count_differences(a.list_calls, b.list_calls, DecisionKind::list_call, counts);
+    count_differences(a.closed, b.closed, DecisionKind::connection_closed, counts);
 }
 
-void Shadow::begin(Micros now, const Balancer& balancer, bool has_time) {
+void Shadow::begin_turn(Micros now, const Balancer& balancer, bool has_time) {
     copy_.reset();
-    if (++turn_ < every_) return;
+    if (++turn_ < sample_interval_) return;
     turn_ = 0;
     if (!has_time) return;
     copy_ = std::make_unique<Balancer>(balancer);
     std::vector<WorkloadId> learn_from;
-    for (std::size_t i = 0; i < workloads_in(other_); ++i) learn_from.push_back(static_cast<WorkloadId>(i));
+    for (std::size_t i = 0; i < workload_count(other_); ++i) learn_from.push_back(static_cast<WorkloadId>(i));
     copy_->apply(now, SettingsChanged{other_, std::move(learn_from)});
 }
 
-void Shadow::settle(Micros now, const std::vector<Action>& done) {
+void Shadow::compare_turn(Micros now, const std::vector<Action>& executed) {
     if (!copy_) return;
     std::vector<Action> other;
     copy_->collect_actions(now, other);
     ++counts_.turns;
-    compare(done, other, counts_);
+    compare(executed, other, counts_);
     copy_.reset();
 }
 
--- a/tests/beanstalk_stories.cpp
+++ b/tests/beanstalk_stories.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <random>
 
-#include "hall.hpp"
+#include "tube_fixture.hpp"
 
 using namespace gannethold;
 using namespace gannethold::beanstalk;
@@ -108,9 +108,9 @@
 TEST_CASE(
     "time to run is over for a side-effecting job: no second run, one final state, and the late delete finds "
     "nothing") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), slow = hall.connect(), other = hall.connect();
-    const auto job = Hall::number(hall.ask(producer, put("final-view")));
+    const auto job = TubeFixture::number(hall.ask(producer, put("final-view")));
     CHECK(hall.ask(slow, "reserve").starts_with("RESERVED"));
     hall.ask(other, "reserve");
     hall.pass(30 * kSecond);
@@ -120,7 +120,7 @@
           "DELETED\r\n");  // anybody may throw away what lies buried
     CHECK(hall.state(job) == "none");
     // Not its end as a run: a worker's word on a job that is no longer its own.
-    const auto second = Hall::number(hall.ask(producer, put("second")));
+    const auto second = TubeFixture::number(hall.ask(producer, put("second")));
     hall.pass(kSecond);
     CHECK(hall.runs["second"] == 1);
     hall.pass(30 * kSecond);
@@ -143,9 +143,9 @@
 
 TEST_CASE("a worker that vanishes with a job: harmless ones run again, others lie buried") {
     for (const bool harmless : {true, false}) {
-        Hall hall(Hall::trade(harmless ? "idempotent" : "side-effecting"));
+        TubeFixture hall(TubeFixture::trade(harmless ? "idempotent" : "side-effecting"));
         const SessionId producer = hall.connect(), lost = hall.connect(), other = hall.connect();
-        const auto job = Hall::number(hall.ask(producer, put("view")));
+        const auto job = TubeFixture::number(hall.ask(producer, put("view")));
         hall.ask(lost, "reserve");
         hall.hang_up(lost);
         hall.ask(other, "reserve-with-timeout 60");
@@ -158,9 +158,9 @@
 }
 
 TEST_CASE("one worker alone gets its harmless job again after its time was over") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId one = hall.connect();
-    const auto job = Hall::number(hall.ask(one, put("proof", "1 0 2")));
+    const auto job = TubeFixture::number(hall.ask(one, put("proof", "1 0 2")));
     CHECK(hall.ask(one, "reserve-with-timeout 9").starts_with("RESERVED"));
     hall.pass(2 * kSecond + 1);
     CHECK(hall.ask(one, "touch " + std::to_string(job)) == "NOT_FOUND\r\n");
@@ -171,15 +171,15 @@
 }
 
 TEST_CASE("touch in the last instant: before the end it lengthens, after it finds nothing") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId one = hall.connect();
-    const auto first = Hall::number(hall.ask(one, put("a", "1 0 5")));
+    const auto first = TubeFixture::number(hall.ask(one, put("a", "1 0 5")));
     hall.ask(one, "reserve");
     hall.pass(5 * kSecond - 1);
     CHECK(hall.ask(one, "touch " + std::to_string(first)) == "TOUCHED\r\n");
     hall.pass(5 * kSecond - 1);
     CHECK(hall.ask(one, "delete " + std::to_string(first)) == "DELETED\r\n");
-    const auto second = Hall::number(hall.ask(one, put("b", "1 0 5")));
+    const auto second = TubeFixture::number(hall.ask(one, put("b", "1 0 5")));
     hall.ask(one, "reserve");
     // In the very instant the time was over first, whoever is heard first.
     hall.now += 5 * kSecond;
@@ -188,12 +188,12 @@
 }
 
 TEST_CASE("a worker holds ten jobs on one connection, each with its own end") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), one = hall.connect();
     std::vector<std::string> numbers;
     for (int i = 0; i < 10; ++i) {
         numbers.push_back(
-            std::to_string(Hall::number(hall.ask(producer, put("j" + std::to_string(i), "1 0 60")))));
+            std::to_string(TubeFixture::number(hall.ask(producer, put("j" + std::to_string(i), "1 0 60")))));
         CHECK(hall.ask(one, "reserve").starts_with("RESERVED " + numbers.back() + " "));
     }
     for (int i = 0; i < 5; ++i)
@@ -211,7 +211,7 @@
 // ----------------------------------------------------------------------------------------------
 
 TEST_CASE("a reserve that times out loses no job, and the next one gets it") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), one = hall.connect();
     hall.ask(one, "reserve-with-timeout 2");
     hall.pass(2 * kSecond + 1);
@@ -225,7 +225,7 @@
 }
 
 TEST_CASE("who has a job whose time is nearly over is told so instead of getting another") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId one = hall.connect();
     hall.ask(one, put("x", "1 0 3"));
     hall.ask(one, "reserve");
@@ -238,7 +238,7 @@
 TEST_CASE(
     "two waiting workers are split by fractions, not by who came first; urgent jobs go before, then older "
     "ones") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId producer = hall.connect(), a = hall.connect(), b = hall.connect();
     int to_a = 0;
     hall.ask(a, "reserve"), hall.ask(b, "reserve");
@@ -248,7 +248,7 @@
         CHECK(got_a != hall.said[b].starts_with("RESERVED"));
         to_a += got_a;
         const SessionId who = got_a ? a : b;
-        hall.ask(who, "delete " + std::to_string(Hall::number(hall.said[who])));
+        hall.ask(who, "delete " + std::to_string(TubeFixture::number(hall.said[who])));
         hall.ask(who, "reserve");
         hall.pass(10'000);
     }
@@ -266,7 +266,7 @@
 }
 
 TEST_CASE("a paused tube gives nothing to those who wait, and gives again when the pause is over") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), one = hall.connect();
     hall.ask(one, "reserve");
     CHECK(hall.ask(producer, "pause-tube default 3") == "PAUSED\r\n");
@@ -279,11 +279,11 @@
 }
 
 TEST_CASE("a job by its number is the module's to give, and one that is not given lies as it lay") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId producer = hall.connect(), one = hall.connect(), other = hall.connect();
-    const auto first = std::to_string(Hall::number(hall.ask(producer, put("first"))));
-    const auto second = std::to_string(Hall::number(hall.ask(producer, put("second"))));
-    const auto late = std::to_string(Hall::number(hall.ask(producer, put("late", "1 600 5"))));
+    const auto first = std::to_string(TubeFixture::number(hall.ask(producer, put("first"))));
+    const auto second = std::to_string(TubeFixture::number(hall.ask(producer, put("second"))));
+    const auto late = std::to_string(TubeFixture::number(hall.ask(producer, put("late", "1 600 5"))));
     CHECK(hall.ask(one, "reserve-job " + second).find("second") != std::string::npos);
     CHECK(hall.ask(other, "reserve-job " + second) == "NOT_FOUND\r\n");
     CHECK(hall.ask(one, "reserve-job 999") == "NOT_FOUND\r\n");
@@ -303,10 +303,10 @@
 // ----------------------------------------------------------------------------------------
 
 TEST_CASE("in a drain nothing is put, what is in hands ends as its worker says, and what waits stays") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), one = hall.connect();
-    const auto a = std::to_string(Hall::number(hall.ask(producer, put("a", "1 0 60"))));
-    const auto b = Hall::number(hall.ask(producer, put("b", "1 0 60")));
+    const auto a = std::to_string(TubeFixture::number(hall.ask(producer, put("a", "1 0 60"))));
+    const auto b = TubeFixture::number(hall.ask(producer, put("b", "1 0 60")));
     hall.ask(one, "reserve");
     hall.exchange.turn_away(true);
     CHECK(hall.ask(producer, put("c")) == "DRAINING\r\n");
@@ -333,9 +333,9 @@
 
 TEST_CASE("a last call with a job in hands: one honest state, and the worker's word comes too late") {
     for (const bool harmless : {true, false}) {
-        Hall hall(Hall::trade(harmless ? "idempotent" : "side-effecting"));
+        TubeFixture hall(TubeFixture::trade(harmless ? "idempotent" : "side-effecting"));
         const SessionId one = hall.connect();
-        const auto job = Hall::number(hall.ask(one, put("x", "1 0 60")));
+        const auto job = TubeFixture::number(hall.ask(one, put("x", "1 0 60")));
         hall.ask(one, "reserve");
         hall.exchange.hand_out(false);
         hall.balancer.apply(hall.now, DrainDeadline{});
@@ -349,10 +349,10 @@
 }
 
 TEST_CASE("bounds hold: jobs, bytes, tubes, and a place that is given back is used again") {
-    Trade trade = Hall::trade("idempotent");
+    Trade trade = TubeFixture::trade("idempotent");
     trade.bounds.max_jobs = 3, trade.bounds.max_bytes = 2'000;
     trade.other_tubes = 2;
-    Hall hall(trade);
+    TubeFixture hall(trade);
     const SessionId one = hall.connect();
     for (int i = 0; i < 3; ++i) CHECK(hall.ask(one, put("x")).starts_with("INSERTED"));
     CHECK(hall.ask(one, put("x")) == "OUT_OF_MEMORY\r\n");
@@ -375,7 +375,7 @@
 
 TEST_CASE("a cold worker gets its part of a budget only, as any runner does") {
     for (const bool cold : {true, false}) {
-        Hall hall(Hall::trade("idempotent", cold));
+        TubeFixture hall(TubeFixture::trade("idempotent", cold));
         const SessionId producer = hall.connect(), one = hall.connect();
         int got = 0;
         hall.ask(one, "reserve");
@@ -384,7 +384,7 @@
             hall.pass(1'000);
             if (!hall.said[one].starts_with("RESERVED")) continue;
             ++got;
-            hall.ask(one, "delete " + std::to_string(Hall::number(hall.said[one])));
+            hall.ask(one, "delete " + std::to_string(TubeFixture::number(hall.said[one])));
             hall.ask(one, "reserve");
         }
         CHECK((got < 200) == cold);
@@ -406,7 +406,7 @@
         std::ranlux24_base chance(static_cast<std::uint32_t>(seed));
         const auto drawn = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
         const bool harmless = seed % 2 == 0;
-        Hall hall(Hall::trade(harmless ? "idempotent" : "side-effecting", seed % 3 == 0), seed);
+        TubeFixture hall(TubeFixture::trade(harmless ? "idempotent" : "side-effecting", seed % 3 == 0), seed);
         std::vector<SessionId> all;
         std::map<std::string, std::uint64_t> put_jobs;  // by body
         std::map<SessionId, std::vector<std::uint64_t>> hands;
@@ -418,7 +418,7 @@
             for (const SessionId s : all) {
                 std::string& words = hall.said[s];
                 if (!words.starts_with("RESERVED ")) continue;
-                hands[s].push_back(Hall::number(words));
+                hands[s].push_back(TubeFixture::number(words));
                 words.clear();
             }
         };
@@ -442,7 +442,7 @@
                 const std::string run_s = std::to_string(1 + drawn(4));
                 const std::string delay_s = drawn(5) ? "0" : "2";
                 const std::string priority = std::to_string(drawn(9));
-                const auto id = Hall::number(hall.ask(s, put(body, priority + " " + delay_s + " " + run_s)));
+                const auto id = TubeFixture::number(hall.ask(s, put(body, priority + " " + delay_s + " " + run_s)));
                 if (id > 0) put_jobs[body] = id, body_of[id] = body;
             } else if (what < 11) {
                 hall.ask(s, "reserve-with-timeout " + std::to_string(drawn(4)));
@@ -485,7 +485,7 @@
 }
 
 TEST_CASE("every command and every error word, as the protocol's page has them") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId a = hall.connect();
     const auto says = [&](const std::string& words, const std::string& wanted) {
         CHECK_MESSAGE(hall.ask(a, words) == wanted, words);
@@ -559,9 +559,9 @@
 TEST_CASE(
     "a worker back on a new connection while its old one stands silent: the job is in one pair of hands at a "
     "time") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), old_one = hall.connect();
-    const auto job = std::to_string(Hall::number(hall.ask(producer, put("view", "1 0 3"))));
+    const auto job = std::to_string(TubeFixture::number(hall.ask(producer, put("view", "1 0 3"))));
     hall.ask(old_one, "reserve");
     const SessionId new_one = hall.connect();
     hall.ask(new_one, "reserve-with-timeout 1");
@@ -577,9 +577,9 @@
 TEST_CASE(
     "a worker that an operator holds back and that says nothing: its job ends by its time, and it gets no "
     "other") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), one = hall.connect();
-    const auto job = Hall::number(hall.ask(producer, put("a", "1 0 3")));
+    const auto job = TubeFixture::number(hall.ask(producer, put("a", "1 0 3")));
     hall.ask(one, "reserve");
     for (const auto& [id, entry] : hall.entries) hall.state_of(id, RunnerState::draining);
     hall.ask(producer, put("b"));
--- a/tests/control_stories.cpp
+++ b/tests/control_stories.cpp
@@ -13,13 +13,13 @@
 
 std::string socket_path() { return "control-" + std::to_string(getpid()) + ".sock"; }
 
-dispatcher::Extras extras(Micros notices = 0, Micros takes = 0) {
-    dispatcher::Extras e;
-    e.desk.emplace();
-    e.desk->path = socket_path();
-    e.desk->patience = 300'000;
-    e.desk->remembered = 10;
-    e.manners = {notices, takes};
+dispatcher::DispatcherOptions options(Micros notices = 0, Micros takes = 0) {
+    dispatcher::DispatcherOptions e;
+    e.control_socket.emplace();
+    e.control_socket->path = socket_path();
+    e.control_socket->patience = 300'000;
+    e.control_socket->remembered = 10;
+    e.drain = {notices, takes};
     return e;
 }
 
@@ -27,7 +27,7 @@
     explicit Ruled(int runners = 1, const std::string& workload = "pure", Micros notices = 0,
                    const std::string& expiry = "900000")
         : DispatcherFixture(runners, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", expiry,
-                            extras(notices, 0)) {}
+                            options(notices, 0)) {}
 
     TestConnection operator_() const {
         sockaddr_un at{};
@@ -192,7 +192,7 @@
     client.send(DispatcherFixture::post("one"));
     t.at_runner("one");
     REQUIRE(Ruled::ok(t.ask("\"do\":\"drain\",\"deadline_s\":20")));
-    t.dispatcher->leave();
+    t.dispatcher->shut_down();
     CHECK(t.ask("\"do\":\"undrain\",\"ticket\":1").find_string("why")->find("leaving for good") !=
           std::string::npos);
     t.at_runner("one").send(DispatcherFixture::done("one"));
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -1,4 +1,4 @@
-// The admin address, and the dispatcher out of service and back: on sockets, against scripted peers.
+// Requests to the admin address, and taking the dispatcher out of service and back, on loopback sockets.
 #include "helpers.hpp"
 
 using namespace gannethold;
@@ -36,7 +36,7 @@
     CHECK(DispatcherFixture().dispatcher->admin_port() == 0);
 }
 
-TEST_CASE("an invalid request is answered so and changes nothing") {
+TEST_CASE("an invalid request is rejected and changes nothing") {
     DispatcherFixture fixture = make_fixture();
     CHECK(is_ok(fixture.call("GET", "/control/ready")));
     CHECK(has_status(fixture.call("GET", "/control"), 404));
@@ -50,14 +50,14 @@
         CHECK(wire.got.starts_with("HTTP/1.1 "));
         CHECK(wire.got[9] != '2');
     }
-    // Half a request is none, whatever the rest would have said.
+    // An incomplete request has no effect.
     fixture.caller("POST /control/out-of-service HTTP/1.1\r\nContent-Length: 5\r\n\r\n12").hang_up();
     fixture.pass(20);
     CHECK(is_ok(fixture.call("GET", "/control/ready")));
     CHECK(is_ok(health(fixture)));
 }
 
-TEST_CASE("a request in any fragments is answered, and one a connection") {
+TEST_CASE("a request in any fragments is answered, and only one per connection") {
     DispatcherFixture fixture = make_fixture();
     const std::string words = "GET /control/ready HTTP/1.1\r\nHost: n\r\n\r\n";
     for (std::size_t at = 1; at < words.size(); ++at) {
@@ -70,7 +70,7 @@
     }
 }
 
-TEST_CASE("callers who send nothing, or half a request, cost neither a caller nor a client anything") {
+TEST_CASE("silent or incomplete admin requests affect neither other admin requests nor clients") {
     DispatcherFixture fixture = make_fixture("\"memory_mb\":64,\"sockets\":96");
     std::vector<TestConnection> idlers;
     for (int i = 0; i < 120; ++i) {
@@ -93,7 +93,7 @@
         3000));
 }
 
-TEST_CASE("the metrics count what happened") {
+TEST_CASE("the metrics count answers, assignments and reloads") {
     DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":96", "on_request", "900000", {},
                               DispatcherFixture::with_admin_server());
     CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 0);
@@ -110,7 +110,7 @@
     fixture.at_runner("w");
     CHECK(metric(fixture, "app_outstanding") == 1);
     CHECK(metric(fixture, "app_forwards_total") == 6);
-    // After its expiry the pure task is rejected; a client that left before is in no count.
+    // After its expiry the idempotent task is rejected; a client that disconnected before is not counted.
     REQUIRE(fixture.until([&] { return waits.has("503"); }));
     TestConnection left = fixture.client();
     left.send(DispatcherFixture::post("l"));
@@ -128,7 +128,7 @@
     fixture.reload("");
     CHECK(metric(fixture, "app_sighup_applied_total") == 1);
     CHECK(metric(fixture, "app_sighup_rejected_total") == 2);
-    // A runner that cannot be reached is ejected, as the balancer says.
+    // A runner that cannot be reached is ejected.
     CHECK(metric(fixture, "app_ejected") == 0);
     for (TestConnection& wire : fixture.runner_listeners[0]->connections()) wire.hang_up();
     fixture.runner_listeners[0]->shut();
@@ -152,7 +152,7 @@
     CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 0);
 }
 
-TEST_CASE("out of service, clients learn it at once, lose nothing, and are gone well inside four seconds") {
+TEST_CASE("out of service, clients are notified at once, lose no task, and are closed well within four seconds") {
     DispatcherFixture fixture = make_fixture();
     TestConnection idle = fixture.client();
     TestConnection busy = fixture.client();
@@ -166,8 +166,8 @@
     CHECK(has_status(health(fixture), 503));
     CHECK(net::Loop::now() - from < 100'000);
     CHECK(has_status(fixture.call("GET", "/control/ready"), 503));
-    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));  // twice is once
-    // Until the load balancer has noticed, whoever still comes is served.
+    CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));  // a repeated request changes nothing
+    // Until the load balancer has noticed, new clients are still served.
     TestConnection late = fixture.client();
     late.send(DispatcherFixture::post("l"));
     runner.send(DispatcherFixture::done("b"));
@@ -181,7 +181,7 @@
     CHECK(after.has("503"));
     CHECK(after.has("Retry-After"));
     CHECK(metric(fixture, "app_declined_total{service=\"render\"}") == 1);
-    // And back, also twice: in service already.
+    // Back in service; a repeated request changes nothing.
     CHECK(is_ok(fixture.call("POST", "/control/in-service")));
     CHECK(is_ok(health(fixture)));
     CHECK(is_ok(fixture.call("POST", "/control/in-service")));
@@ -206,7 +206,7 @@
     CHECK(fixture.until([&] { return half.has("picture") && half.ended(); }, 500));
 }
 
-TEST_CASE("orders at the admin address and on the control socket are one drain, and a signal ends both") {
+TEST_CASE("the admin address and the control socket control the same drain, and a signal ends both") {
     DispatcherFixture fixture = make_fixture();
     auto& office = static_cast<control::Office&>(*fixture.dispatcher);
     json::Object order;
@@ -217,10 +217,10 @@
     CHECK(has_status(refused, 409));
     CHECK(refused.find("the order of ada stands") != std::string::npos);
     CHECK(has_status(health(fixture), 503));
-    // In mid-reload, and with a signal beside it.
+    // During a reload, and together with a signal.
     fixture.reload(fixture.text);
     CHECK(has_status(fixture.call("GET", "/control/ready"), 503));
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     CHECK(is_ok(fixture.call("POST", "/control/out-of-service")));
     CHECK(has_status(fixture.call("POST", "/control/in-service"), 409));
     CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 4000));
--- a/tests/dispatcher/learned_state_test.cpp
+++ b/tests/dispatcher/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// What a dispatcher learned, over its restart.
+// The learned state of a dispatcher is kept over its restart.
 #include "helpers.hpp"
 
 #include <chrono>
@@ -15,20 +15,20 @@
     "a dispatcher writes snapshots without holding up its loop, and the one after it restores estimates and "
     "holds") {
     const TemporaryFolder folder;
-    dispatcher::Extras extras;
-    extras.desk.emplace();
-    extras.desk->path = folder.path + "/c.sock";
-    extras.snapshot.folder = folder.path;
-    extras.snapshot.interval = 100'000;
+    dispatcher::DispatcherOptions options;
+    options.control_socket.emplace();
+    options.control_socket->path = folder.path + "/c.sock";
+    options.snapshot.folder = folder.path;
+    options.snapshot.interval = 100'000;
     const auto ask = [&](DispatcherFixture& fixture, const std::string& what) {
-        TestConnection wire = TestConnection::to_path(extras.desk->path);
+        TestConnection wire = TestConnection::to_path(options.control_socket->path);
         wire.send("{\"v\":1," + what + "}\n");
         REQUIRE(fixture.until([&] { return wire.has("\n"); }));
         return json::parse(wire.got.substr(0, wire.got.find('\n')));
     };
     {
         DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
-                                  extras);
+                                  options);
         for (int i = 0; i < 10; ++i) {
             TestConnection client = fixture.client();
             client.send(DispatcherFixture::post("k" + std::to_string(i)));
@@ -44,12 +44,12 @@
     }
     {
         DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
-                                  extras);
+                                  options);
         const json::Value status = ask(fixture, "\"do\":\"status\"");
         CHECK(*status.find_number("held") == 1);
         CHECK(status.find("keepsake")->find_string("recalled")->find(" runners restored") !=
               std::string::npos);
-        // A folder that can no longer be written is reported, and costs nothing else.
+        // A folder that can no longer be written is reported, and has no other effect.
         std::filesystem::remove_all(folder.path + "/n0.keep");
         std::filesystem::create_directory(folder.path + "/n0.keep.new");
         REQUIRE(fixture.until(
@@ -70,8 +70,8 @@
     "nothing if "
     "none is left") {
     const TemporaryFolder folder;
-    dispatcher::Extras extras;
-    extras.snapshot.folder = folder.path;
+    dispatcher::DispatcherOptions options;
+    options.snapshot.folder = folder.path;
     Snapshot saved = make_snapshot(0, 10'000);
     using namespace std::chrono;
     saved.written_ms = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
@@ -79,14 +79,14 @@
     SnapshotStore(folder.path, "n0").write(encode(saved));
     const auto log_of_start = [&] {
         DispatcherFixture fixture(2, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
-                                  extras);
+                                  options);
         TestConnection client = fixture.client();
         client.send(DispatcherFixture::post("on"));
         fixture.at_runner("on").send(DispatcherFixture::done("on"));
         CHECK(fixture.until([&] { return client.has("picture"); }));
         return fixture.said.str();
     };
-    // Saved of another address, they count for a quarter.
+    // Estimates that were saved for another address count a quarter.
     CHECK(log_of_start().find("2 of 10000 runners restored") != std::string::npos);
     for (SavedRunner& runner : saved.runners) runner.name = "earlier-" + runner.name;
     SnapshotStore(folder.path, "n0").write(encode(saved));
--- a/tests/dispatcher/retries_test.cpp
+++ b/tests/dispatcher/retries_test.cpp
@@ -1,5 +1,5 @@
-// Retries of tasks with effects: whatever becomes of the first attempt, no retry that can be recognised is a
-// second execution.
+// Retries of tasks with side effects: a retry that can be recognised never causes a second execution, whatever
+// the outcome of the first attempt.
 #include "helpers.hpp"
 
 using namespace gannethold;
@@ -7,10 +7,10 @@
 namespace {
 
 DispatcherFixture make_fixture(bool is_enabled = true, const std::string& workload = "side_effect") {
-    dispatcher::Extras extras;
-    extras.deduplication.is_enabled = is_enabled;
+    dispatcher::DispatcherOptions options;
+    options.deduplication.is_enabled = is_enabled;
     return DispatcherFixture(2, workload, "", "\"memory_mb\":64,\"sockets\":64", "on_request", "900000",
-                             extras);
+                             options);
 }
 
 std::string keyed(const std::string& id, const std::string& key = "k1", const std::string& timeout = "900m") {
@@ -43,13 +43,13 @@
     runner.send(DispatcherFixture::done("a", "image"));
     for (TestConnection* client : {&first, &second, &third})
         CHECK(fixture.until([&] { return client->has("200") && client->has("image"); }));
-    // Another key, and another workload's effect, are other tasks.
+    // Requests with another key or another workload are different tasks.
     first.send(keyed("d", "k2"));
     fixture.at_runner("d").send(DispatcherFixture::done("d"));
     CHECK(fixture.until([&] { return first.has("picture"); }));
 }
 
-TEST_CASE("a retry whose first has ended gets the same result, without an execution") {
+TEST_CASE("a retry of a finished task gets the recorded result, without an execution") {
     DispatcherFixture fixture = make_fixture();
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
@@ -61,7 +61,7 @@
     CHECK(count_executions(fixture) == 1);
 }
 
-TEST_CASE("a retry of what may have run is rejected at once, and never forwarded") {
+TEST_CASE("a retry of a task that may have run is rejected at once, and never forwarded") {
     DispatcherFixture fixture = make_fixture();
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
@@ -101,7 +101,7 @@
     CHECK(count_executions(fixture) == 2);
 }
 
-TEST_CASE("both clients gone while it is in flight: nothing is answered twice, and nothing is left behind") {
+TEST_CASE("when both clients disconnect while it is in flight, nothing is answered twice and no state remains") {
     DispatcherFixture fixture = make_fixture();
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
@@ -142,7 +142,7 @@
     CHECK(count_executions(other) == 1);
 }
 
-TEST_CASE("without the setting retries are tasks like any other") {
+TEST_CASE("without the setting a retry is treated as a new task") {
     DispatcherFixture fixture = make_fixture(false);
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,5 +1,5 @@
-// What the tests share: a small host for the balancer, with a clock and a record of all actions; and for
-// sockets a dispatcher among scripted peers on loopback, all in the test's own process.
+// Test fixtures: a host for the Balancer with a virtual clock and a record of all actions, and a dispatcher
+// with scripted clients, runners and discovery on loopback sockets, all in the test's own process.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -106,7 +106,7 @@
         tell(a);
         return a.task;
     }
-    // Ends the assignment that went out last, or the one named.
+    // Ends the last assignment, or the one that is `back` before it.
     void end(Outcome outcome, Micros elapsed = 300'000, int back = 0, Report report = {}) {
         const Assign& s = assigned[assigned.size() - 1 - static_cast<std::size_t>(back)];
         int number = -1;
@@ -169,7 +169,7 @@
         setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
         hang_up();
     }
-    // All that has come since the last look, in got; closed once the other side has ended.
+    // Appends all received bytes to `got`, and sets `closed` once the other side has closed the connection.
     TestConnection& look() {
         char space[65536];
         for (ssize_t n; socket_ >= 0 && (n = recv(socket_, space, sizeof space, 0)) >= 0;) {
@@ -207,7 +207,7 @@
         if (socket_ >= 0) close(std::exchange(socket_, -1));
         for (const int one : std::exchange(waiting_, {})) close(one);
     }
-    // Lets nobody in from now on: its backlog is full, so a connect neither comes up nor is refused.
+    // Fills the backlog, so that a connect neither succeeds nor is refused.
     void stick() {
         REQUIRE(listen(socket_, 0) == 0);
         for (int i = 0; i < 4; ++i) {
@@ -217,7 +217,7 @@
             connect(waiting_.back(), reinterpret_cast<sockaddr*>(&at), sizeof at);
         }
     }
-    // Whoever has come; the newest is last.
+    // The accepted connections, oldest first.
     std::deque<TestConnection>& connections() {
         for (int one; socket_ >= 0 && (one = accept(socket_, nullptr, nullptr)) >= 0;)
             connections_.emplace_back(one);
@@ -233,13 +233,14 @@
     std::deque<TestConnection> connections_;  // tests keep references
 };
 
-// A dispatcher with its runners and its discovery, all of them scripted by the test.
+// A dispatcher whose runners and discovery are scripted by the test.
 struct DispatcherFixture {
     explicit DispatcherFixture(int runners = 1, const std::string& workload = "pure",
                                const std::string& caps = "",
                                const std::string& limits = "\"memory_mb\":64,\"sockets\":64",
                                const std::string& how = "on_request", const std::string& expiry = "900000",
-                               const dispatcher::Extras& extras = {}, const std::string& beside = "") {
+                               const dispatcher::DispatcherOptions& options = {},
+                               const std::string& beside = "") {
         for (int i = 0; i < runners; ++i) runner_listeners.push_back(std::make_unique<TestListener>());
         text =
             "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + std::to_string(TestListener(-1).port) + "\"," +
@@ -253,7 +254,8 @@
             caps + "},\"rules\":{\"fall_multiple\":400},\"workloads\":[{\"name\":\"render\",\"effect\":\"" +
             workload + "\",\"due_time_us\":600000,\"expiry_us\":" + expiry + ",\"importance\":1}]}}";
         dispatcher =
-            std::make_unique<dispatcher::Dispatcher>(loop, dispatcher::Posting::read(text), log, extras);
+            std::make_unique<dispatcher::Dispatcher>(loop, dispatcher::DispatcherConfig::read(text), log,
+                                                     options);
         dispatcher->end_turn();
     }
     std::string list(int version, const std::string& state, bool full, long long started = 0) const {
@@ -270,7 +272,7 @@
         loop.run_once(false);
         dispatcher->end_turn();
     }
-    // Turns until it holds, for a bounded time.
+    // Runs the event loop until the condition holds. Returns false if it does not within the time.
     bool until(const std::function<bool()>& holds, int milliseconds = 3000) {
         for (const Micros end = net::Loop::now() + milliseconds * 1000; net::Loop::now() < end; usleep(200)) {
             turn();
@@ -282,7 +284,7 @@
         until([] { return false; }, milliseconds);
     }
 
-    // With a second address, at which operators' programs call.
+    // The configuration of an admin address.
     static std::string with_admin_server() {
         return "\"admin\":\"127.0.0.1:" + std::to_string(TestListener(-1).port) + "\",";
     }
@@ -291,7 +293,7 @@
         wire.send(words);
         return wire;
     }
-    // What that call is answered, all of it.
+    // Sends an admin request, and returns the complete response.
     std::string call(const std::string& method, const std::string& path) {
         TestConnection wire =
             caller(method + " " + path + " HTTP/1.1\r\nHost: n0\r\nContent-Length: 0\r\n\r\n");
@@ -304,7 +306,7 @@
         return "POST /render/key HTTP/1.1\r\nHost: app\r\nX-Request-ID: " + id + "\r\n" + more +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    // The wire on which that request came to some runner; waits for it.
+    // Waits until a runner has received the request, and returns the connection.
     TestConnection& at_runner(const std::string& id) {
         TestConnection* found = nullptr;
         const auto there = [&] {
@@ -329,7 +331,7 @@
         return taken + line(id, "\"state\":\"done\",\"result\":\"" + result + "\"") + "0\r\n\r\n";
     }
 
-    // SIGHUP with that in the file of the configuration; without a word there is no file.
+    // Reloads a configuration file with this text; if the text is empty, the file does not exist.
     void reload(const std::string& words) {
         const std::string path = "reload-" + std::to_string(getpid()) + ".json";
         if (!words.empty()) std::ofstream(path) << words;
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -257,7 +257,7 @@
 TEST_CASE("a configuration that cannot be served says why in one line") {
     const auto why = [](const std::string& text) {
         try {
-            dispatcher::Posting::read(text);
+            dispatcher::DispatcherConfig::read(text);
         } catch (const std::runtime_error& e) {
             return std::string(e.what());
         }
@@ -277,13 +277,13 @@
     CHECK(why("{" + places + ",\"settings\":{},\"known\":[]}").find("known list") != std::string::npos);
     CHECK(why("{" + places + ",\"settings\":{},\"limits\":{\"sockets\":0}}").find("limit") !=
           std::string::npos);
-    CHECK_THROWS_AS(dispatcher::Posting::read_file("/nowhere/at/all"), std::runtime_error);
-    const auto read = dispatcher::Posting::read("{" + places +
-                                                ",\"settings\":{\"dcs\":[\"a "
-                                                "b\",\"c\"],\"workloads\":[" +
-                                                workload + "],\"caps\":{\"probes\":true}}}");
-    CHECK(read.orders.at("zones") == "a_b,c");
-    CHECK(read.orders.at("workloads.0.effect") == "fingerprinted");
-    CHECK(read.orders.at("workloads.count") == "1");
-    CHECK(read.orders.at("caps.probes") == "true");
+    CHECK_THROWS_AS(dispatcher::DispatcherConfig::read_file("/nowhere/at/all"), std::runtime_error);
+    const auto read = dispatcher::DispatcherConfig::read("{" + places +
+                                                         ",\"settings\":{\"dcs\":[\"a "
+                                                         "b\",\"c\"],\"workloads\":[" +
+                                                         workload + "],\"caps\":{\"probes\":true}}}");
+    CHECK(read.settings.at("zones") == "a_b,c");
+    CHECK(read.settings.at("workloads.0.effect") == "fingerprinted");
+    CHECK(read.settings.at("workloads.count") == "1");
+    CHECK(read.settings.at("caps.probes") == "true");
 }
--- a/tests/recorded/stable_formats_test.cpp
+++ b/tests/recorded/stable_formats_test.cpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "dispatcher/posting.hpp"
-#include "handover/words.hpp"
+#include "dispatcher/dispatcher_config.hpp"
+#include "handover/messages.hpp"
 #include "operator_settings/operator_settings.hpp"
 #include "json/json.hpp"
 #include "toml/toml_reader.hpp"
@@ -38,7 +38,7 @@
 
 std::string refusal(const std::string& text) {
     try {
-        dispatcher::Posting::read(text);
+        dispatcher::DispatcherConfig::read(text);
     } catch (const std::exception& e) {
         return e.what();
     }
@@ -70,21 +70,23 @@
 
 TEST_CASE("the messages of a handover keep their bytes") {
     using namespace handover;
-    CHECK(spell(Greeting{1, "n0", 2}) == R"({"name":"n0","others":2,"v":1})");
-    const Troubles troubles{{"s-1", {2'500'000, -1}}, {"s-2", {0, 700}}, {"s-3", {5, 6}}};
+    CHECK(encode(Greeting{1, "n0", 2}) == R"({"name":"n0","others":2,"v":1})");
+    const RunnerConditions conditions{{"s-1", {2'500'000, -1}}, {"s-2", {0, 700}}, {"s-3", {5, 6}}};
     const std::string spelled =
         R"({"s-1":{"aside_us":2500000},"s-2":{"cold_us":700},"s-3":{"aside_us":5,"cold_us":6}})";
-    CHECK(spell(troubles) == spelled);
-    CHECK(spell(read_troubles(spelled)) == spelled);
+    CHECK(encode(conditions) == spelled);
+    CHECK(encode(decode_runner_conditions(spelled)) == spelled);
     const std::string line = "greeting 3\nabclist 1\nxtroubles 2\n{}learned 0\ndone 0\n";
-    Reader reader;
+    MessageReader reader;
     REQUIRE(reader.feed(line));
     std::string again;
-    std::vector<Kind> kinds;
-    while (const std::optional<Word> word = reader.next()) again += spell(*word), kinds.push_back(word->kind);
+    std::vector<MessageKind> kinds;
+    while (const std::optional<Message> message = reader.next())
+        again += encode(*message), kinds.push_back(message->kind);
     CHECK(again == line);
-    CHECK(kinds == std::vector{Kind::greeting, Kind::list, Kind::troubles, Kind::learned, Kind::done});
-    const auto greeting = read_greeting(R"({"name":"n0","others":2,"v":1})");
+    CHECK(kinds == std::vector{MessageKind::greeting, MessageKind::list, MessageKind::runner_conditions,
+                               MessageKind::learned, MessageKind::done});
+    const auto greeting = decode_greeting(R"({"name":"n0","others":2,"v":1})");
     REQUIRE(greeting);
     CHECK((greeting->version == 1 && greeting->name == "n0" && greeting->others == 2));
 }
@@ -152,8 +154,8 @@
         const std::string within = dot == std::string::npos ? "\"" + name + "\": 7531"
                                                             : "\"" + name.substr(0, dot) + "\": {\"" +
                                                                   name.substr(dot + 1) + "\": 7531}";
-        const auto posting = dispatcher::Posting::read(configuration(", " + within));
-        CHECK(std::any_of(posting.orders.begin(), posting.orders.end(),
+        const auto posting = dispatcher::DispatcherConfig::read(configuration(", " + within));
+        CHECK(std::any_of(posting.settings.begin(), posting.settings.end(),
                           [](const auto& order) { return order.second.find("7531") != std::string::npos; }));
     }
 }
--- a/tests/socket_stories.cpp
+++ b/tests/socket_test.cpp
@@ -13,9 +13,9 @@
     return n;
 }
 
-// Connections to one runner, and what their sender hears.
-struct Street : runners::Sender {
-    Street() : links(loop, *this, runners::Reports({"rif"}), {100'000, 200'000, 4}) { seat(true); }
+// The connections to one scripted runner, and a record of the calls to their Sender.
+struct RunnerLinkFixture : runners::Sender {
+    RunnerLinkFixture() : links(loop, *this, runners::Reports({"rif"}), {100'000, 200'000, 4}) { seat(true); }
     void errand_ended(runners::ErrandEnded&& e) override { ended.push_back(std::move(e)); }
     void written_whole() override { ++written; }
     void progressed(TaskId, int, RunnerId, Stage, double share) override { shares.push_back(share); }
@@ -44,7 +44,7 @@
         }));
         return *asked;
     }
-    // How a new assignment ends after the runner has said that, and hung up or not.
+    // Returns how a new assignment ends after the runner has sent the text, and closed the connection or not.
     CloseReason after(const std::string& words, bool hangs_up = false) {
         const std::size_t before = ended.size();
         assign();
@@ -79,8 +79,8 @@
 
 }  // namespace
 
-TEST_CASE("what a runner says or does ends an assignment as the protocol has it") {
-    Street s;
+TEST_CASE("each answer or failure of a runner ends an assignment as the protocol defines") {
+    RunnerLinkFixture s;
     CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     CHECK(s.ended.back().result == "picture");
     CHECK(s.after(lines("{\"id\":\"7\",\"state\":\"failed\"}\n")) == CloseReason::failed);
@@ -117,18 +117,18 @@
 }
 
 TEST_CASE("a connection that breaks after the last byte leaves a task that may have run") {
-    Street s;
+    RunnerLinkFixture s;
     s.assign();
     s.runner().reset();
     REQUIRE(s.until([&] { return s.ended.size() == 1; }));
     CHECK(s.ended.back().ending == CloseReason::broken);
 }
 
-TEST_CASE("progress is told, and the answer read, wherever the network splits it") {
+TEST_CASE("progress and the answer are read, wherever the network splits them") {
     const std::string text = DispatcherFixture::taken +
                              DispatcherFixture::line("7", "\"state\":\"running\",\"share\":0.5") +
                              DispatcherFixture::done("7").substr(DispatcherFixture::taken.size());
-    Street s;
+    RunnerLinkFixture s;
     for (std::size_t at = 1; at < text.size(); ++at) {
         s.assign();
         TestConnection& wire = s.runner();
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE("an assignment of which no last byte was written has never run") {
-    Street s;
+    RunnerLinkFixture s;
     s.assign("7", 50'000);
     s.runner();
     REQUIRE(s.until([&] { return s.ended.size() == 1; }));
@@ -205,8 +205,8 @@
     CHECK(outcome_of(CloseReason::timed_out) == Outcome::timed_out);
 }
 
-TEST_CASE("nothing is begun at a runner that drains, also when the connect was slow") {
-    Street s;
+TEST_CASE("no assignment begins at a draining runner, also after a slow connect") {
+    RunnerLinkFixture s;
     s.assign();
     s.seat(false);
     CHECK(s.ended.back().ending == CloseReason::drained_unsent);
@@ -224,7 +224,7 @@
 }
 
 TEST_CASE("connections are kept for the next assignment and closed before the runner would") {
-    Street s;
+    RunnerLinkFixture s;
     for (int i = 0; i < 3; ++i) CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     CHECK(s.listener.connections().size() == 1);
     CHECK(s.until([&] { return s.listener.connections().back().ended(); }, 400));
@@ -251,8 +251,8 @@
         [&] { return !moved.connections().empty() && moved.connections().back().has("X-Request-ID: 7"); }));
 }
 
-TEST_CASE("a probe brings the load report, from the body or the header, or says that it cannot") {
-    Street s;
+TEST_CASE("a probe returns the load report, from the body or the header, or fails") {
+    RunnerLinkFixture s;
     s.links.probe(RunnerId{1});
     CHECK(s.runner().has("GET /load HTTP/1.1"));
     s.runner().send("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\ninflight=4\n");
@@ -269,8 +269,8 @@
     CHECK(s.probes[2].first == CloseReason::timed_out);
 }
 
-TEST_CASE("a probe that an old connection breaks is asked again on a new one, and only there") {
-    Street s;
+TEST_CASE("a probe that fails on a kept connection is retried once, on a new connection") {
+    RunnerLinkFixture s;
     CHECK(s.after(DispatcherFixture::done("7")) == CloseReason::done);
     s.listener.connections().back().got.clear();
     s.links.probe(RunnerId{1});
@@ -332,7 +332,7 @@
     CHECK(count(unsafe.runner_listeners[0]->connections()[0].got, "POST") == 1);
 }
 
-TEST_CASE("what was turned away goes to another runner, also a side effect") {
+TEST_CASE("a task that a runner turned away goes to another runner, also with side effects") {
     DispatcherFixture fixture(2, "side_effect");
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("r1"));
@@ -345,7 +345,7 @@
     CHECK(fixture.until([&] { return client.has("picture"); }));
 }
 
-TEST_CASE("a request that comes slowly has its whole time from its last byte on") {
+TEST_CASE("the timeout of a slow request starts at its last byte") {
     DispatcherFixture fixture;
     TestConnection client = fixture.client();
     const std::string request = DispatcherFixture::post("r1", "X-Timeout: 200m\r\n");
@@ -356,7 +356,7 @@
     CHECK(fixture.until([&] { return client.has("picture"); }));
 }
 
-TEST_CASE("a client that leaves ends its task") {
+TEST_CASE("a client that disconnects ends its task") {
     DispatcherFixture fixture;
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("r1"));
@@ -415,7 +415,7 @@
     CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
-TEST_CASE("who says nothing or never comes to an end is sent away well inside three seconds") {
+TEST_CASE("silent clients and unfinished requests are closed well within three seconds") {
     DispatcherFixture fixture;
     TestConnection kept = fixture.client(), silent = fixture.client(), head = fixture.client(),
                    body = fixture.client();
@@ -447,7 +447,7 @@
     CHECK(fixture.loop.block_pool().in_use() == 0);
 }
 
-TEST_CASE("an id that comes twice is taken once, whichever body ends first") {
+TEST_CASE("a duplicate request id is accepted once, whichever body ends first") {
     DispatcherFixture fixture;
     TestConnection slow = fixture.client(), quick = fixture.client();
     const std::string request = DispatcherFixture::post("r1");
@@ -461,7 +461,7 @@
     CHECK(fixture.until([&] { return quick.has("picture"); }));
 }
 
-TEST_CASE("when room is short the silent and the half said go before kept connections") {
+TEST_CASE("when descriptors are short, silent and unfinished connections are closed before kept ones") {
     DispatcherFixture fixture;  // 28 for clients
     std::vector<TestConnection> kept, bad;
     for (int i = 0; i < 10; ++i) {
@@ -511,13 +511,13 @@
     CHECK(late.has("Retry-After: 1.500\r\n"));
     runner.send(DispatcherFixture::done("r0"));
     CHECK(fixture.until([&] { return clients[0].has("picture"); }));
-    Street s;  // of whose links four may be open
+    RunnerLinkFixture s;  // of whose links four may be open
     for (int i = 0; i < 5; ++i) s.assign();
     REQUIRE(s.ended.size() == 1);
     CHECK(s.ended.back().ending == CloseReason::out_of_sockets);
 }
 
-TEST_CASE("clients that do not read hold a bounded memory") {
+TEST_CASE("clients that do not read use a bounded amount of memory") {
     DispatcherFixture fixture;
     TestConnection deaf = fixture.client();
     const std::string ask = "GET /healthz HTTP/1.1\r\n\r\n";
@@ -531,7 +531,7 @@
     CHECK(fixture.until([&] { return other.has("HTTP/1.1 200"); }));
 }
 
-TEST_CASE("a start from the known list serves while discovery is down, and asks again") {
+TEST_CASE("a start from the known list serves while discovery is down, and retries discovery") {
     DispatcherFixture fixture;
     CHECK(fixture.until([&] { return !fixture.discovery.connections().empty(); }));
     CHECK(fixture.until([&] {
@@ -554,7 +554,7 @@
     CHECK(fixture.said.str().find("a line cannot be read") != std::string::npos);
 }
 
-TEST_CASE("a watch is followed line by line, and asked for anew once it falls silent") {
+TEST_CASE("a watch is read line by line, and requested again once it is silent") {
     DispatcherFixture fixture(2);
     REQUIRE(fixture.until([&] {
         return !fixture.discovery.connections().empty() && fixture.discovery.connections()[0].has("\r\n\r\n");
@@ -578,7 +578,7 @@
     CHECK(fixture.until([&] { return fixture.discovery.connections()[1].has("since=10 HTTP/1.1"); }));
 }
 
-TEST_CASE("where changes come by themselves the watch is open from the start, and opened again") {
+TEST_CASE("when discovery pushes changes, the watch is opened at the start, and again when it ends") {
     DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "pushed");
     REQUIRE(fixture.until([&] { return !fixture.discovery.connections().empty(); }));
     CHECK(fixture.until([&] { return fixture.discovery.connections()[0].has("follow=1&since=7 HTTP/1.1"); }));
@@ -586,7 +586,7 @@
     CHECK(fixture.until([&] { return fixture.discovery.connections().size() == 2; }));
 }
 
-TEST_CASE("a reload follows discovery to another address, whatever the old one still says") {
+TEST_CASE("a reload moves to another discovery address, and ignores later answers of the old one") {
     DispatcherFixture fixture;
     const auto watched = [](TestListener& listener, const std::string& since) {
         return !listener.connections().empty() &&
@@ -614,7 +614,7 @@
     REQUIRE(fixture.until([&] { return client.has("second"); }));
     CHECK(fixture.runner_listeners[0]->connections().size() == 1);
     // Any number of times, also while it leaves.
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     fixture.reload(fixture.with(fixture.discovery.address(), again.address()));
     CHECK(fixture.until([&] { return watched(again, "0") && moved.connections()[0].ended(); }, 200));
     CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }));
@@ -680,39 +680,41 @@
     CHECK(failures == 1);
 }
 
-TEST_CASE("peers are told by datagrams, and only those whose address is known are heard") {
+TEST_CASE("peers exchange datagrams, and those from unknown addresses are ignored") {
     const auto free_port = [] {
         return *net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port));
     };
-    const peers::Neighbours first{free_port(), {}, 0}, second{free_port(), {}, 1},
-        stranger{free_port(), {}, 0};
+    const peers::PeerAddresses first{free_port(), {}, 0}, second{free_port(), {}, 1},
+        unknown_peer{free_port(), {}, 0};
     net::Loop loop(16);
-    std::vector<std::string> heard;
-    const auto post = [&](peers::Neighbours n) {
-        n.all = {*first.listen, *second.listen};
-        return std::make_unique<peers::Post>(
-            loop, n, [&heard, me = n.me](PeerId from, std::string_view words) {
-                heard.push_back(std::to_string(static_cast<unsigned>(from)) + ">" + std::to_string(me) +
-                                std::string(words));
+    std::vector<std::string> received;
+    const auto make_channel = [&](peers::PeerAddresses addresses) {
+        addresses.all = {*first.listen, *second.listen};
+        return std::make_unique<peers::PeerChannel>(
+            loop, addresses,
+            [&received, own_index = addresses.own_index](PeerId from, std::string_view message) {
+                received.push_back(std::to_string(static_cast<unsigned>(from)) + ">" +
+                                   std::to_string(own_index) + std::string(message));
             });
     };
-    const auto one = post(first), other = post(second), odd = post(stranger);
-    one->tell_all("a");
-    other->tell(PeerId{0}, "b");
-    other->tell(PeerId{7}, "c");
-    one->tell(PeerId{1}, std::string(300, 'd'));
-    odd->tell(PeerId{1}, "e");
+    const auto first_channel = make_channel(first), second_channel = make_channel(second),
+               unknown = make_channel(unknown_peer);
+    first_channel->broadcast("a");
+    second_channel->send(PeerId{0}, "b");
+    second_channel->send(PeerId{7}, "c");
+    first_channel->send(PeerId{1}, std::string(300, 'd'));
+    unknown->send(PeerId{1}, "e");
     for (int i = 0; i < 100; ++i) loop.run_once(false), usleep(200);
-    std::sort(heard.begin(), heard.end());
-    CHECK(heard == std::vector<std::string>{"0>1a", "1>0b"});
+    std::sort(received.begin(), received.end());
+    CHECK(received == std::vector<std::string>{"0>1a", "1>0b"});
 }
 
-TEST_CASE("a restart loses nothing: what still comes is served, then all is ended") {
+TEST_CASE("a shutdown loses no task: late requests are served, then all connections are closed") {
     DispatcherFixture fixture(2);
     TestConnection kept = fixture.client(), waiting = fixture.client();
     waiting.send(DispatcherFixture::post("r1", "X-Timeout: 20000m\r\n"));
     fixture.at_runner("r1");
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     fixture.pass(200);
     TestConnection late = fixture.client();
     late.send(DispatcherFixture::post("r2"));
@@ -727,12 +729,12 @@
     CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 500));
 }
 
-TEST_CASE("neither silence nor half a request holds up a restart") {
+TEST_CASE("neither a silent client nor half a request delays a shutdown") {
     DispatcherFixture fixture;
     TestConnection silent = fixture.client(), half = fixture.client();
     half.send("POST /render");
     fixture.pass(20);
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     fixture.pass(600);
     TestConnection late = fixture.client();
     late.send("POST /render");
@@ -741,13 +743,14 @@
     CHECK(late.has("HTTP/1.1 408"));
 }
 
-TEST_CASE("while it leaves, a kept connection is served for half its stay, since no other may be back yet") {
+TEST_CASE(
+    "during a shutdown kept connections are served for half of the time, as no other may be ready yet") {
     DispatcherFixture fixture(1, "pure", "", "\"memory_mb\":64,\"sockets\":64", "on_request", "3000000");
     TestConnection client = fixture.client();
     client.send(DispatcherFixture::post("r1"));
     fixture.at_runner("r1").send(DispatcherFixture::done("r1"));
     REQUIRE(fixture.until([&] { return client.has("picture"); }));
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     fixture.pass(1500);
     client.send(DispatcherFixture::post("r2"));
     fixture.at_runner("r2").send(DispatcherFixture::done("r2", "second"));
--- a/tests/hall.hpp
+++ b/tests/tube_fixture.hpp
@@ -1,5 +1,5 @@
-// An exchange and a decision module without a socket between them, in virtual time: what a dispatcher does
-// with both, and a count of who ran what.
+// An Exchange and a Balancer without sockets, in virtual time: does what a dispatcher does with both, and
+// counts how often each job ran.
 #pragma once
 
 #include <map>
@@ -14,9 +14,9 @@
 
 namespace gannethold::beanstalk {
 
-class Hall final : public Floor {
+class TubeFixture final : public Floor {
   public:
-    explicit Hall(Trade trade = {}, std::uint64_t seed = 1)
+    explicit TubeFixture(Trade trade = {}, std::uint64_t seed = 1)
         : orders_(plain_orders()),
           trade_(std::move(trade)),
           workloads_(add_workloads(orders_, trade_)),
@@ -41,7 +41,7 @@
         exchange.closed(now, id);
         settle();
     }
-    // What the session hears at once, or has heard since it last spoke.
+    // Sends a command and returns the replies to it.
     std::string ask(SessionId id, const std::string& words) {
         said[id].clear();
         Reader reader(trade_.longest_body);
@@ -83,7 +83,7 @@
             }
         }
     }
-    // Of a "RESERVED n ..." or "INSERTED n".
+    // The job number in "RESERVED n ..." or "INSERTED n".
     static std::uint64_t number(const std::string& words) {
         const auto space = words.find(' ');
         return space == std::string::npos ? 0 : std::strtoull(words.c_str() + space, nullptr, 10);
@@ -98,8 +98,8 @@
     // ---- Floor ----
     void say(SessionId to, std::string&& words) override {
         if (words.starts_with("RESERVED ")) {
-            // By what the worker is told, and not by what the exchange holds: the body names the job for
-            // good.
+            // Counts by what the worker receives, not by the exchange's own records: the body identifies the
+            // job permanently.
             const std::string body = words.substr(words.find('\n') + 1, words.size() - words.find('\n') - 3);
             ++runs[body];
             last_number[body] = number(words);
--- a/tests/tube_stories.cpp
+++ b/tests/tube_stories.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-dispatcher::Extras with_tubes(std::size_t pushed = 0, const std::string& shares = "",
-                              std::size_t connections = 64) {
-    dispatcher::Extras extras;
-    extras.tubes.entrances.push_back(
+dispatcher::DispatcherOptions with_tubes(std::size_t pushed = 0, const std::string& shares = "",
+                                         std::size_t connections = 64) {
+    dispatcher::DispatcherOptions options;
+    options.tubes.entrances.push_back(
         {*net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
-    extras.tubes.connections = connections;
-    extras.tubes.trade.cold = false;
+    options.tubes.connections = connections;
+    options.tubes.trade.cold = false;
     beanstalk::TubePlan plan;
     plan.name = "render", plan.workload = shares, plan.pushed = pushed;
-    extras.tubes.trade.tubes.push_back(plan);
-    extras.manners.front_notice_delay = extras.manners.closing_period = 50'000;
-    return extras;
+    options.tubes.trade.tubes.push_back(plan);
+    options.drain.front_notice_delay = options.drain.closing_period = 50'000;
+    return options;
 }
 
 constexpr const char* kLimits = "\"memory_mb\":64,\"sockets\":256";
 
 TestConnection tube_client(const DispatcherFixture& t) {
-    return TestConnection::to(t.dispatcher->pullers()->port());
+    return TestConnection::to(t.dispatcher->tube_server()->port());
 }
 
 std::string put(const std::string& body) {
@@ -107,10 +107,10 @@
 }
 
 TEST_CASE("a side-effecting job whose runner breaks lies buried, and only an operator lets it run again") {
-    dispatcher::Extras extras = with_tubes(2);
-    extras.desk.emplace();
-    extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    DispatcherFixture t(1, "pure", "", kLimits, "on_request", "900000", extras);
+    dispatcher::DispatcherOptions options = with_tubes(2);
+    options.control_socket.emplace();
+    options.control_socket->path = "tubes-" + std::to_string(getpid()) + ".sock";
+    DispatcherFixture t(1, "pure", "", kLimits, "on_request", "900000", options);
     TestConnection producer = tube_client(t);
     producer.send("use render\r\n" + put("view"));
     t.at_runner("job-n0-1").reset();
@@ -122,7 +122,7 @@
     }));
     producer.send("kick 5\r\n");
     REQUIRE(t.until([&] { return producer.has("KICKED 0"); }));
-    TestConnection desk = TestConnection::to_path(extras.desk->path);
+    TestConnection desk = TestConnection::to_path(options.control_socket->path);
     desk.send(
         "{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":"
         "\"status\"}\n");
@@ -136,12 +136,12 @@
 }
 
 TEST_CASE("a drain: nothing is put, what is in hands is waited for, and undone all is as before") {
-    dispatcher::Extras extras = with_tubes();
-    extras.desk.emplace();
-    extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", extras);
+    dispatcher::DispatcherOptions options = with_tubes();
+    options.control_socket.emplace();
+    options.control_socket->path = "tubes-" + std::to_string(getpid()) + ".sock";
+    DispatcherFixture t(0, "pure", "", kLimits, "on_request", "900000", options);
     TestConnection producer = tube_client(t), worker = tube_client(t),
-                   desk = TestConnection::to_path(extras.desk->path);
+                   desk = TestConnection::to_path(options.control_socket->path);
     producer.send(put("a") + put("b"));
     worker.send("reserve\r\n");
     REQUIRE(t.until([&] { return worker.has("RESERVED 1"); }));
@@ -177,7 +177,7 @@
     holder.send("reserve\r\n");
     waiter.send("reserve\r\n");
     t.pass(20);
-    t.dispatcher->leave();
+    t.dispatcher->shut_down();
     CHECK(t.until([&] { return waiter.ended() && producer.ended(); }));
     CHECK(t.until([&] { return t.loop.is_stopping(); }, 6000));
     CHECK(t.said.str().find("2 jobs that wait in tubes are lost") != std::string::npos);
--- a/tests/workload_registry_test.cpp
+++ b/tests/workload_registry_test.cpp
@@ -218,18 +218,19 @@
               "settings.rules.cold_from = 1.5, and a number from 0 to 1"},
              {fixture.with("\"importance\":1", "\"importance\":1,\"aim_stretch\":-0.5"),
               "aim_stretch = -0.5"}}) {
-        CHECK_THROWS_WITH_AS(dispatcher::Posting::read(text), doctest::Contains(why.c_str()),
+        CHECK_THROWS_WITH_AS(dispatcher::DispatcherConfig::read(text), doctest::Contains(why.c_str()),
                              std::runtime_error);
     }
     CHECK_THROWS_WITH_AS(
-        dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":4,\"me\":4")),
+        dispatcher::DispatcherConfig::read(fixture.with("\"balancers\":1", "\"balancers\":4,\"me\":4")),
         doctest::Contains("settings.me = 4"), std::runtime_error);
-    CHECK_THROWS_WITH_AS(dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":0")),
-                         doctest::Contains("settings.balancers = 0"), std::runtime_error);
     CHECK_THROWS_WITH_AS(
-        dispatcher::Posting::read(fixture.with(
+        dispatcher::DispatcherConfig::read(fixture.with("\"balancers\":1", "\"balancers\":0")),
+        doctest::Contains("settings.balancers = 0"), std::runtime_error);
+    CHECK_THROWS_WITH_AS(
+        dispatcher::DispatcherConfig::read(fixture.with(
             "\"balancers\":1", "\"balancers\":1,\"tenants\":[{\"name\":\"t\",\"allowance_per_s\":-1}]")),
         doctest::Contains("settings.tenants.0.allowance_per_s = -1"), std::runtime_error);
-    CHECK_NOTHROW(
-        dispatcher::Posting::read(fixture.with("\"balancers\":1", "\"balancers\":4,\"unheard_of\":[1,2]")));
+    CHECK_NOTHROW(dispatcher::DispatcherConfig::read(
+        fixture.with("\"balancers\":1", "\"balancers\":4,\"unheard_of\":[1,2]")));
 }
