--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -58,9 +58,10 @@
 // The descriptors that remain after those of the beanstalkd front, the admin server and the handover.
 std::size_t available_sockets(const DispatcherConfig& config, const beanstalk::Furnishing& tubes,
                               std::size_t own) {
-    const std::size_t used_elsewhere = (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
-                               (config.admin_address ? admin::AdminServer::kMaxDescriptors : 0) +
-                               (config.handover_folder.empty() ? 0 : handover::HandoverChannel::kDescriptors);
+    const std::size_t used_elsewhere =
+        (tubes.entrances.empty() ? 0 : tubes.connections + tubes.entrances.size()) +
+        (config.admin_address ? admin::AdminServer::kMaxDescriptors : 0) +
+        (config.handover_folder.empty() ? 0 : handover::HandoverChannel::kDescriptors);
     return own > used_elsewhere ? own - used_elsewhere : 1;
 }
 
@@ -180,45 +181,46 @@
 // of runners until the new discovery has answered.
 void Dispatcher::reload(const std::string& path) {
     const Micros now = net::Loop::now();
-    DispatcherConfig fresh, watched;
+    DispatcherConfig new_config, shadow_config;
     settings::WorkloadRegistry::Change change;
     try {
-        fresh = DispatcherConfig::read_file(path);
-        fresh.check_states_all_of(config_);
-        for (const std::string& name : config_.restart_only_differences(fresh))
+        new_config = DispatcherConfig::read_file(path);
+        new_config.check_states_all_of(config_);
+        for (const std::string& name : config_.restart_only_differences(new_config))
             log_.warning(now, "reload: ", log::field("setting", name), " differs, and needs a restart");
-        fresh.keep_restart_only_settings(config_);
-        if (shadow_) watched = DispatcherConfig::read_file(shadow_path_);
-        if (fresh.settings != config_.settings)
-            change = workload_registry_.update(
-                now, fresh.settings, [this](WorkloadId place) { return is_workload_in_use(place); });
+        new_config.keep_restart_only_settings(config_);
+        if (shadow_) shadow_config = DispatcherConfig::read_file(shadow_path_);
+        if (new_config.settings != config_.settings)
+            change = workload_registry_.update(now, new_config.settings, [this](WorkloadId workload) {
+                return is_workload_in_use(workload);
+            });
     } catch (const std::exception& e) {
         // The file may be missing, half written or invalid: nothing is changed.
         counters_.on_reload_rejected();
         return log_.warning(now, "reload: ", e.what(), "; the old configuration stays");
     }
     counters_.on_reload_applied();
-    if (fresh.settings != config_.settings)
-        apply_settings(fresh, change);
+    if (new_config.settings != config_.settings)
+        apply_settings(new_config, change);
     else
         log_.info(now, "reload: the settings stay");
-    if (shadow_) shadow_->abandon_turn(), shadow_->set_settings(shadow_settings(watched));
-    if (fresh.discovery.text == config_.discovery.text) return log_.info(now, "reload: discovery stays");
+    if (shadow_) shadow_->abandon_turn(), shadow_->set_settings(shadow_settings(shadow_config));
+    if (new_config.discovery.text == config_.discovery.text) return log_.info(now, "reload: discovery stays");
     log_.info(now, "reload: discovery moves from ", log::field("from", config_.discovery.text), " to ",
-              log::field("to", fresh.discovery.text));
-    config_.discovery = fresh.discovery;
+              log::field("to", new_config.discovery.text));
+    config_.discovery = new_config.discovery;
     follower_.move(config_.discovery);
     book_.count_anew();
     follower_.follow(book_.since());
 }
 
-bool Dispatcher::is_workload_in_use(WorkloadId place) const {
+bool Dispatcher::is_workload_in_use(WorkloadId workload) const {
     // A tube that shares a workload keeps using the settings that the workload had at the start.
     const auto& named = tube_workloads_.places.named;
     return std::any_of(named.begin(), named.end(),
-                       [place](const auto& tube) { return tube.second == place; }) ||
+                       [workload](const auto& tube) { return tube.second == workload; }) ||
            std::any_of(tasks_.begin(), tasks_.end(),
-                       [place](const auto& task) { return task.second.workload == place; });
+                       [workload](const auto& task) { return task.second.workload == workload; });
 }
 
 // Divides the descriptors that this process may use at present between clients and runners.
@@ -357,9 +359,9 @@
 void Dispatcher::left(TaskId id) {
     if (remove_joined_retry(id)) return;
     if (const auto first = replaced_task_.find(id); first != replaced_task_.end()) {
-        const TaskId stood_for = first->second;
+        const TaskId original = first->second;
         replaced_task_.erase(first);
-        return left(stood_for);
+        return left(original);
     }
     const auto task = tasks_.find(id);
     if (task == tasks_.end() || hand_task_to_retry(task)) return;
@@ -463,10 +465,10 @@
     constexpr std::string_view kPrefix = "runner ";
     const auto found = text.find(kPrefix);
     if (found == std::string::npos) return text;
-    const char* const begun = text.data() + found + kPrefix.size();
+    const char* const number_begin = text.data() + found + kPrefix.size();
     std::uint32_t number = 0;
-    const auto [end, wrong] = std::from_chars(begun, text.data() + text.size(), number);
-    if (wrong != std::errc()) return text;
+    const auto [end, error] = std::from_chars(number_begin, text.data() + text.size(), number);
+    if (error != std::errc()) return text;
     return text.substr(0, found + kPrefix.size()) + book_.name_of(RunnerId{number}) + end;
 }
 
--- a/src/dispatcher/dispatcher_config.cpp
+++ b/src/dispatcher/dispatcher_config.cpp
@@ -27,21 +27,21 @@
             flat.begin(), flat.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
         return flat;
     }
-    if (const auto* yes = value.get<bool>()) return *yes ? "true" : "false";
+    if (const auto* flag = value.get<bool>()) return *flag ? "true" : "false";
     if (const auto* number = value.get<json::Number>()) return number->text;
     return "";
 }
 
 // Converts the JSON settings to lines NAME=VALUE, as settings::parse_settings reads them.
 void flatten(const std::string& path, const json::Value& value, std::string& lines) {
-    const std::string under = path.empty() ? "" : path + ".";
+    const std::string prefix = path.empty() ? "" : path + ".";
     if (const auto* object = value.get<json::Object>()) {
-        for (const auto& [name, item] : *object) flatten(under + name, item, lines);
+        for (const auto& [name, item] : *object) flatten(prefix + name, item, lines);
     } else if (const auto* list = value.get<json::Array>()) {
         if (!list->empty() && list->front().get<json::Object>()) {
-            lines += under + "count=" + std::to_string(list->size()) + "\n";
+            lines += prefix + "count=" + std::to_string(list->size()) + "\n";
             for (std::size_t i = 0; i < list->size(); ++i)
-                flatten(under + std::to_string(i), (*list)[i], lines);
+                flatten(prefix + std::to_string(i), (*list)[i], lines);
             return;
         }
         lines += path + "=";
@@ -73,32 +73,33 @@
 }
 
 peers::PeerAddresses read_peers(const json::Value& all) {
-    peers::PeerAddresses n;
-    if (all.find("peer_listen")) n.listen = read_address(all, "peer_listen");
+    peers::PeerAddresses addresses;
+    if (all.find("peer_listen")) addresses.listen = read_address(all, "peer_listen");
     const json::Value* const listed = all.find("peers");
     const json::Array* const list = listed ? listed->get<json::Array>() : nullptr;
-    for (const json::Value& one : list ? *list : json::Array{}) {
-        const auto read = net::Address::parse(scalar_text(one));
-        if (!read) throw std::runtime_error("a peer's address is none: " + json::serialize(one));
-        n.all.push_back(*read);
+    for (const json::Value& item : list ? *list : json::Array{}) {
+        const auto read = net::Address::parse(scalar_text(item));
+        if (!read) throw std::runtime_error("a peer's address is none: " + json::serialize(item));
+        addresses.all.push_back(*read);
     }
     if (const auto* settings = all.find("settings"))
-        n.own_index = static_cast<std::size_t>(std::max(0.0, settings->find_number("me").value_or(0)));
-    return n;
+        addresses.own_index =
+            static_cast<std::size_t>(std::max(0.0, settings->find_number("me").value_or(0)));
+    return addresses;
 }
 
 // Settings of a workload that have no default.
 constexpr const char* kRequiredWorkloadSettings[] = {"name", "effect", "due_time_us", "expiry_us"};
 constexpr double kMaxDurationMicros = 30.0 * 86'400e6;  // 30 days: longer durations are mistakes
 
-void collect_names(const std::string& under, const json::Value& value, int depth,
+void collect_names(const std::string& prefix, const json::Value& value, int depth,
                    std::set<std::string>& names) {
     const auto* const object = value.get<json::Object>();
     if (!object || depth == 0) return;
     for (const auto& [name, item] : *object) {
-        names.insert(under + name);
-        if (under.empty() ? name == "settings" : true)
-            collect_names(under + name + ".", item, depth - 1, names);
+        names.insert(prefix + name);
+        if (prefix.empty() ? name == "settings" : true)
+            collect_names(prefix + name + ".", item, depth - 1, names);
     }
 }
 
@@ -204,8 +205,8 @@
     if (all.find("admin")) config.admin_address = read_address(all, "admin");
     config.peer_addresses = read_peers(all);
     if (const auto* seed = all.find_string("seed")) {
-        const auto [end, wrong] = std::from_chars(seed->data(), seed->data() + seed->size(), config.seed, 16);
-        if (wrong != std::errc() || end != seed->data() + seed->size())
+        const auto [end, error] = std::from_chars(seed->data(), seed->data() + seed->size(), config.seed, 16);
+        if (error != std::errc() || end != seed->data() + seed->size())
             throw std::runtime_error("the seed is no hexadecimal number: " + *seed);
     }
     config.memory_mb = read_limit(all, "memory_mb", config.memory_mb);
@@ -234,7 +235,7 @@
 std::vector<std::string> DispatcherConfig::restart_only_differences(const DispatcherConfig& other) const {
     const auto texts = [](const peers::PeerAddresses& n) {
         std::string all = n.listen ? n.listen->text : "";
-        for (const net::Address& one : n.all) all += " " + one.text;
+        for (const net::Address& item : n.all) all += " " + item.text;
         return all;
     };
     std::vector<std::string> differ;
--- a/src/dispatcher/handover.cpp
+++ b/src/dispatcher/handover.cpp
@@ -38,9 +38,9 @@
             return;
         case handover::MessageKind::learned:
             try {
-                const std::size_t restored_runners = apply_snapshot(
-                    snapshot::decode(message.body), {}, std::exchange(handed_over_conditions_, {}));
-                log_.info(now, "handover: what was learned of ", log::field("runners", restored_runners),
+                const std::size_t restored_count = apply_snapshot(snapshot::decode(message.body), {},
+                                                                  std::exchange(handed_over_conditions_, {}));
+                log_.info(now, "handover: what was learned of ", log::field("runners", restored_count),
                           " runners goes on");
             } catch (const snapshot::FormatError& e) {
                 log_.warning(now, "handover: what was learned cannot be read: ", e.what());
--- a/src/dispatcher/operator_commands.cpp
+++ b/src/dispatcher/operator_commands.cpp
@@ -24,11 +24,11 @@
 Value integer(T n) {
     return Value(Number{std::to_string(n)});
 }
-Value decimal(double x) {
+Value decimal(double number) {
     char text[32];
-    const auto [end, wrong] =
-        std::to_chars(text, text + sizeof text, std::isfinite(x) ? x : 0, std::chars_format::fixed, 4);
-    return Value(Number{std::string(text, wrong == std::errc() ? end : text + 1)});
+    const auto [end, error] = std::to_chars(text, text + sizeof text, std::isfinite(number) ? number : 0,
+                                            std::chars_format::fixed, 4);
+    return Value(Number{std::string(text, error == std::errc() ? end : text + 1)});
 }
 Value milliseconds(Micros t) { return integer(t / 1000); }
 
@@ -39,8 +39,8 @@
 }
 
 std::string operator_label(const Value& request, const std::string& by) {
-    const std::string* const said = request.find_string("by");
-    return said && !said->empty() ? by + " (" + said->substr(0, 80) + ")" : by;
+    const std::string* const operator_name = request.find_string("by");
+    return operator_name && !operator_name->empty() ? by + " (" + operator_name->substr(0, 80) + ")" : by;
 }
 
 std::uint64_t read_ticket(const Value& request) {
@@ -100,12 +100,12 @@
         o["for_ms"] = milliseconds(now - drain_.changed_at());
     }
     if (drain_.ticket() > 0) o["ticket"] = integer(drain_.ticket()), o["by"] = Value(drain_.requested_by());
-    Object left;
+    Object tasks_by_workload;
     std::map<WorkloadId, std::size_t> by_workload;
     for (const auto& [id, task] : tasks_)
         if (task.requester) ++by_workload[task.workload];
-    for (const auto& [id, n] : by_workload) left[workload_name(id)] = integer(n);
-    o["left_by_workload"] = Value(std::move(left));
+    for (const auto& [id, n] : by_workload) tasks_by_workload[workload_name(id)] = integer(n);
+    o["left_by_workload"] = Value(std::move(tasks_by_workload));
     return o;
 }
 
@@ -286,12 +286,12 @@
 
 Object Dispatcher::hold_runner(const Value& request, const std::string& by) {
     const std::string& runner = require_runner(request);
-    const bool works_here = std::any_of(pull_workers_.all().begin(), pull_workers_.all().end(),
-                                        [&](const auto& g) { return book_.name_of(g.first) == runner; });
-    if (!works_here && !book_.present(runner))
+    const bool is_pull_worker = std::any_of(pull_workers_.all().begin(), pull_workers_.all().end(),
+                                            [&](const auto& g) { return book_.name_of(g.first) == runner; });
+    if (!is_pull_worker && !book_.present(runner))
         throw control::Refused("no runner " + runner + " was ever listed");
-    const std::string* const why = request.find_string("why");
-    if (!holds_.add(runner, {net::Loop::now(), by, why ? why->substr(0, 200) : ""}))
+    const std::string* const reason = request.find_string("why");
+    if (!holds_.add(runner, {net::Loop::now(), by, reason ? reason->substr(0, 200) : ""}))
         throw control::Refused(runner + " is held already, by " + holds_.all().at(runner).by);
     log_.info(net::Loop::now(), "control: held ", log::field("runner", runner), " by ", log::field("by", by));
     reapply_hold(runner);
--- a/src/dispatcher/pull_workers.cpp
+++ b/src/dispatcher/pull_workers.cpp
@@ -75,16 +75,16 @@
 }
 
 Object Dispatcher::tube_status() const {
-    const beanstalk::Exchange& x = tube_server_->exchange();
+    const beanstalk::Exchange& exchange = tube_server_->exchange();
     const auto integer = [](auto n) { return Value(Number{std::to_string(n)}); };
     Object all;
-    all["connections"] = integer(x.sessions());
+    all["connections"] = integer(exchange.sessions());
     all["workers"] = integer(pull_workers_.all().size());
-    all["in_hands"] = integer(x.tasks_out());
-    all["jobs"] = integer(x.queue().size());
-    all["bytes"] = integer(x.queue().bytes());
+    all["in_hands"] = integer(exchange.tasks_out());
+    all["jobs"] = integer(exchange.queue().size());
+    all["bytes"] = integer(exchange.queue().bytes());
     json::Array tubes;
-    x.queue().for_each_tube([&](queue::TubeId, const queue::Tube& t) {
+    exchange.queue().for_each_tube([&](queue::TubeId, const queue::Tube& t) {
         Object o;
         o["tube"] = Value(t.name);
         o["ready"] = integer(t.ready.size()), o["delayed"] = integer(t.delayed.size()),
--- a/src/dispatcher/retries.cpp
+++ b/src/dispatcher/retries.cpp
@@ -44,8 +44,7 @@
         joined_timer_.set(joined_deadlines_.begin()->first);
     } else {
         ++answered_from_log_;
-        const bool has_result =
-            recorded->state == retry::ExecutionState::finished && recorded->result;
+        const bool has_result = recorded->state == retry::ExecutionState::finished && recorded->result;
         pending_answers_.emplace_back(id, has_result ? fronts::Answer::finished : fronts::Answer::abandoned,
                                       has_result ? *recorded->result : "");
         retry.original = TaskId{};
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -152,7 +152,7 @@
     CHECK(metric(fixture, "app_succeeded_total{service=\"render\"}") == 0);
 }
 
-TEST_CASE("out of service, clients are notified at once, lose no task, and are closed well within four seconds") {
+TEST_CASE("out of service, clients are notified at once, lose no task, and close within four seconds") {
     DispatcherFixture fixture = make_fixture();
     TestConnection idle = fixture.client();
     TestConnection busy = fixture.client();
--- a/tests/dispatcher/retries_test.cpp
+++ b/tests/dispatcher/retries_test.cpp
@@ -1,5 +1,5 @@
-// Retries of tasks with side effects: a retry that can be recognised never causes a second execution, whatever
-// the outcome of the first attempt.
+// Retries of tasks with side effects: a retry that can be recognised never causes a second execution
+// whatever the outcome of the first attempt.
 #include "helpers.hpp"
 
 using namespace gannethold;
@@ -101,7 +101,7 @@
     CHECK(count_executions(fixture) == 2);
 }
 
-TEST_CASE("when both clients disconnect while it is in flight, nothing is answered twice and no state remains") {
+TEST_CASE("when both clients disconnect while it is in flight, nothing is answered twice and no state is kept") {
     DispatcherFixture fixture = make_fixture();
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
