--- a/tests/dispatcher/retries_test.cpp
+++ b/tests/dispatcher/retries_test.cpp
@@ -1,4 +1,4 @@
-// Retries of tasks with side effects: a retry that can be recognised never causes a second execution
+// Retries of tasks with side effects: a retry that can be recognised never causes a second execution,
 // whatever the outcome of the first attempt.
 #include "helpers.hpp"
 
@@ -101,7 +101,7 @@
     CHECK(count_executions(fixture) == 2);
 }
 
-TEST_CASE("when both clients disconnect while it is in flight, nothing is answered twice and no state is kept") {
+TEST_CASE("when both clients disconnect in flight, nothing is answered twice and no state is kept") {
     DispatcherFixture fixture = make_fixture();
     TestConnection first = fixture.client();
     TestConnection second = fixture.client();
