--- a/tests/beanstalk_test.cpp
+++ b/tests/beanstalk_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <random>
 
-#include "hall.hpp"
+#include "tube_fixture.hpp"
 
 using namespace gannethold;
 using namespace gannethold::beanstalk;
@@ -106,9 +106,9 @@
 
 TEST_CASE(
     "a side-effecting job whose time to run has passed does not run again, and late commands are refused") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), slow = hall.connect(), other = hall.connect();
-    const auto job = Hall::number(hall.ask(producer, put("final-view")));
+    const auto job = TubeFixture::number(hall.ask(producer, put("final-view")));
     CHECK(hall.ask(slow, "reserve").starts_with("RESERVED"));
     hall.ask(other, "reserve");
     hall.pass(30 * kSecond);
@@ -118,7 +118,7 @@
           "DELETED\r\n");  // any session may delete a buried job
     CHECK(hall.state(job) == "none");
     // Commands of a worker on a job that it no longer holds do not end the job's run.
-    const auto second = Hall::number(hall.ask(producer, put("second")));
+    const auto second = TubeFixture::number(hall.ask(producer, put("second")));
     hall.pass(kSecond);
     CHECK(hall.runs["second"] == 1);
     hall.pass(30 * kSecond);
@@ -141,9 +141,9 @@
 
 TEST_CASE("after a worker disconnects, an idempotent job runs again and a side-effecting job is buried") {
     for (const bool is_idempotent : {true, false}) {
-        Hall hall(Hall::trade(is_idempotent ? "idempotent" : "side-effecting"));
+        TubeFixture hall(TubeFixture::trade(is_idempotent ? "idempotent" : "side-effecting"));
         const SessionId producer = hall.connect(), lost = hall.connect(), other = hall.connect();
-        const auto job = Hall::number(hall.ask(producer, put("view")));
+        const auto job = TubeFixture::number(hall.ask(producer, put("view")));
         hall.ask(lost, "reserve");
         hall.hang_up(lost);
         hall.ask(other, "reserve-with-timeout 60");
@@ -156,9 +156,9 @@
 }
 
 TEST_CASE("the only worker gets its idempotent job again after the time to run has passed") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId worker = hall.connect();
-    const auto job = Hall::number(hall.ask(worker, put("proof", "1 0 2")));
+    const auto job = TubeFixture::number(hall.ask(worker, put("proof", "1 0 2")));
     CHECK(hall.ask(worker, "reserve-with-timeout 9").starts_with("RESERVED"));
     hall.pass(2 * kSecond + 1);
     CHECK(hall.ask(worker, "touch " + std::to_string(job)) == "NOT_FOUND\r\n");
@@ -169,15 +169,15 @@
 }
 
 TEST_CASE("touch extends the time to run until just before the deadline, and is refused at the deadline") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId worker = hall.connect();
-    const auto first = Hall::number(hall.ask(worker, put("a", "1 0 5")));
+    const auto first = TubeFixture::number(hall.ask(worker, put("a", "1 0 5")));
     hall.ask(worker, "reserve");
     hall.pass(5 * kSecond - 1);
     CHECK(hall.ask(worker, "touch " + std::to_string(first)) == "TOUCHED\r\n");
     hall.pass(5 * kSecond - 1);
     CHECK(hall.ask(worker, "delete " + std::to_string(first)) == "DELETED\r\n");
-    const auto second = Hall::number(hall.ask(worker, put("b", "1 0 5")));
+    const auto second = TubeFixture::number(hall.ask(worker, put("b", "1 0 5")));
     hall.ask(worker, "reserve");
     // Exactly at the deadline the expiry takes precedence over the command.
     hall.now += 5 * kSecond;
@@ -186,12 +186,12 @@
 }
 
 TEST_CASE("a worker holds ten jobs on one connection, and each ends on its own") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), worker = hall.connect();
     std::vector<std::string> numbers;
     for (int i = 0; i < 10; ++i) {
         numbers.push_back(
-            std::to_string(Hall::number(hall.ask(producer, put("j" + std::to_string(i), "1 0 60")))));
+            std::to_string(TubeFixture::number(hall.ask(producer, put("j" + std::to_string(i), "1 0 60")))));
         CHECK(hall.ask(worker, "reserve").starts_with("RESERVED " + numbers.back() + " "));
     }
     for (int i = 0; i < 5; ++i)
@@ -208,7 +208,7 @@
 // ---- reserves ----
 
 TEST_CASE("a reserve that times out loses no job: the next reserve gets it") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), worker = hall.connect();
     hall.ask(worker, "reserve-with-timeout 2");
     hall.pass(2 * kSecond + 1);
@@ -222,7 +222,7 @@
 }
 
 TEST_CASE("a worker that holds a job close to its deadline gets DEADLINE_SOON instead of another job") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId worker = hall.connect();
     hall.ask(worker, put("x", "1 0 3"));
     hall.ask(worker, "reserve");
@@ -234,7 +234,7 @@
 
 TEST_CASE(
     "jobs are split between waiting workers by their fractions; jobs are ordered by priority, then by age") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId producer = hall.connect(), first = hall.connect(), second = hall.connect();
     int jobs_of_first = 0;
     hall.ask(first, "reserve"), hall.ask(second, "reserve");
@@ -244,7 +244,7 @@
         CHECK(first_got_it != hall.said[second].starts_with("RESERVED"));
         jobs_of_first += first_got_it;
         const SessionId winner = first_got_it ? first : second;
-        hall.ask(winner, "delete " + std::to_string(Hall::number(hall.said[winner])));
+        hall.ask(winner, "delete " + std::to_string(TubeFixture::number(hall.said[winner])));
         hall.ask(winner, "reserve");
         hall.pass(10'000);
     }
@@ -262,7 +262,7 @@
 }
 
 TEST_CASE("a paused tube assigns no jobs to waiting workers until the pause ends") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), worker = hall.connect();
     hall.ask(worker, "reserve");
     CHECK(hall.ask(producer, "pause-tube default 3") == "PAUSED\r\n");
@@ -275,11 +275,11 @@
 }
 
 TEST_CASE("reserve-job goes through the balancer, and a job that is not assigned keeps its state") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId producer = hall.connect(), worker = hall.connect(), other = hall.connect();
-    const auto first = std::to_string(Hall::number(hall.ask(producer, put("first"))));
-    const auto second = std::to_string(Hall::number(hall.ask(producer, put("second"))));
-    const auto late = std::to_string(Hall::number(hall.ask(producer, put("late", "1 600 5"))));
+    const auto first = std::to_string(TubeFixture::number(hall.ask(producer, put("first"))));
+    const auto second = std::to_string(TubeFixture::number(hall.ask(producer, put("second"))));
+    const auto late = std::to_string(TubeFixture::number(hall.ask(producer, put("late", "1 600 5"))));
     CHECK(hall.ask(worker, "reserve-job " + second).find("second") != std::string::npos);
     CHECK(hall.ask(other, "reserve-job " + second) == "NOT_FOUND\r\n");
     CHECK(hall.ask(worker, "reserve-job 999") == "NOT_FOUND\r\n");
@@ -298,10 +298,10 @@
 // ---- drains, bounds ----
 
 TEST_CASE("during a drain put is refused, reserved jobs can end normally, and queued jobs are kept") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), worker = hall.connect();
-    const auto job_a = std::to_string(Hall::number(hall.ask(producer, put("a", "1 0 60"))));
-    const auto job_b = Hall::number(hall.ask(producer, put("b", "1 0 60")));
+    const auto job_a = std::to_string(TubeFixture::number(hall.ask(producer, put("a", "1 0 60"))));
+    const auto job_b = TubeFixture::number(hall.ask(producer, put("b", "1 0 60")));
     hall.ask(worker, "reserve");
     hall.exchange.set_rejects_puts(true);
     CHECK(hall.ask(producer, put("c")) == "DRAINING\r\n");
@@ -328,9 +328,9 @@
 
 TEST_CASE("at the drain deadline a reserved job ends in one state, and later commands are refused") {
     for (const bool is_idempotent : {true, false}) {
-        Hall hall(Hall::trade(is_idempotent ? "idempotent" : "side-effecting"));
+        TubeFixture hall(TubeFixture::trade(is_idempotent ? "idempotent" : "side-effecting"));
         const SessionId worker = hall.connect();
-        const auto job = Hall::number(hall.ask(worker, put("x", "1 0 60")));
+        const auto job = TubeFixture::number(hall.ask(worker, put("x", "1 0 60")));
         hall.ask(worker, "reserve");
         hall.exchange.set_dispatches_jobs(false);
         hall.balancer.apply(hall.now, DrainDeadline{});
@@ -344,10 +344,10 @@
 }
 
 TEST_CASE("the limits on jobs, bytes and tubes hold, and the workload of a removed tube is reused") {
-    BrokerSettings trade = Hall::trade("idempotent");
+    BrokerSettings trade = TubeFixture::trade("idempotent");
     trade.queue_limits.max_jobs = 3, trade.queue_limits.max_bytes = 2'000;
     trade.max_other_tubes = 2;
-    Hall hall(trade);
+    TubeFixture hall(trade);
     const SessionId worker = hall.connect();
     for (int i = 0; i < 3; ++i) CHECK(hall.ask(worker, put("x")).starts_with("INSERTED"));
     CHECK(hall.ask(worker, put("x")) == "OUT_OF_MEMORY\r\n");
@@ -370,7 +370,7 @@
 
 TEST_CASE("slow start limits a cold worker's share of the jobs, as for any runner") {
     for (const bool cold : {true, false}) {
-        Hall hall(Hall::trade("idempotent", cold));
+        TubeFixture hall(TubeFixture::trade("idempotent", cold));
         const SessionId producer = hall.connect(), worker = hall.connect();
         int got = 0;
         hall.ask(worker, "reserve");
@@ -379,7 +379,7 @@
             hall.pass(1'000);
             if (!hall.said[worker].starts_with("RESERVED")) continue;
             ++got;
-            hall.ask(worker, "delete " + std::to_string(Hall::number(hall.said[worker])));
+            hall.ask(worker, "delete " + std::to_string(TubeFixture::number(hall.said[worker])));
             hall.ask(worker, "reserve");
         }
         CHECK((got < 200) == cold);
@@ -398,7 +398,8 @@
         std::ranlux24_base random(static_cast<std::uint32_t>(seed));
         const auto random_below = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
         const bool is_idempotent = seed % 2 == 0;
-        Hall hall(Hall::trade(is_idempotent ? "idempotent" : "side-effecting", seed % 3 == 0), seed);
+        TubeFixture hall(TubeFixture::trade(is_idempotent ? "idempotent" : "side-effecting", seed % 3 == 0),
+                         seed);
         std::vector<SessionId> sessions;
         std::map<std::string, std::uint64_t> put_jobs;  // by body
         std::map<SessionId, std::vector<std::uint64_t>> held;
@@ -410,7 +411,7 @@
             for (const SessionId session : sessions) {
                 std::string& reply = hall.said[session];
                 if (!reply.starts_with("RESERVED ")) continue;
-                held[session].push_back(Hall::number(reply));
+                held[session].push_back(TubeFixture::number(reply));
                 reply.clear();
             }
         };
@@ -435,7 +436,7 @@
                 const std::string delay_s = random_below(5) ? "0" : "2";
                 const std::string priority = std::to_string(random_below(9));
                 const auto id =
-                    Hall::number(hall.ask(session, put(body, priority + " " + delay_s + " " + run_s)));
+                    TubeFixture::number(hall.ask(session, put(body, priority + " " + delay_s + " " + run_s)));
                 if (id > 0) put_jobs[body] = id, body_of[id] = body;
             } else if (action < 11) {
                 hall.ask(session, "reserve-with-timeout " + std::to_string(random_below(4)));
@@ -479,7 +480,7 @@
 }
 
 TEST_CASE("every command and every error reply matches the protocol's description") {
-    Hall hall(Hall::trade("idempotent"));
+    TubeFixture hall(TubeFixture::trade("idempotent"));
     const SessionId client = hall.connect();
     const auto check_reply = [&](const std::string& command, const std::string& reply) {
         CHECK_MESSAGE(hall.ask(client, command) == reply, command);
@@ -552,9 +553,9 @@
 }
 
 TEST_CASE("a worker that reconnects while its old connection is silent does not get the job a second time") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), old_worker = hall.connect();
-    const auto job = std::to_string(Hall::number(hall.ask(producer, put("view", "1 0 3"))));
+    const auto job = std::to_string(TubeFixture::number(hall.ask(producer, put("view", "1 0 3"))));
     hall.ask(old_worker, "reserve");
     const SessionId new_worker = hall.connect();
     hall.ask(new_worker, "reserve-with-timeout 1");
@@ -568,9 +569,9 @@
 }
 
 TEST_CASE("a silent worker that an operator drains: its job ends at the deadline, and it gets no other job") {
-    Hall hall(Hall::trade("side-effecting"));
+    TubeFixture hall(TubeFixture::trade("side-effecting"));
     const SessionId producer = hall.connect(), worker = hall.connect();
-    const auto job = Hall::number(hall.ask(producer, put("a", "1 0 3")));
+    const auto job = TubeFixture::number(hall.ask(producer, put("a", "1 0 3")));
     hall.ask(worker, "reserve");
     for (const auto& [id, entry] : hall.entries) hall.state_of(id, RunnerState::draining);
     hall.ask(producer, put("b"));
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -261,7 +261,7 @@
 TEST_CASE("an invalid configuration is rejected with a one-line reason") {
     const auto error_of = [](const std::string& text) {
         try {
-            dispatcher::Posting::read(text);
+            dispatcher::DispatcherConfig::read(text);
         } catch (const std::runtime_error& e) {
             return std::string(e.what());
         }
@@ -282,13 +282,13 @@
           std::string::npos);
     CHECK(error_of("{" + addresses + ",\"settings\":{},\"limits\":{\"sockets\":0}}").find("limit") !=
           std::string::npos);
-    CHECK_THROWS_AS(dispatcher::Posting::read_file("/nowhere/at/all"), std::runtime_error);
-    const auto read = dispatcher::Posting::read("{" + addresses +
-                                                ",\"settings\":{\"dcs\":[\"a "
-                                                "b\",\"c\"],\"workloads\":[" +
-                                                workload + "],\"caps\":{\"probes\":true}}}");
-    CHECK(read.orders.at("zones") == "a_b,c");
-    CHECK(read.orders.at("workloads.0.effect") == "fingerprinted");
-    CHECK(read.orders.at("workloads.count") == "1");
-    CHECK(read.orders.at("caps.probes") == "true");
+    CHECK_THROWS_AS(dispatcher::DispatcherConfig::read_file("/nowhere/at/all"), std::runtime_error);
+    const auto read = dispatcher::DispatcherConfig::read("{" + addresses +
+                                                         ",\"settings\":{\"dcs\":[\"a "
+                                                         "b\",\"c\"],\"workloads\":[" +
+                                                         workload + "],\"caps\":{\"probes\":true}}}");
+    CHECK(read.settings.at("zones") == "a_b,c");
+    CHECK(read.settings.at("workloads.0.effect") == "fingerprinted");
+    CHECK(read.settings.at("workloads.count") == "1");
+    CHECK(read.settings.at("caps.probes") == "true");
 }
--- a/tests/tube_test.cpp
+++ b/tests/tube_test.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-dispatcher::Extras with_tubes(std::size_t max_pushed = 0, const std::string& shared_workload = "",
-                              std::size_t connections = 64) {
-    dispatcher::Extras extras;
-    extras.tubes.listeners.push_back(
+dispatcher::DispatcherOptions with_tubes(std::size_t max_pushed = 0, const std::string& shared_workload = "",
+                                         std::size_t connections = 64) {
+    dispatcher::DispatcherOptions options;
+    options.tubes.listeners.push_back(
         {*net::Address::parse("127.0.0.1:" + std::to_string(TestListener(-1).port)), "m", "a"});
-    extras.tubes.max_connections = connections;
-    extras.tubes.broker.workers_start_cold = false;
+    options.tubes.max_connections = connections;
+    options.tubes.broker.workers_start_cold = false;
     beanstalk::TubePlan plan;
     plan.name = "render", plan.workload = shared_workload, plan.max_pushed = max_pushed;
-    extras.tubes.broker.tubes.push_back(plan);
-    extras.manners.front_notice_delay = extras.manners.closing_period = 50'000;
-    return extras;
+    options.tubes.broker.tubes.push_back(plan);
+    options.drain.front_notice_delay = options.drain.closing_period = 50'000;
+    return options;
 }
 
 constexpr const char* kLimits = "\"memory_mb\":64,\"sockets\":256";
 
 TestConnection tube_client(const DispatcherFixture& fixture) {
-    return TestConnection::to(fixture.dispatcher->pullers()->port());
+    return TestConnection::to(fixture.dispatcher->tube_server()->port());
 }
 
 std::string put(const std::string& body) {
@@ -108,10 +108,10 @@
 TEST_CASE(
     "a side-effecting job is buried after its runner's connection breaks, and only an operator can rerun "
     "it") {
-    dispatcher::Extras extras = with_tubes(2);
-    extras.desk.emplace();
-    extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    DispatcherFixture fixture(1, "pure", "", kLimits, "on_request", "900000", extras);
+    dispatcher::DispatcherOptions options = with_tubes(2);
+    options.control_socket.emplace();
+    options.control_socket->path = "tubes-" + std::to_string(getpid()) + ".sock";
+    DispatcherFixture fixture(1, "pure", "", kLimits, "on_request", "900000", options);
     TestConnection producer = tube_client(fixture);
     producer.send("use render\r\n" + put("view"));
     fixture.at_runner("job-n0-1").reset();
@@ -123,7 +123,7 @@
     }));
     producer.send("kick 5\r\n");
     REQUIRE(fixture.until([&] { return producer.has("KICKED 0"); }));
-    TestConnection operator_connection = TestConnection::to_path(extras.desk->path);
+    TestConnection operator_connection = TestConnection::to_path(options.control_socket->path);
     operator_connection.send(
         "{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":\"kick\",\"job\":1}\n{\"v\":1,\"do\":"
         "\"status\"}\n");
@@ -140,12 +140,12 @@
 }
 
 TEST_CASE("a drain refuses put and waits for reserved jobs, and cancelling it restores normal operation") {
-    dispatcher::Extras extras = with_tubes();
-    extras.desk.emplace();
-    extras.desk->path = "tubes-" + std::to_string(getpid()) + ".sock";
-    DispatcherFixture fixture(0, "pure", "", kLimits, "on_request", "900000", extras);
+    dispatcher::DispatcherOptions options = with_tubes();
+    options.control_socket.emplace();
+    options.control_socket->path = "tubes-" + std::to_string(getpid()) + ".sock";
+    DispatcherFixture fixture(0, "pure", "", kLimits, "on_request", "900000", options);
     TestConnection producer = tube_client(fixture), worker = tube_client(fixture),
-                   operator_connection = TestConnection::to_path(extras.desk->path);
+                   operator_connection = TestConnection::to_path(options.control_socket->path);
     producer.send(put("a") + put("b"));
     worker.send("reserve\r\n");
     REQUIRE(fixture.until([&] { return worker.has("RESERVED 1"); }));
@@ -181,7 +181,7 @@
     holder.send("reserve\r\n");
     waiter.send("reserve\r\n");
     fixture.pass(20);
-    fixture.dispatcher->leave();
+    fixture.dispatcher->shut_down();
     CHECK(fixture.until([&] { return waiter.ended() && producer.ended(); }));
     CHECK(fixture.until([&] { return fixture.loop.is_stopping(); }, 6000));
     CHECK(fixture.said.str().find("2 jobs that wait in tubes are lost") != std::string::npos);
