--- a/tests/system/base/error_test.cpp
+++ b/tests/system/base/error_test.cpp
@@ -1,4 +1,4 @@
-// The published names and statuses of errors: responses and log lines carry them.
+// The published names and statuses of errors, which appear in responses and log lines.
 #include "cluster/base/error.hpp"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/system/formats.hpp
+++ b/tests/system/formats.hpp
@@ -1,5 +1,5 @@
-// The formats that are stored and sent, against examples that are kept as bytes in fixtures/. The examples
-// were written once by `cluster_formats --write-fixtures DIRECTORY`; the tests only read them.
+// Stored and sent formats are compared with examples in fixtures/, so that later versions stay compatible.
+// The examples were written once by `cluster_formats --write-fixtures DIRECTORY`; the tests only read them.
 #pragma once
 
 #include <filesystem>
--- a/tests/system/required.hpp
+++ b/tests/system/required.hpp
@@ -1,4 +1,4 @@
-// Values that a test can not go on without.
+// Unwraps results whose failure ends the test.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 
 namespace gannethold::cluster::tests {
 
-// What a call gives; a failure of the call fails the test.
+// Returns the value of the call's result. If the call fails, the test fails.
 template <class Value, class Call>
 Value required(const Call& call) {
     return leaf::try_handle_all([&]() -> leaf::result<Value> { return call(); },
--- a/tests/system/runners/platform_api_test.cpp
+++ b/tests/system/runners/platform_api_test.cpp
@@ -1,4 +1,5 @@
-// What the platform's API makes of faulty responses. Names of fields and the requests' bytes: setting_names.
+// What the platform's API makes of faulty responses. Names of fields and the requests' bytes:
+// platform_fields_test.cpp.
 #include "cluster/runners/platform_api.hpp"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/system/transport/http_client_pool_test.cpp
+++ b/tests/system/transport/http_client_pool_test.cpp
@@ -1,4 +1,4 @@
-// Which connections an HttpClient keeps for further calls, and for how long.
+// Reuse and expiry of an HttpClient's pooled connections.
 #include <boost/test/unit_test.hpp>
 
 #include <string>
--- a/tests/system/transport/http_server_fixture.hpp
+++ b/tests/system/transport/http_server_fixture.hpp
@@ -14,6 +14,7 @@
 
 namespace gannethold::cluster {
 
+/// A server that records its requests and disconnected exchanges.
 struct HttpServerFixture {
     static constexpr std::size_t kDefaultBlocks = 8192;
     static constexpr std::size_t kMaxConnections = 64;
@@ -46,7 +47,7 @@
         response.body = body;
         server.respond(exchange, response);
     }
-    /// Connections that have ended are freed between the loop's turns.
+    /// Runs the loop until the condition is true; frees closed connections between the loop's turns.
     bool run_until(const std::function<bool()>& condition) {
         return run_loop_until(loop, [&] {
             server.close_expired(net::Loop::now());
--- a/tests/system/transport/http_server_limits_test.cpp
+++ b/tests/system/transport/http_server_limits_test.cpp
@@ -1,4 +1,4 @@
-// What an HttpServer rejects by itself, and which connections it closes for being idle.
+// Requests that an HttpServer rejects because of its limits, and connections that it closes on a timeout.
 #include <boost/test/unit_test.hpp>
 
 #include <string>
